--- a/benchmarks/capacity/_states.py
+++ b/benchmarks/capacity/_states.py
@@ -1,7 +1,7 @@
 """Bytes and processor time of each role's state, measured at several sizes."""
 
 from fireflyward.clock import Clock
-from fireflyward.limits import Ask
+from fireflyward.limits import AdmissionRequest
 from fireflyward.limits._admission import Admission
 from fireflyward.membership import Member, Members
 from fireflyward.routing import Candidate, Router, RunShape
@@ -84,7 +84,9 @@
     deadline_ms = Clock().now_ms() + 60_000
     for index in range(accounts):
         model = f"model-{index % _MODELS}"
-        admission.enter(0, Ask(f"account-{index}", model, 100.0, 9, deadline_ms))
+        admission.enter(
+            0, AdmissionRequest(f"account-{index}", model, 100.0, 9, deadline_ms)
+        )
     return admission
 
 
--- a/fireflyward/bench/_limiting.py
+++ b/fireflyward/bench/_limiting.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from fireflyward.limits import Admission, Ask, Ticket
+from fireflyward.limits import Admission, AdmissionRequest, Ticket
 from fireflyward.outcomes import NotRun
 
 from ._balancing import MODEL, Balancing, Request, Shape, make_router
@@ -36,7 +36,7 @@
         self._request_by_run: dict[str, Request] = {}
 
     def _arrive(self, now_ms: float, request: Request, run_id: str) -> None:
-        ask = Ask(
+        ask = AdmissionRequest(
             request.account,
             MODEL,
             request.prompt_tokens + _TOKENS_PER_DECODED * request.max_tokens,
--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -3,7 +3,7 @@
 import msgspec
 from aiohttp import web
 
-from fireflyward.limits import Ask, Ticket
+from fireflyward.limits import AdmissionRequest, Ticket
 from fireflyward.outcomes import Answered, NotRun, Reason, Unknown
 from fireflyward.runs import Deliver, Mark, Placed
 from fireflyward.upstreams import count_tokens
@@ -91,10 +91,10 @@
     return refusal or read_asked(parts, request, renewed, prompt, body)
 
 
-def _ask(asked: Asked) -> Ask:
+def _ask(asked: Asked) -> AdmissionRequest:
     identity, prompt = asked.identity, asked.prompt
     cost = count_tokens(prompt.text) + _TOKENS_PER_DECODED * prompt.max_tokens
-    return Ask(
+    return AdmissionRequest(
         identity.account_name,
         prompt.model,
         cost,
--- a/fireflyward/limits/__init__.py
+++ b/fireflyward/limits/__init__.py
@@ -8,7 +8,7 @@
     SharesAction,
     Tally,
 )
-from ._admission import Admission, Ask, Ticket
+from ._admission import Admission, AdmissionRequest, Ticket
 from ._fair_queue import FairQueue, Waiter
 from ._gate import AdmissionGate
 from ._window import Window
@@ -17,7 +17,7 @@
     "AccountShares",
     "Admission",
     "AdmissionGate",
-    "Ask",
+    "AdmissionRequest",
     "Demand",
     "FairQueue",
     "SendDemand",
--- a/fireflyward/limits/_admission.py
+++ b/fireflyward/limits/_admission.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class AdmissionRequest:
     """A request as admission sees it: who, for which model, how much work.
 
     ``cost`` is in tokens; ``limit`` is how many requests the account may have
@@ -46,7 +46,7 @@
     accounts that do not.
     """
 
-    ask: Ask
+    ask: AdmissionRequest
     waiter: Waiter
     refuse_at_ms: int
     admitted_ms: int | None = None
@@ -130,7 +130,7 @@
         """Return the number of an account's requests that wait or run."""
         return self._in_flight_by_account.get(account, 0)
 
-    def enter(self, now_ms: int, ask: Ask) -> Ticket | NotRun:
+    def enter(self, now_ms: int, ask: AdmissionRequest) -> Ticket | NotRun:
         """Count a request in, or say why it is refused at once."""
         lane = self._lane_by_model.setdefault(ask.model, _Lane())
         refusal = self._refusal(now_ms, lane, ask)
@@ -181,7 +181,9 @@
         else:
             del self._in_flight_by_account[account]
 
-    def _refusal(self, now_ms: int, lane: _Lane, ask: Ask) -> NotRun | None:
+    def _refusal(
+        self, now_ms: int, lane: _Lane, ask: AdmissionRequest
+    ) -> NotRun | None:
         in_flight = self.in_flight(ask.account)
         if in_flight >= ask.limit:
             detail = f"account {ask.account} has {in_flight} requests in flight here"
@@ -197,7 +199,7 @@
             return NotRun(Reason.OVERLOADED, detail, _retry_ms(wait_ms))
         return None
 
-    def _wait_ms(self, now_ms: int, lane: _Lane, ask: Ask) -> float:
+    def _wait_ms(self, now_ms: int, lane: _Lane, ask: AdmissionRequest) -> float:
         """Return when the account's share of the recent rate reaches this request.
 
         The rate is that of the admissions since the queue was last empty; before
--- a/fireflyward/limits/_gate.py
+++ b/fireflyward/limits/_gate.py
@@ -7,7 +7,7 @@
 from fireflyward.outcomes import NotRun, Reason
 
 from ._account_shares import AccountShares
-from ._admission import Admission, Ask, Ticket
+from ._admission import Admission, AdmissionRequest, Ticket
 
 
 class AdmissionGate:
@@ -48,7 +48,7 @@
         """Return the number of requests that wait or run at this node."""
         return self._admission.total()
 
-    async def enter(self, ask: Ask) -> Ticket | NotRun:
+    async def enter(self, ask: AdmissionRequest) -> Ticket | NotRun:
         """Return once the request may run, or with its refusal."""
         ticket = self._enter(ask)
         if isinstance(ticket, NotRun):
@@ -75,7 +75,7 @@
         self._admission.leave(ticket)
         self._settle()
 
-    def _enter(self, ask: Ask) -> Ticket | NotRun:
+    def _enter(self, ask: AdmissionRequest) -> Ticket | NotRun:
         now_ms = self._clock.now_ms()
         if self._shares is None:
             return self._admission.enter(now_ms, ask)
--- a/tests/invariants/test_invariants.py
+++ b/tests/invariants/test_invariants.py
@@ -2,7 +2,7 @@
 
 from fireflyward.bundles import Bundle, BundleHolder
 from fireflyward.invariants import Invariant, InvariantBroken, listen, require
-from fireflyward.limits import Admission, Ask
+from fireflyward.limits import Admission, AdmissionRequest
 
 
 class RequireTests(unittest.TestCase):
@@ -28,7 +28,7 @@
 
     def test_leaving_more_often_than_entering(self):
         admission = Admission()
-        ticket = admission.enter(0, Ask("bridge", "clauses", 1.0, 2, 100))
+        ticket = admission.enter(0, AdmissionRequest("bridge", "clauses", 1.0, 2, 100))
         admission.leave(ticket)
         found = self.broken_by(lambda: admission.leave(ticket))
         self.assertIs(found, Invariant.IN_FLIGHT)
--- a/tests/limits/test_admission.py
+++ b/tests/limits/test_admission.py
@@ -3,14 +3,14 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from fireflyward.limits import Admission, Ask, Ticket
+from fireflyward.limits import Admission, AdmissionRequest, Ticket
 from fireflyward.outcomes import NotRun, Reason
 
 FAR_MS = 1_000_000
 
 
 def ask(account="a", *, model="m", limit=1_000, deadline_ms=FAR_MS, weight=1):
-    return Ask(account, model, 100.0, limit, deadline_ms, weight)
+    return AdmissionRequest(account, model, 100.0, limit, deadline_ms, weight)
 
 
 class AdmissionTests(unittest.TestCase):
--- a/tests/limits/test_gate.py
+++ b/tests/limits/test_gate.py
@@ -2,7 +2,7 @@
 import unittest
 
 from fireflyward.clock import ManualClock
-from fireflyward.limits import AdmissionGate, Ask, Ticket
+from fireflyward.limits import AdmissionGate, AdmissionRequest, Ticket
 from fireflyward.outcomes import NotRun, Reason
 
 
@@ -12,7 +12,7 @@
         self.gate = AdmissionGate(self.clock)
 
     def ask(self, account="a"):
-        return Ask(account, "m", 100.0, 100, self.clock.now_ms() + 60_000)
+        return AdmissionRequest(account, "m", 100.0, 100, self.clock.now_ms() + 60_000)
 
     async def fill(self):
         return [await self.gate.enter(self.ask()) for _ in range(8)]
