--- a/fireflyward/daemon/_load_duty.py
+++ b/fireflyward/daemon/_load_duty.py
@@ -90,7 +90,9 @@
                 await self._clock.sleep_ms(_TICK_MS)
                 now_ms = self._clock.now_ms()
                 self._tell_leaving(now_ms)
-                self._perform_all([Poll(name) for name in self._router.take_doubted()])
+                self._perform_all(
+                    [Poll(name) for name in self._router.pop_outdated_replicas()]
+                )
                 self._perform_all(self.sharing.tick(now_ms))
 
     def _look_at_peers(self) -> None:
--- a/fireflyward/routing/_router.py
+++ b/fireflyward/routing/_router.py
@@ -214,7 +214,7 @@
         """
         return self._late_by_run.pop(run_id, None)
 
-    def take_doubted(self) -> set[str]:
+    def pop_outdated_replicas(self) -> set[str]:
         """Return the replicas whose report proved wrong since the last call."""
         doubted, self._doubted = self._doubted, set()
         return doubted
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -99,7 +99,7 @@
         refusal = Refused(Reason.UNKNOWN_MODEL)
         self.router.on_event(0, chosen, "a", refusal)
         self.assertNotIn(chosen, self.choices(0))
-        self.assertEqual(self.router.take_doubted(), {chosen})
+        self.assertEqual(self.router.pop_outdated_replicas(), {chosen})
         self.router.on_report(10, chosen, report())
         self.assertIn(chosen, self.choices(10))
 
