--- a/fireflyward/bench/_limiting.py
+++ b/fireflyward/bench/_limiting.py
@@ -71,7 +71,7 @@
         request = self._request_by_run[run_id]
         waited = self.first_token_by_account.setdefault(request.account, [])
         waited.append(now_ms - request.at_ms)
-        late_ms = self._balancers[node].take_late_ms(run_id)
+        late_ms = self._balancers[node].pop_queueing_delay_ms(run_id)
         ticket = self._ticket_by_run[run_id]
         self.admissions[node].on_first_token(int(now_ms), ticket, late_ms)
         self._decide(now_ms, node)
--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -109,7 +109,7 @@
     parts = request.app[PARTS]
     ticket = request[_TICKET]
     if ticket.is_pending:
-        late_ms = parts.router.take_late_ms(asked.run_id)
+        late_ms = parts.router.pop_queueing_delay_ms(asked.run_id)
         parts.admission.on_first_token(ticket, late_ms)
 
 
--- a/fireflyward/routing/_router.py
+++ b/fireflyward/routing/_router.py
@@ -207,7 +207,7 @@
         self._note_choice(now_ms, chosen, shape)
         return chosen.name
 
-    def take_late_ms(self, run_id: str) -> float | None:
+    def pop_queueing_delay_ms(self, run_id: str) -> float | None:
         """Return by how much a run's first token came later than its prefill alone.
 
         It is infinite after a refusal for overload, None when nothing is known.
