--- a/fireflyward/bench/_load_mesh.py
+++ b/fireflyward/bench/_load_mesh.py
@@ -16,7 +16,7 @@
     Poll,
     Send,
     SharingAction,
-    Watched,
+    WatchedReplica,
 )
 from fireflyward.upstreams import LoadReport
 
@@ -61,7 +61,7 @@
         self._events: list[tuple[int, int, str, str, bytes]] = []
         self._order = itertools.count()
         watched = [
-            Watched(f"replica-{index}", DOMAIN, {f"model-{index % 17}": "v1"})
+            WatchedReplica(f"replica-{index}", DOMAIN, {f"model-{index % 17}": "v1"})
             for index in range(replicas)
         ]
         self.report_by_name: dict[str, LoadReport | None] = {
--- a/fireflyward/daemon/_load_duty.py
+++ b/fireflyward/daemon/_load_duty.py
@@ -18,7 +18,7 @@
     Router,
     Send,
     SharingAction,
-    Watched,
+    WatchedReplica,
 )
 from fireflyward.upstreams import Broken, Engine, LoadReport
 
@@ -62,7 +62,7 @@
     def set_bundle(self, bundle: Bundle) -> None:
         """Watch the engines of a bundle."""
         self.sharing.set_replicas(
-            Watched(
+            WatchedReplica(
                 name,
                 upstream.failure_domain,
                 {model: bundle.models[model].version for model in upstream.models},
--- a/fireflyward/routing/__init__.py
+++ b/fireflyward/routing/__init__.py
@@ -4,7 +4,14 @@
 from ._candidate import Candidate, RunShape
 from ._estimate import FirstTokenEstimate, QueueEstimate
 from ._load_codec import LoadCodec, LoadEntry, LoadNews
-from ._load_sharing import LoadSharing, Poll, Send, SharingAction, Watched, watch_list
+from ._load_sharing import (
+    LoadSharing,
+    Poll,
+    Send,
+    SharingAction,
+    WatchedReplica,
+    watch_list,
+)
 from ._router import Router
 
 __all__ = [
@@ -22,7 +29,7 @@
     "RunShape",
     "Send",
     "SharingAction",
-    "Watched",
+    "WatchedReplica",
     "rendezvous_order",
     "watch_list",
 ]
--- a/fireflyward/routing/_load_sharing.py
+++ b/fireflyward/routing/_load_sharing.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watched:
+class WatchedReplica:
     """A replica as the bundle names it; ``versions`` are those that it wants."""
 
     name: str
@@ -111,7 +111,7 @@
         """The replicas of which this node's domain wants to know."""
         return self._watched
 
-    def set_replicas(self, replicas: Iterable[Watched]) -> None:
+    def set_replicas(self, replicas: Iterable[WatchedReplica]) -> None:
         """Take the replicas of a bundle and choose those to watch."""
         known = list(replicas)
         chosen = watch_list(self._failure_domain, known)
@@ -286,7 +286,9 @@
         )
 
 
-def watch_list(failure_domain: str, replicas: list[Watched]) -> list[Watched]:
+def watch_list(
+    failure_domain: str, replicas: list[WatchedReplica]
+) -> list[WatchedReplica]:
     """Return the replicas of which a failure domain wants to know.
 
     These are its own and, of each model, so many of other domains that there are
--- a/tests/routing/test_load_sharing.py
+++ b/tests/routing/test_load_sharing.py
@@ -2,7 +2,7 @@
 from dataclasses import replace
 
 from fireflyward.bench._load_mesh import LoadMesh
-from fireflyward.routing import LoadSharing, Watched, watch_list
+from fireflyward.routing import LoadSharing, WatchedReplica, watch_list
 from fireflyward.upstreams import LoadReport
 
 
@@ -121,7 +121,7 @@
 class LoadSharingTests(unittest.TestCase):
     def test_older_hearsay_does_not_replace_a_newer_report(self):
         sharing = LoadSharing("a", "here")
-        sharing.set_replicas([Watched("r", "here", {"m": "v1"})])
+        sharing.set_replicas([WatchedReplica("r", "here", {"m": "v1"})])
         report = LoadReport(0, 0, 0, 0, {"m": "v1"})
         entry, _ = sharing.on_polled(1_000, "r", report)
         self.assertIsNotNone(entry)
@@ -132,7 +132,7 @@
 class WatchListTests(unittest.TestCase):
     def replicas(self, *domains):
         return [
-            Watched(f"{domain}-{index}", domain, {"m": "v1"})
+            WatchedReplica(f"{domain}-{index}", domain, {"m": "v1"})
             for index, domain in enumerate(domains)
         ]
 
