--- a/fireflyward/bench/_load_mesh.py
+++ b/fireflyward/bench/_load_mesh.py
@@ -115,7 +115,7 @@
             node.received_bytes += len(frame)
             began = time.perf_counter()
             news = unpack(LoadNews, self._codec.open(frame).body)
-            entries, actions = node.sharing.on_news(self.now_ms, sender, news)
+            entries, actions = node.sharing.on_load_update(self.now_ms, sender, news)
             self.seconds_cpu += time.perf_counter() - began
             for entry in entries:
                 node.age_ms.append(self.now_ms - entry.measured_ms)
--- a/fireflyward/daemon/_load_duty.py
+++ b/fireflyward/daemon/_load_duty.py
@@ -144,7 +144,7 @@
 
     async def _on_news(self, sender: str, news: Any) -> None:
         now_ms = self._clock.now_ms()
-        entries, actions = self.sharing.on_news(now_ms, sender, news)
+        entries, actions = self.sharing.on_load_update(now_ms, sender, news)
         for entry in entries:
             self._take(now_ms, entry)
         self._perform_all(actions)
--- a/fireflyward/routing/_load_sharing.py
+++ b/fireflyward/routing/_load_sharing.py
@@ -187,7 +187,7 @@
         peers = self._row() + self._column()
         return self._sends(now_ms, peers, {name}, urgent=True)
 
-    def on_news(
+    def on_load_update(
         self, now_ms: int, sender: str, news: Any
     ) -> tuple[list[LoadEntry], list[SharingAction]]:
         """Take a peer's datagram; return the entries that are new to this node."""
