--- a/fireflyward/bench/_limiting.py
+++ b/fireflyward/bench/_limiting.py
@@ -49,7 +49,7 @@
             return
         self._waiting[id(ticket)] = request, run_id
         self._ticket_by_run[run_id] = ticket
-        self._at(ticket.refuse_at_ms + 1, self._decide, request.node)
+        self._at(ticket.reject_at_ms + 1, self._decide, request.node)
         self._decide(now_ms, request.node)
 
     def _decide(self, now_ms: float, node: int) -> None:
--- a/fireflyward/limits/_admission.py
+++ b/fireflyward/limits/_admission.py
@@ -48,7 +48,7 @@
 
     ask: AdmissionRequest
     waiter: Waiter
-    refuse_at_ms: int
+    reject_at_ms: int
     admitted_ms: int | None = None
     is_pending: bool = False
     is_beyond_share: bool = False
@@ -136,8 +136,8 @@
         refusal = self._refusal(now_ms, lane, ask)
         if refusal:
             return refusal
-        refuse_at_ms = min(now_ms + self._queue_limit_ms, ask.deadline_ms)
-        ticket = Ticket(ask, Waiter(ask.account, ask.weight, ask.cost), refuse_at_ms)
+        reject_at_ms = min(now_ms + self._queue_limit_ms, ask.deadline_ms)
+        ticket = Ticket(ask, Waiter(ask.account, ask.weight, ask.cost), reject_at_ms)
         lane.queue.push(ticket.waiter)
         lane.ticket_by_waiter[id(ticket.waiter)] = ticket
         lane.see(now_ms, ask.account)
@@ -252,7 +252,7 @@
         late = [
             ticket
             for ticket in lane.ticket_by_waiter.values()
-            if ticket.refuse_at_ms <= now_ms
+            if ticket.reject_at_ms <= now_ms
         ]
         for ticket in late:
             del lane.ticket_by_waiter[id(ticket.waiter)]
@@ -261,7 +261,7 @@
         return late
 
     def _late_refusal(self, ticket: Ticket) -> NotRun:
-        if ticket.refuse_at_ms == ticket.ask.deadline_ms:
+        if ticket.reject_at_ms == ticket.ask.deadline_ms:
             detail = "the deadline came before its turn"
             return NotRun(Reason.DEADLINE, detail, _LEAST_RETRY_MS)
         detail = f"no turn within {self._queue_limit_ms} ms"
--- a/fireflyward/limits/_gate.py
+++ b/fireflyward/limits/_gate.py
@@ -91,7 +91,7 @@
         try:
             self._settle()
             while not ticket.is_decided:
-                left_ms = max(1, ticket.refuse_at_ms - self._clock.now_ms())
+                left_ms = max(1, ticket.reject_at_ms - self._clock.now_ms())
                 await within_ms(self._clock, left_ms, settled.wait())
                 self._settle()
         finally:
--- a/tests/limits/test_admission.py
+++ b/tests/limits/test_admission.py
@@ -201,7 +201,7 @@
             assert ticket in self.waiting, "settled twice or after it left"
             self.waiting.remove(ticket)
             if ticket.refusal:
-                assert self.now_ms >= ticket.refuse_at_ms
+                assert self.now_ms >= ticket.reject_at_ms
                 self.admission.leave(ticket)
             else:
                 assert self.now_ms < ticket.ask.deadline_ms
@@ -214,7 +214,7 @@
     @invariant()
     def nothing_waits_too_long(self):
         for ticket in self.waiting:
-            assert self.now_ms < ticket.refuse_at_ms
+            assert self.now_ms < ticket.reject_at_ms
 
     def teardown(self):
         for ticket in self.waiting + self.running:
