--- a/fireflyward/bench/_limiting.py
+++ b/fireflyward/bench/_limiting.py
@@ -55,7 +55,7 @@
     def _decide(self, now_ms: float, node: int) -> None:
         for ticket in self.admissions[node].decide(int(now_ms)):
             request, run_id = self._waiting.pop(id(ticket))
-            if ticket.refusal:
+            if ticket.rejection:
                 self.refusals.held_ms.append(now_ms - request.at_ms)
                 self.admissions[node].leave(ticket)
                 del self._ticket_by_run[run_id]
--- a/fireflyward/limits/_admission.py
+++ b/fireflyward/limits/_admission.py
@@ -52,11 +52,11 @@
     admitted_ms: int | None = None
     is_pending: bool = False
     is_beyond_share: bool = False
-    refusal: NotRun | None = None
+    rejection: NotRun | None = None
 
     @property
     def is_decided(self) -> bool:
-        return self.admitted_ms is not None or self.refusal is not None
+        return self.admitted_ms is not None or self.rejection is not None
 
 
 @dataclass(slots=True)
@@ -133,9 +133,9 @@
     def enter(self, now_ms: int, ask: AdmissionRequest) -> Ticket | NotRun:
         """Count a request in, or say why it is refused at once."""
         lane = self._lane_by_model.setdefault(ask.model, _Lane())
-        refusal = self._refusal(now_ms, lane, ask)
-        if refusal:
-            return refusal
+        rejection = self._refusal(now_ms, lane, ask)
+        if rejection:
+            return rejection
         reject_at_ms = min(now_ms + self._queue_limit_ms, ask.deadline_ms)
         ticket = Ticket(ask, Waiter(ask.account, ask.weight, ask.cost), reject_at_ms)
         lane.queue.push(ticket.waiter)
@@ -257,7 +257,7 @@
         for ticket in late:
             del lane.ticket_by_waiter[id(ticket.waiter)]
             lane.queue.remove(ticket.waiter)
-            ticket.refusal = self._late_refusal(ticket)
+            ticket.rejection = self._late_refusal(ticket)
         return late
 
     def _late_refusal(self, ticket: Ticket) -> NotRun:
--- a/fireflyward/limits/_gate.py
+++ b/fireflyward/limits/_gate.py
@@ -60,9 +60,9 @@
             # counted for ever, seen as an account at its limit without a request.
             self.leave(ticket)
             raise
-        if ticket.refusal:
+        if ticket.rejection:
             self.leave(ticket)
-            return ticket.refusal
+            return ticket.rejection
         return ticket
 
     def on_first_token(self, ticket: Ticket, late_ms: float | None) -> None:
--- a/tests/limits/test_admission.py
+++ b/tests/limits/test_admission.py
@@ -40,15 +40,15 @@
         self.admission.decide(0)
         self.assertEqual(self.admission.decide(1_999), [])
         self.assertEqual(self.admission.decide(2_000), [tickets[8]])
-        self.assertEqual(tickets[8].refusal.reason, Reason.OVERLOADED)
-        self.assertGreater(tickets[8].refusal.retry_after_ms, 0)
+        self.assertEqual(tickets[8].rejection.reason, Reason.OVERLOADED)
+        self.assertGreater(tickets[8].rejection.retry_after_ms, 0)
 
     def test_nothing_waits_past_its_deadline(self):
         self.enter(0, 8)
         self.admission.decide(0)
         (ticket,) = self.enter(0, 1, deadline_ms=300)
         self.assertEqual(self.admission.decide(300), [ticket])
-        self.assertEqual(ticket.refusal.reason, Reason.DEADLINE)
+        self.assertEqual(ticket.rejection.reason, Reason.DEADLINE)
 
     def test_hopeless_request_is_refused_on_arrival(self):
         """Symptom: callers wait two seconds to be told that they came in vain.
@@ -59,7 +59,7 @@
         for now_ms in range(0, 2_000, 10):
             result = self.admission.enter(now_ms, ask())
             refused = refused or (result if isinstance(result, NotRun) else None)
-            running.extend(t for t in self.admission.decide(now_ms) if not t.refusal)
+            running.extend(t for t in self.admission.decide(now_ms) if not t.rejection)
             if now_ms % 100 == 0 and running:
                 self.admission.on_first_token(now_ms, running.pop(0), 0.0)
         self.assertEqual(refused.reason, Reason.OVERLOADED)
@@ -200,7 +200,7 @@
         for ticket in self.admission.decide(self.now_ms):
             assert ticket in self.waiting, "settled twice or after it left"
             self.waiting.remove(ticket)
-            if ticket.refusal:
+            if ticket.rejection:
                 assert self.now_ms >= ticket.reject_at_ms
                 self.admission.leave(ticket)
             else:
