--- a/fireflyward/bench/_shares_mesh.py
+++ b/fireflyward/bench/_shares_mesh.py
@@ -52,7 +52,7 @@
         if held < self.allowed(name, account):
             self.in_flight[name, account] = held + 1
             return True
-        self.shares_by_name[name].on_refused(account)
+        self.shares_by_name[name].on_rejected(account)
         return False
 
     def total(self, account: str) -> int:
--- a/fireflyward/limits/_account_shares.py
+++ b/fireflyward/limits/_account_shares.py
@@ -118,7 +118,7 @@
         by_demand = (1.0 - _FLOOR_SHARE) * limit * own / max(own, total, 1)
         return max(1, int(even + by_demand))
 
-    def on_refused(self, account: str) -> None:
+    def on_rejected(self, account: str) -> None:
         """Count a request that the limit refused; it shows what is asked for."""
         asked = self._asked_by_account.get(account)
         if asked is not None:
--- a/fireflyward/limits/_gate.py
+++ b/fireflyward/limits/_gate.py
@@ -82,7 +82,7 @@
         part = self._shares.allowed(now_ms, ask.account, ask.limit)
         result = self._admission.enter(now_ms, replace(ask, limit=part))
         if isinstance(result, NotRun) and result.reason is Reason.OVER_LIMIT:
-            self._shares.on_refused(ask.account)
+            self._shares.on_rejected(ask.account)
         return result
 
     async def _wait(self, ticket: Ticket) -> None:
