--- a/fireflyward/placement/_placement.py
+++ b/fireflyward/placement/_placement.py
@@ -114,7 +114,7 @@
         )
         ways = [without]
         for run in known.stored:
-            if run.end > held and self.links.is_open(now_ms, run.store):
+            if run.end > held and self.links.is_available(now_ms, run.store):
                 ways += self._importing(now_ms, without, run, ms_per_token)
         return min(ways, key=self.cost)
 
--- a/fireflyward/placement/_rates.py
+++ b/fireflyward/placement/_rates.py
@@ -67,7 +67,7 @@
         link.failures += 1
         link.closed_until_ms = now_ms + pause_ms
 
-    def is_open(self, now_ms: float, store: str) -> bool:
+    def is_available(self, now_ms: float, store: str) -> bool:
         """Tell whether an import may be tried now."""
         return now_ms >= self._link(store).closed_until_ms
 
--- a/fireflyward/workloads/_import.py
+++ b/fireflyward/workloads/_import.py
@@ -246,7 +246,7 @@
             self._link.ask(Urgency.EXPORT, self._offer.account, self._write)
 
     def _is_open(self) -> bool:
-        return self._rates.is_open(self._clock.exact_ms, self._link.store.name)
+        return self._rates.is_available(self._clock.exact_ms, self._link.store.name)
 
     def _write(self, number: int) -> None:
         if not self._is_open() or not self._engine.holds(self._keys):
--- a/tests/placement/test_rates.py
+++ b/tests/placement/test_rates.py
@@ -34,14 +34,14 @@
         for _ in range(8):
             self.rates.on_nothing(now_ms, "s")
             began_ms = now_ms
-            while not self.rates.is_open(now_ms, "s"):
+            while not self.rates.is_available(now_ms, "s"):
                 now_ms += 500
             waits.append(now_ms - began_ms)
         self.assertEqual(waits[:4], [1_000, 2_000, 4_000, 8_000])
         self.assertEqual(waits[-1], 60_000)
         self.rates.on_measured(now_ms, "s", Tier.MEMORY, 10, 1.0)
         self.rates.on_nothing(now_ms, "s")
-        self.assertTrue(self.rates.is_open(now_ms + 1_000, "s"))
+        self.assertTrue(self.rates.is_available(now_ms + 1_000, "s"))
 
     def test_bytes_in_flight_are_counted_on_and_off(self):
         self.rates.on_start("s", 70)
