--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -248,7 +248,7 @@
                 "kept_link_bytes_total", size, store=store, direction="import"
             )
         else:
-            links.on_nothing(now_ms, store)
+            links.on_no_data(now_ms, store)
         self._metrics.count("kept_imported_blocks_total", result.blocks, store=store)
         if result.reason:
             self._metrics.count("kept_misses_total", reason=result.reason.value)
--- a/fireflyward/placement/_rates.py
+++ b/fireflyward/placement/_rates.py
@@ -60,7 +60,7 @@
         link.failures = 0
         link.closed_until_ms = 0.0
 
-    def on_nothing(self, now_ms: float, store: str) -> None:
+    def on_no_data(self, now_ms: float, store: str) -> None:
         """Take an import that was given up before its first block arrived."""
         link = self._link(store)
         pause_ms = min(_FIRST_PAUSE_MS << min(link.failures, 16), _LONGEST_PAUSE_MS)
--- a/fireflyward/workloads/_import.py
+++ b/fireflyward/workloads/_import.py
@@ -210,7 +210,7 @@
                 self._last_ms - self._began_ms,
             )
         elif self._left:
-            self._rates.on_nothing(self._clock.exact_ms, self._plan.store)
+            self._rates.on_no_data(self._clock.exact_ms, self._plan.store)
         self._done(self._clock.exact_ms - self._watch.give_up_ms())
 
 
@@ -261,5 +261,5 @@
 
     def _expire(self, number: int) -> None:
         if not self._is_over:
-            self._rates.on_nothing(self._clock.exact_ms, self._link.store.name)
+            self._rates.on_no_data(self._clock.exact_ms, self._link.store.name)
             self._end(number)
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -85,7 +85,7 @@
 
     def test_dead_store_is_not_planned_for(self):
         place = placement(stored=[StoredRun("s", 0, 200)])
-        place.links.on_nothing(NOW_MS, "s")
+        place.links.on_no_data(NOW_MS, "s")
         estimate = place.estimate(NOW_MS, candidate("r"), SHAPE)
         self.assertEqual(estimate.plan, Recompute())
 
--- a/tests/placement/test_rates.py
+++ b/tests/placement/test_rates.py
@@ -32,7 +32,7 @@
         waits = []
         now_ms = 0
         for _ in range(8):
-            self.rates.on_nothing(now_ms, "s")
+            self.rates.on_no_data(now_ms, "s")
             began_ms = now_ms
             while not self.rates.is_available(now_ms, "s"):
                 now_ms += 500
@@ -40,7 +40,7 @@
         self.assertEqual(waits[:4], [1_000, 2_000, 4_000, 8_000])
         self.assertEqual(waits[-1], 60_000)
         self.rates.on_measured(now_ms, "s", Tier.MEMORY, 10, 1.0)
-        self.rates.on_nothing(now_ms, "s")
+        self.rates.on_no_data(now_ms, "s")
         self.assertTrue(self.rates.is_available(now_ms + 1_000, "s"))
 
     def test_bytes_in_flight_are_counted_on_and_off(self):
