--- a/fireflyward/kept/_import.py
+++ b/fireflyward/kept/_import.py
@@ -32,7 +32,7 @@
 class ImportLimit(Protocol):
     """Until when an import may go on; it grows while blocks arrive."""
 
-    def give_up_ms(self) -> float: ...
+    def abort_at_ms(self) -> float: ...
 
     def on_blocks(self, blocks: int) -> None: ...
 
@@ -158,7 +158,7 @@
         return report
 
     def _left_ms(self, limit: ImportLimit) -> float:
-        return max(0.0, limit.give_up_ms() - self._clock.now_ms())
+        return max(0.0, limit.abort_at_ms() - self._clock.now_ms())
 
     def _ended(self, blocks: int, bytes_read: int, reason: MissReason) -> Imported:
         self.misses[reason] += 1
--- a/fireflyward/placement/_watch.py
+++ b/fireflyward/placement/_watch.py
@@ -14,10 +14,10 @@
     computing the rest then ends at most ``allowance_ms`` later than computing all.
 
     >>> watch = ImportWatch(1_000, Import("s", 0, 10, 16.0, 40.0))
-    >>> watch.give_up_ms()
+    >>> watch.abort_at_ms()
     1040.0
     >>> watch.on_blocks(2)
-    >>> watch.give_up_ms()
+    >>> watch.abort_at_ms()
     1072.0
     """
 
@@ -36,7 +36,7 @@
         """Count blocks that arrived and were verified."""
         self._arrived += blocks
 
-    def give_up_ms(self) -> float:
+    def abort_at_ms(self) -> float:
         """Return the time after which the prompt is sent with what has arrived."""
         computing_ms = self._arrived * self._plan.block_ms
         allowed_ms = self._queue_ms + computing_ms + self._plan.allowance_ms
--- a/fireflyward/workloads/_import.py
+++ b/fireflyward/workloads/_import.py
@@ -187,11 +187,11 @@
     def _look_at_the_time(self) -> None:
         if self._is_over:
             return
-        give_up_ms = self._watch.give_up_ms()
-        if give_up_ms <= self._clock.exact_ms:
+        abort_at_ms = self._watch.abort_at_ms()
+        if abort_at_ms <= self._clock.exact_ms:
             self._finish()
         else:
-            self._clock.call_at(give_up_ms, self._look_at_the_time)
+            self._clock.call_at(abort_at_ms, self._look_at_the_time)
 
     def _finish(self) -> None:
         """Give back what is not needed, learn the rate, and go on."""
@@ -211,7 +211,7 @@
             )
         elif self._left:
             self._rates.on_no_data(self._clock.exact_ms, self._plan.store)
-        self._done(self._clock.exact_ms - self._watch.give_up_ms())
+        self._done(self._clock.exact_ms - self._watch.abort_at_ms())
 
 
 class ReplayExport:
--- a/tests/kept/kv_fixtures.py
+++ b/tests/kept/kv_fixtures.py
@@ -83,7 +83,7 @@
     at_ms: float
     blocks: int = 0
 
-    def give_up_ms(self) -> float:
+    def abort_at_ms(self) -> float:
         return self.at_ms
 
     def on_blocks(self, blocks: int) -> None:
--- a/tests/placement/test_watch.py
+++ b/tests/placement/test_watch.py
@@ -14,13 +14,13 @@
         after the plan was made. Cause: the prompt waited for blocks that never
         come."""
         watch = ImportWatch(0, Import("s", 0, 100, BLOCK_MS, ALLOWANCE_MS))
-        self.assertEqual(watch.give_up_ms(), ALLOWANCE_MS)
+        self.assertEqual(watch.abort_at_ms(), ALLOWANCE_MS)
         self.assertFalse(watch.is_whole())
 
     def test_queue_that_would_be_waited_for_anyway_is_not_lost_time(self):
         plan = Import("s", 0, 100, BLOCK_MS, ALLOWANCE_MS)
         watch = ImportWatch(0, plan, queue_ms=400)
-        self.assertEqual(watch.give_up_ms(), 400 + ALLOWANCE_MS)
+        self.assertEqual(watch.abort_at_ms(), 400 + ALLOWANCE_MS)
 
     @settings(derandomize=True, database=None, deadline=None)
     @given(st.lists(st.floats(0.1, 500), min_size=1, max_size=40))
@@ -30,8 +30,8 @@
         watch = ImportWatch(0, Import("s", 0, len(gaps), BLOCK_MS, ALLOWANCE_MS))
         now_ms, arrived = 0.0, 0
         for gap in gaps:
-            if now_ms + gap > watch.give_up_ms():
-                now_ms = watch.give_up_ms()
+            if now_ms + gap > watch.abort_at_ms():
+                now_ms = watch.abort_at_ms()
                 break
             now_ms += gap
             arrived += 1
