--- a/fireflyward/placement/__init__.py
+++ b/fireflyward/placement/__init__.py
@@ -17,7 +17,7 @@
 from ._returns import ReturnClass, ReturnTimes
 from ._sketch import FrequencySketch
 from ._space import Admit, Decline, StoreSpace
-from ._spread import anchor_key, home_store, spread
+from ._spread import anchor_key, preferred_store, spread
 from ._watch import ImportWatch
 
 __all__ = [
@@ -52,6 +52,6 @@
     "Transfer",
     "Urgency",
     "anchor_key",
-    "home_store",
+    "preferred_store",
     "spread",
 ]
--- a/fireflyward/placement/_spread.py
+++ b/fireflyward/placement/_spread.py
@@ -9,13 +9,13 @@
 _SECOND_COPY_WORTH = 0.02
 
 
-def home_store(key: str, stores: tuple[str, ...]) -> str:
+def preferred_store(key: str, stores: tuple[str, ...]) -> str:
     """Return the store of a key by rendezvous hashing.
 
     Every node computes the same without a message, and a store that comes or goes
     moves only what it holds itself.
 
-    >>> home_store("00ff", ("store-a",))
+    >>> preferred_store("00ff", ("store-a",))
     'store-a'
     """
     return max(stores, key=lambda name: rendezvous_rank(key, name))
@@ -33,7 +33,7 @@
     """
     if not stores:
         return []
-    home = home_store(anchor_key(block_keys), stores)
+    home = preferred_store(anchor_key(block_keys), stores)
     placed = []
     for offer in offers:
         placed.append((home, offer))
--- a/fireflyward/workloads/_node.py
+++ b/fireflyward/workloads/_node.py
@@ -14,7 +14,7 @@
     PromptSeen,
     StoredRun,
     Tier,
-    home_store,
+    preferred_store,
     spread,
 )
 from fireflyward.routing import Candidate, Router, RunShape
@@ -165,7 +165,7 @@
         if not keys:
             return
         owners = tuple(world.keeper_by_name)
-        owner = home_store(keys[min(_SESSION_BLOCK, len(keys) - 1)], owners)
+        owner = preferred_store(keys[min(_SESSION_BLOCK, len(keys) - 1)], owners)
         now_ms = world.clock.now_ms()
         seen = PromptSeen(
             prompt.account, keys, prompt.has_session, prompt.hinted_blocks
--- a/tests/placement/test_spread.py
+++ b/tests/placement/test_spread.py
@@ -1,6 +1,6 @@
 import unittest
 
-from fireflyward.placement import KeepOffer, Piece, anchor_key, home_store, spread
+from fireflyward.placement import KeepOffer, Piece, anchor_key, preferred_store, spread
 
 STORES = ("s-1", "s-2", "s-3")
 
@@ -16,7 +16,7 @@
     def test_prompt_has_one_home_and_shared_pieces_a_cheaper_copy_elsewhere(self):
         offers = [offer("aa", 0, True), offer("bb", 4), offer("cc", 8)]
         placed = spread(offers, KEYS, STORES)
-        home = home_store(anchor_key(KEYS), STORES)
+        home = preferred_store(anchor_key(KEYS), STORES)
         self.assertEqual({name for name, item in placed if item.reuses == 1.0}, {home})
         copies = [(name, item) for name, item in placed if name != home]
         self.assertEqual({item.piece.key for _, item in copies}, {"aa"})
@@ -32,8 +32,8 @@
 
     def test_taking_a_store_away_moves_only_its_own(self):
         for number in range(200):
-            before = home_store(f"{number:032x}", STORES)
-            after = home_store(f"{number:032x}", STORES[:2])
+            before = preferred_store(f"{number:032x}", STORES)
+            after = preferred_store(f"{number:032x}", STORES[:2])
             if before != "s-3":
                 self.assertEqual(before, after)
 
