--- a/fireflyward/placement/__init__.py
+++ b/fireflyward/placement/__init__.py
@@ -17,7 +17,7 @@
 from ._returns import ReturnClass, ReturnTimes
 from ._sketch import FrequencySketch
 from ._space import Admit, Decline, StoreSpace
-from ._spread import anchor_key, preferred_store, spread
+from ._spread import anchor_key, assign_stores, preferred_store
 from ._watch import ImportWatch
 
 __all__ = [
@@ -53,5 +53,5 @@
     "Urgency",
     "anchor_key",
     "preferred_store",
-    "spread",
+    "assign_stores",
 ]
--- a/fireflyward/placement/_spread.py
+++ b/fireflyward/placement/_spread.py
@@ -21,7 +21,7 @@
     return max(stores, key=lambda name: rendezvous_rank(key, name))
 
 
-def spread(
+def assign_stores(
     offers: list[KeepOffer], block_keys: tuple[str, ...], stores: tuple[str, ...]
 ) -> list[tuple[str, KeepOffer]]:
     """Return which store each offer goes to.
--- a/fireflyward/workloads/_node.py
+++ b/fireflyward/workloads/_node.py
@@ -14,8 +14,8 @@
     PromptSeen,
     StoredRun,
     Tier,
+    assign_stores,
     preferred_store,
-    spread,
 )
 from fireflyward.routing import Candidate, Router, RunShape
 from fireflyward.upstreams import Accepted, Finished, LoadReport, Piece
@@ -171,7 +171,7 @@
             prompt.account, keys, prompt.has_session, prompt.hinted_blocks
         )
         offers = world.keeper_by_name[owner].on_prompt(now_ms, seen)
-        for store_name, offer in spread(offers, keys, tuple(self._links)):
+        for store_name, offer in assign_stores(offers, keys, tuple(self._links)):
             store = self._links[store_name].store
             if offer.piece.key in store.published:
                 key = offer.piece.key
--- a/tests/placement/test_spread.py
+++ b/tests/placement/test_spread.py
@@ -1,6 +1,12 @@
 import unittest
 
-from fireflyward.placement import KeepOffer, Piece, anchor_key, preferred_store, spread
+from fireflyward.placement import (
+    KeepOffer,
+    Piece,
+    anchor_key,
+    assign_stores,
+    preferred_store,
+)
 
 STORES = ("s-1", "s-2", "s-3")
 
@@ -15,7 +21,7 @@
 class SpreadTests(unittest.TestCase):
     def test_prompt_has_one_home_and_shared_pieces_a_cheaper_copy_elsewhere(self):
         offers = [offer("aa", 0, True), offer("bb", 4), offer("cc", 8)]
-        placed = spread(offers, KEYS, STORES)
+        placed = assign_stores(offers, KEYS, STORES)
         home = preferred_store(anchor_key(KEYS), STORES)
         self.assertEqual({name for name, item in placed if item.reuses == 1.0}, {home})
         copies = [(name, item) for name, item in placed if name != home]
@@ -38,4 +44,4 @@
                 self.assertEqual(before, after)
 
     def test_without_stores_nothing_is_kept(self):
-        self.assertEqual(spread([offer("aa", 0)], KEYS, ()), [])
+        self.assertEqual(assign_stores([offer("aa", 0)], KEYS, ()), [])
