--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -29,7 +29,7 @@
     KnownPrefixes,
     Placement,
     PlacementCosts,
-    PromptSeen,
+    ServedPrompt,
     StoredRun,
     Tier,
 )
@@ -257,7 +257,7 @@
         shape = served.shape
         known = self.prefixes.known(self._clock.now_ms(), shape)
         kept = max((run.end for run in known.stored if not run.first), default=0)
-        seen = PromptSeen(
+        seen = ServedPrompt(
             shape.account,
             shape.block_keys,
             has_session=served.hint.has_session,
--- a/fireflyward/placement/__init__.py
+++ b/fireflyward/placement/__init__.py
@@ -1,7 +1,7 @@
 """Which way of serving a prompt gives its first token soonest, and what to keep."""
 
 from ._budget import BudgetAction, Dropped, Grant, LinkBudget, Transfer, Urgency
-from ._keep import PIECE_BLOCKS, KeepOffer, KeepPolicy, Piece, PromptSeen
+from ._keep import PIECE_BLOCKS, KeepOffer, KeepPolicy, Piece, ServedPrompt
 from ._placement import Placement, PlacementCosts, PrefixIndex
 from ._plans import (
     Estimate,
@@ -41,7 +41,7 @@
     "PlacementCosts",
     "Plan",
     "PrefixIndex",
-    "PromptSeen",
+    "ServedPrompt",
     "Recompute",
     "ReturnClass",
     "ReturnTimes",
--- a/fireflyward/placement/_keep.py
+++ b/fireflyward/placement/_keep.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromptSeen:
+class ServedPrompt:
     """A prompt that a replica has in its cache now.
 
     ``hinted_blocks`` leading blocks were named by the caller's ``keep`` hint;
@@ -72,7 +72,7 @@
         self._sketch = FrequencySketch(sketch_width)
         self.returns = ReturnTimes()
 
-    def on_prompt(self, now_ms: float, prompt: PromptSeen) -> list[KeepOffer]:
+    def on_prompt(self, now_ms: float, prompt: ServedPrompt) -> list[KeepOffer]:
         """Count a prompt's pieces and return those to export, best first.
 
         Of equal ones the earlier comes first, since a block is of no use without
--- a/fireflyward/workloads/_node.py
+++ b/fireflyward/workloads/_node.py
@@ -11,7 +11,7 @@
     KeepPolicy,
     Placement,
     PlacementCosts,
-    PromptSeen,
+    ServedPrompt,
     StoredRun,
     Tier,
     assign_stores,
@@ -167,7 +167,7 @@
         owners = tuple(world.keeper_by_name)
         owner = preferred_store(keys[min(_SESSION_BLOCK, len(keys) - 1)], owners)
         now_ms = world.clock.now_ms()
-        seen = PromptSeen(
+        seen = ServedPrompt(
             prompt.account, keys, prompt.has_session, prompt.hinted_blocks
         )
         offers = world.keeper_by_name[owner].on_prompt(now_ms, seen)
--- a/tests/placement/test_keep.py
+++ b/tests/placement/test_keep.py
@@ -1,7 +1,7 @@
 import hashlib
 import unittest
 
-from fireflyward.placement import PIECE_BLOCKS, KeepPolicy, PromptSeen
+from fireflyward.placement import PIECE_BLOCKS, KeepPolicy, ServedPrompt
 
 MINUTE_MS = 60_000.0
 
@@ -20,7 +20,7 @@
         self.clauses = chain("clauses", 16)
 
     def see(self, keys, account="a", now_ms=0.0, **options):
-        return self.policy.on_prompt(now_ms, PromptSeen(account, keys, **options))
+        return self.policy.on_prompt(now_ms, ServedPrompt(account, keys, **options))
 
     def test_shared_prefix_comes_before_tails_and_goes_to_every_store(self):
         for number in range(4):
