--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -26,9 +26,9 @@
     ImportWatch,
     KeepOffer,
     KeepPolicy,
-    KnownPrefixes,
     Placement,
     PlacementCosts,
+    PrefixLocations,
     ServedPrompt,
     StoredRun,
     Tier,
@@ -59,9 +59,9 @@
         self._router = router
         self.store_names: frozenset[str] = frozenset()
         self.followed: frozenset[str] = frozenset()
-        self._last: tuple[float, RunShape, KnownPrefixes] | None = None
+        self._last: tuple[float, RunShape, PrefixLocations] | None = None
 
-    def known(self, now_ms: float, shape: RunShape) -> KnownPrefixes:
+    def known(self, now_ms: float, shape: RunShape) -> PrefixLocations:
         """Return the replicas' and the stores' parts of a prompt.
 
         Routing asks once for each replica within one choice; the answer is worked
@@ -78,7 +78,7 @@
         await self._look_up.ask(shape.block_keys)
         self._last = None
 
-    def _find(self, shape: RunShape) -> KnownPrefixes:
+    def _find(self, shape: RunShape) -> PrefixLocations:
         sent = self._router.affinity.record.cached_tokens(shape.block_keys)
         held = {
             name: tokens // BLOCK_TOKENS
@@ -91,7 +91,7 @@
                 stored.append(StoredRun(run.holder, run.first, run.blocks))
             elif run.first == 0:
                 held[run.holder] = run.blocks
-        return KnownPrefixes(held, tuple(stored))
+        return PrefixLocations(held, tuple(stored))
 
     def start_of(self, shape: RunShape, plan: Import) -> int:
         """Return where the store's run begins that a plan is a part of."""
--- a/fireflyward/placement/__init__.py
+++ b/fireflyward/placement/__init__.py
@@ -6,8 +6,8 @@
 from ._plans import (
     Estimate,
     Import,
-    KnownPrefixes,
     Plan,
+    PrefixLocations,
     Recompute,
     Reuse,
     StoredRun,
@@ -33,7 +33,7 @@
     "ImportWatch",
     "KeepOffer",
     "KeepPolicy",
-    "KnownPrefixes",
+    "PrefixLocations",
     "LinkBudget",
     "LinkRates",
     "Piece",
--- a/fireflyward/placement/_placement.py
+++ b/fireflyward/placement/_placement.py
@@ -7,7 +7,7 @@
 from fireflyward.routing import Candidate, RunShape
 from fireflyward.upstreams import BLOCK_TOKENS
 
-from ._plans import Estimate, Import, KnownPrefixes, Plan, Recompute, Reuse, StoredRun
+from ._plans import Estimate, Import, Plan, PrefixLocations, Recompute, Reuse, StoredRun
 from ._rates import LinkRates
 
 _ALLOWED_LATENESS = 0.04
@@ -35,7 +35,7 @@
 class PrefixIndex(Protocol):
     """What knows where blocks are."""
 
-    def known(self, now_ms: float, shape: RunShape) -> KnownPrefixes: ...
+    def known(self, now_ms: float, shape: RunShape) -> PrefixLocations: ...
 
 
 class Placement:
@@ -57,7 +57,7 @@
     def __init__(self, costs: PlacementCosts, index: PrefixIndex) -> None:
         self._costs = costs
         self._index = index
-        self._known: tuple[float, RunShape, KnownPrefixes] | None = None
+        self._known: tuple[float, RunShape, PrefixLocations] | None = None
         self._run_ms_by_replica: dict[str, float] = {}
         self._starts_by_replica: dict[str, deque[tuple[float, float]]] = {}
         self.links = LinkRates(costs.link_bytes_per_ms)
@@ -132,7 +132,7 @@
             starts.popleft()
         return sum(compute_ms for _, compute_ms in starts)
 
-    def _look_up(self, now_ms: float, shape: RunShape) -> KnownPrefixes:
+    def _look_up(self, now_ms: float, shape: RunShape) -> PrefixLocations:
         """Ask the index once for all candidates of one choice."""
         if self._known is None or self._known[:2] != (now_ms, shape):
             self._known = now_ms, shape, self._index.known(now_ms, shape)
--- a/fireflyward/placement/_plans.py
+++ b/fireflyward/placement/_plans.py
@@ -31,13 +31,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownPrefixes:
+class PrefixLocations:
     """What the index says of one prompt: a hint, which may be late or wrong.
 
     ``held_by_replica`` gives the length in blocks of the longest prefix that each
     replica's own cache has; a replica that is missing there has none.
 
-    >>> KnownPrefixes({"calc-1": 12}).held("calc-2")
+    >>> PrefixLocations({"calc-1": 12}).held("calc-2")
     0
     """
 
--- a/fireflyward/workloads/_index.py
+++ b/fireflyward/workloads/_index.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Iterable
 
-from fireflyward.placement import PIECE_BLOCKS, KnownPrefixes, StoredRun, Tier
+from fireflyward.placement import PIECE_BLOCKS, PrefixLocations, StoredRun, Tier
 from fireflyward.routing import RunShape
 from fireflyward.upstreams import CacheChange
 
@@ -43,12 +43,12 @@
         if len(told) < len(events.events):
             self._clock.call_in(_RESYNC_MS, lambda: self._resync(engine))
 
-    def known(self, now_ms: float, shape: RunShape) -> KnownPrefixes:
+    def known(self, now_ms: float, shape: RunShape) -> PrefixLocations:
         """Return what is known of a prompt."""
         keys = shape.block_keys
         held = {name: _prefix(keys, known) for name, known in self._held.items()}
         stored = [run for store in self._stores for run in _runs(store, keys)]
-        return KnownPrefixes(held, tuple(stored))
+        return PrefixLocations(held, tuple(stored))
 
     def _resync(self, engine: ReplayEngine) -> None:
         self._held[engine.name] = set(engine.model.cache.keys())
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -3,9 +3,9 @@
 
 from fireflyward.placement import (
     Import,
-    KnownPrefixes,
     Placement,
     PlacementCosts,
+    PrefixLocations,
     Recompute,
     Reuse,
     StoredRun,
@@ -28,7 +28,7 @@
 
 class FixedIndex:
     def __init__(self, held=None, stored=()):
-        self.prefixes = KnownPrefixes(held or {}, tuple(stored))
+        self.prefixes = PrefixLocations(held or {}, tuple(stored))
 
     def known(self, now_ms, shape):
         return self.prefixes
