--- a/fireflyward/placement/_plans.py
+++ b/fireflyward/placement/_plans.py
@@ -34,19 +34,19 @@
 class PrefixLocations:
     """What the index says of one prompt: a hint, which may be late or wrong.
 
-    ``held_by_replica`` gives the length in blocks of the longest prefix that each
+    ``cached_blocks_by_replica`` gives the length in blocks of the longest prefix that each
     replica's own cache has; a replica that is missing there has none.
 
     >>> PrefixLocations({"calc-1": 12}).held("calc-2")
     0
     """
 
-    held_by_replica: dict[str, int] = field(default_factory=dict)
+    cached_blocks_by_replica: dict[str, int] = field(default_factory=dict)
     stored: tuple[StoredRun, ...] = ()
 
     def held(self, replica: str) -> int:
         """Return how many leading blocks a replica has."""
-        return self.held_by_replica.get(replica, 0)
+        return self.cached_blocks_by_replica.get(replica, 0)
 
 
 @dataclass(frozen=True, slots=True)
