--- a/fireflyward/bench/_load_mesh.py
+++ b/fireflyward/bench/_load_mesh.py
@@ -147,7 +147,7 @@
     @_perform.register
     def _(self, action: Send, name: str) -> None:
         for peer in action.peers:
-            frame = self._frame(name, action.news)
+            frame = self._frame(name, action.update)
             node = self.node_by_name[name]
             node.datagrams += 1
             node.sent_bytes += len(frame)
--- a/fireflyward/daemon/_load_duty.py
+++ b/fireflyward/daemon/_load_duty.py
@@ -128,7 +128,7 @@
         for name in action.peers:
             member = self._members.get(name)
             if member is not None:
-                self._link.send(member.address, _KIND, action.news)
+                self._link.send(member.address, _KIND, action.update)
 
     async def _poll(self, name: str) -> None:
         engine = self._engine_by_name.get(name)
--- a/fireflyward/routing/_load_sharing.py
+++ b/fireflyward/routing/_load_sharing.py
@@ -39,7 +39,7 @@
     """Send a datagram to some peers."""
 
     peers: tuple[str, ...]
-    news: Any
+    update: Any
 
 
 SharingAction = Poll | Send
