--- a/fireflyward/bench/_shares_mesh.py
+++ b/fireflyward/bench/_shares_mesh.py
@@ -44,7 +44,7 @@
 
     def allowed(self, name: str, account: str) -> int:
         """Return a node's part of the limit."""
-        return self.shares_by_name[name].allowed(self.now_ms, account, self.limit)
+        return self.shares_by_name[name].local_limit(self.now_ms, account, self.limit)
 
     def ask(self, name: str, account: str) -> bool:
         """Let one request come in, if the node's part allows it."""
--- a/fireflyward/limits/_account_shares.py
+++ b/fireflyward/limits/_account_shares.py
@@ -71,7 +71,7 @@
 
     >>> shares = AccountShares("a", owner_of=lambda account: "b")
     >>> shares.set_nodes(4)
-    >>> shares.allowed(0, "account", 100)
+    >>> shares.local_limit(0, "account", 100)
     25
     """
 
@@ -98,7 +98,7 @@
         """Take the number of live nodes of the domain."""
         self._nodes = max(1, nodes)
 
-    def allowed(self, now_ms: int, account: str, limit: int) -> int:
+    def local_limit(self, now_ms: int, account: str, limit: int) -> int:
         """Return how many requests an account may have at this node now.
 
         It is 1 at least, so a limit smaller than the number of nodes holds only
--- a/fireflyward/limits/_gate.py
+++ b/fireflyward/limits/_gate.py
@@ -79,7 +79,7 @@
         now_ms = self._clock.now_ms()
         if self._shares is None:
             return self._admission.enter(now_ms, ask)
-        part = self._shares.allowed(now_ms, ask.account, ask.limit)
+        part = self._shares.local_limit(now_ms, ask.account, ask.limit)
         result = self._admission.enter(now_ms, replace(ask, limit=part))
         if isinstance(result, NotRun) and result.reason is Reason.OVER_LIMIT:
             self._shares.on_rejected(ask.account)
--- a/tests/limits/test_account_shares.py
+++ b/tests/limits/test_account_shares.py
@@ -67,7 +67,7 @@
     def test_limit_smaller_than_the_domain_lets_one_in_at_each_node(self):
         domain = SharesMesh(9)
         shares = domain.shares_by_name[domain.names[3]]
-        self.assertEqual(shares.allowed(0, ACCOUNT, 2), 1)
+        self.assertEqual(shares.local_limit(0, ACCOUNT, 2), 1)
 
 
 class AccountSharesMachine(RuleBasedStateMachine):
