--- a/fireflyward/placement/_budget.py
+++ b/fireflyward/placement/_budget.py
@@ -84,7 +84,7 @@
         """Return how many transfers of an urgency wait."""
         return sum(len(queue) for queue in self._waiting[urgency].values())
 
-    def ask(self, transfer: Transfer) -> list[BudgetAction]:
+    def request(self, transfer: Transfer) -> list[BudgetAction]:
         """Queue a transfer; return what may begin or is dropped now."""
         if (
             transfer.urgency is Urgency.EXPORT
--- a/fireflyward/workloads/_import.py
+++ b/fireflyward/workloads/_import.py
@@ -50,7 +50,7 @@
         number = next(self._numbers)
         self._work[number] = work
         transfer = Transfer(number, urgency, self._piece_bytes, account)
-        self._perform(self._budget.ask(transfer))
+        self._perform(self._budget.request(transfer))
         return number
 
     def end(self, number: int) -> None:
--- a/tests/placement/test_budget.py
+++ b/tests/placement/test_budget.py
@@ -20,9 +20,9 @@
         self.budget = LinkBudget(LIMIT)
 
     def test_import_of_a_waiting_caller_goes_before_prefetch_and_export(self):
-        self.budget.ask(transfer(1, Urgency.IMPORT, LIMIT))
+        self.budget.request(transfer(1, Urgency.IMPORT, LIMIT))
         for number, urgency in enumerate(reversed(Urgency), start=2):
-            self.assertEqual(self.budget.ask(transfer(number, urgency, LIMIT)), [])
+            self.assertEqual(self.budget.request(transfer(number, urgency, LIMIT)), [])
         self.assertEqual(granted(self.budget.on_end(1)), [4])
         self.assertEqual(granted(self.budget.on_end(4)), [3])
         self.assertEqual(granted(self.budget.on_end(3)), [2])
@@ -32,15 +32,17 @@
         new prompts are exported; a known one returns. Cause: its import stood
         behind the exports on the link."""
         for number in range(100):
-            self.budget.ask(transfer(number, Urgency.EXPORT))
+            self.budget.request(transfer(number, Urgency.EXPORT))
         self.assertEqual(self.budget.in_flight_bytes, LIMIT // 2)
-        self.assertEqual(granted(self.budget.ask(transfer(200, Urgency.IMPORT))), [200])
+        self.assertEqual(
+            granted(self.budget.request(transfer(200, Urgency.IMPORT))), [200]
+        )
 
     def test_accounts_take_turns(self):
-        self.budget.ask(transfer(0, Urgency.IMPORT, LIMIT))
+        self.budget.request(transfer(0, Urgency.IMPORT, LIMIT))
         for number in range(1, 4):
-            self.budget.ask(transfer(number, Urgency.IMPORT, LIMIT, "large"))
-        self.budget.ask(transfer(9, Urgency.IMPORT, LIMIT, "small"))
+            self.budget.request(transfer(number, Urgency.IMPORT, LIMIT, "large"))
+        self.budget.request(transfer(9, Urgency.IMPORT, LIMIT, "small"))
         order = []
         ended = 0
         while actions := self.budget.on_end(ended):
@@ -49,18 +51,18 @@
         self.assertEqual(order, [1, 9, 2, 3])
 
     def test_withdrawn_transfer_is_never_granted(self):
-        self.budget.ask(transfer(1, Urgency.IMPORT, LIMIT))
-        self.budget.ask(transfer(2, Urgency.IMPORT, LIMIT))
+        self.budget.request(transfer(1, Urgency.IMPORT, LIMIT))
+        self.budget.request(transfer(2, Urgency.IMPORT, LIMIT))
         self.budget.withdraw(2)
         self.assertEqual(self.budget.on_end(1), [])
 
     def test_exports_beyond_the_queue_are_dropped_and_imports_never(self):
         actions = []
         for number in range(2_000):
-            actions += self.budget.ask(transfer(number, Urgency.EXPORT, LIMIT))
+            actions += self.budget.request(transfer(number, Urgency.EXPORT, LIMIT))
         self.assertTrue(any(isinstance(action, Dropped) for action in actions))
         self.assertLess(self.budget.waiting(Urgency.EXPORT), 2_000)
-        actions = self.budget.ask(transfer(3_000, Urgency.IMPORT, LIMIT))
+        actions = self.budget.request(transfer(3_000, Urgency.IMPORT, LIMIT))
         self.assertEqual(actions, [])
         self.assertEqual(self.budget.waiting(Urgency.IMPORT), 1)
 
@@ -109,7 +111,7 @@
                 take(budget.on_end(ended))
             elif event is not None:
                 asked[number] = Transfer(number, *event)
-                take(budget.ask(asked[number]))
+                take(budget.request(asked[number]))
         while in_flight:
             ended = next(iter(in_flight))
             del in_flight[ended]
