--- a/fireflyward/placement/_budget.py
+++ b/fireflyward/placement/_budget.py
@@ -105,7 +105,7 @@
             self._background_bytes -= transfer.size_bytes
         return self._grant()
 
-    def withdraw(self, transfer_id: int) -> None:
+    def cancel(self, transfer_id: int) -> None:
         """Forget a waiting transfer that nobody wants any more."""
         for queues in self._waiting.values():
             for account, queue in list(queues.items()):
--- a/fireflyward/workloads/_import.py
+++ b/fireflyward/workloads/_import.py
@@ -62,7 +62,7 @@
         if self._work.pop(number, None) is None:
             self.end(number)
         else:
-            self._budget.withdraw(number)
+            self._budget.cancel(number)
 
     def _perform(self, actions: list[BudgetAction]) -> None:
         for action in actions:
--- a/tests/placement/test_budget.py
+++ b/tests/placement/test_budget.py
@@ -53,7 +53,7 @@
     def test_withdrawn_transfer_is_never_granted(self):
         self.budget.request(transfer(1, Urgency.IMPORT, LIMIT))
         self.budget.request(transfer(2, Urgency.IMPORT, LIMIT))
-        self.budget.withdraw(2)
+        self.budget.cancel(2)
         self.assertEqual(self.budget.on_end(1), [])
 
     def test_exports_beyond_the_queue_are_dropped_and_imports_never(self):
