--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -61,7 +61,7 @@
         self.followed: frozenset[str] = frozenset()
         self._last: tuple[float, RunShape, PrefixLocations] | None = None
 
-    def known(self, now_ms: float, shape: RunShape) -> PrefixLocations:
+    def locate(self, now_ms: float, shape: RunShape) -> PrefixLocations:
         """Return the replicas' and the stores' parts of a prompt.
 
         Routing asks once for each replica within one choice; the answer is worked
@@ -255,7 +255,7 @@
 
     async def _export_prompt(self, served: _Served) -> None:
         shape = served.shape
-        known = self.prefixes.known(self._clock.now_ms(), shape)
+        known = self.prefixes.locate(self._clock.now_ms(), shape)
         kept = max((run.end for run in known.stored if not run.first), default=0)
         seen = ServedPrompt(
             shape.account,
--- a/fireflyward/placement/_placement.py
+++ b/fireflyward/placement/_placement.py
@@ -35,7 +35,7 @@
 class PrefixIndex(Protocol):
     """What knows where blocks are."""
 
-    def known(self, now_ms: float, shape: RunShape) -> PrefixLocations: ...
+    def locate(self, now_ms: float, shape: RunShape) -> PrefixLocations: ...
 
 
 class Placement:
@@ -135,7 +135,7 @@
     def _look_up(self, now_ms: float, shape: RunShape) -> PrefixLocations:
         """Ask the index once for all candidates of one choice."""
         if self._known is None or self._known[:2] != (now_ms, shape):
-            self._known = now_ms, shape, self._index.known(now_ms, shape)
+            self._known = now_ms, shape, self._index.locate(now_ms, shape)
         return self._known[2]
 
     def _importing(
--- a/fireflyward/workloads/_index.py
+++ b/fireflyward/workloads/_index.py
@@ -43,7 +43,7 @@
         if len(told) < len(events.events):
             self._clock.call_in(_RESYNC_MS, lambda: self._resync(engine))
 
-    def known(self, now_ms: float, shape: RunShape) -> PrefixLocations:
+    def locate(self, now_ms: float, shape: RunShape) -> PrefixLocations:
         """Return what is known of a prompt."""
         keys = shape.block_keys
         held = {name: _prefix(keys, known) for name, known in self._held.items()}
--- a/fireflyward/workloads/_node.py
+++ b/fireflyward/workloads/_node.py
@@ -133,7 +133,7 @@
         attempt.send()
 
     def _tier(self, plan: Import, shape: RunShape) -> Tier:
-        known = self._world.index.known(self._world.clock.now_ms(), shape)
+        known = self._world.index.locate(self._world.clock.now_ms(), shape)
         return next((run.tier for run in known.stored if _is_in(plan, run)), Tier.DISK)
 
     def sent(self, replica: str) -> None:
--- a/tests/daemon/test_kept_duty.py
+++ b/tests/daemon/test_kept_duty.py
@@ -82,7 +82,7 @@
         await node.kept.read_events()
         await node.kept.read_listings()
         shape = RunShape("bridge-team", "clauses", "v1", 8_000, self.keys())
-        known = node.kept.work.prefixes.known(node.clock.now_ms(), shape)
+        known = node.kept.work.prefixes.locate(node.clock.now_ms(), shape)
         self.assertEqual(known.cached_blocks_by_replica, {})
         self.assertGreaterEqual(known.stored[0].blocks, 96)
         await self.load_everywhere(node)
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -30,7 +30,7 @@
     def __init__(self, held=None, stored=()):
         self.prefixes = PrefixLocations(held or {}, tuple(stored))
 
-    def known(self, now_ms, shape):
+    def locate(self, now_ms, shape):
         return self.prefixes
 
 
