--- a/fireflyward/forwarding/_run.py
+++ b/fireflyward/forwarding/_run.py
@@ -367,7 +367,7 @@
         return self._due_ms - self._clock.now_ms()
 
     def _take_budget(self) -> bool:
-        return self._tools.budget.take(self._clock.now_ms(), self._service)
+        return self._tools.budget.try_acquire(self._clock.now_ms(), self._service)
 
 
 def _says_not_run(answer: WholeAnswer) -> bool:
--- a/fireflyward/retries/_budget.py
+++ b/fireflyward/retries/_budget.py
@@ -28,7 +28,7 @@
 
     >>> budget = RetryBudget(ratio=0.2, extra=10, window_ms=10_000)
     >>> budget.set_nodes(8)
-    >>> budget.take(0, "service"), budget.take(0, "service")
+    >>> budget.try_acquire(0, "service"), budget.try_acquire(0, "service")
     (True, False)
     """
 
@@ -56,7 +56,7 @@
         counted = self._at(now_ms, service)
         counted.first_ms.append(now_ms)
 
-    def take(self, now_ms: int, service: str) -> bool:
+    def try_acquire(self, now_ms: int, service: str) -> bool:
         """Count a repeated send, or return False where the budget is spent."""
         counted = self._at(now_ms, service)
         if len(counted.repeat_ms) + 1 > self._allowed(counted):
--- a/tests/retries/test_budget.py
+++ b/tests/retries/test_budget.py
@@ -17,19 +17,19 @@
             budget.set_nodes(nodes)
             for number in range(requests):
                 budget.on_request(number, "s")
-                repeats += budget.take(number, "s")
+                repeats += budget.try_acquire(number, "s")
         self.assertLessEqual(repeats, 0.2 * nodes * requests + 58)
         self.assertGreater(repeats, 0.1 * nodes * requests)
 
     def test_the_window_slides(self):
         budget = RetryBudget(ratio=0.0, extra=10, window_ms=1_000)
         budget.set_nodes(8)
-        self.assertTrue(budget.take(0, "s"))
-        self.assertFalse(budget.take(999, "s"))
-        self.assertTrue(budget.take(1_000, "s"))
+        self.assertTrue(budget.try_acquire(0, "s"))
+        self.assertFalse(budget.try_acquire(999, "s"))
+        self.assertTrue(budget.try_acquire(1_000, "s"))
 
     def test_services_do_not_share(self):
         budget = RetryBudget(ratio=0.0, extra=10, window_ms=1_000)
         budget.set_nodes(8)
-        self.assertTrue(budget.take(0, "s"))
-        self.assertTrue(budget.take(0, "other"))
+        self.assertTrue(budget.try_acquire(0, "s"))
+        self.assertTrue(budget.try_acquire(0, "other"))
