--- a/fireflyward/routing/__init__.py
+++ b/fireflyward/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing the replica that serves a run."""
+"""Chooses the replica that serves a run, and collects the loads for the choice."""
 
 from ._affinity import PrefixAffinity, PrefixRecord, rendezvous_order
 from ._candidate import Candidate, RunShape
--- a/fireflyward/routing/_candidate.py
+++ b/fireflyward/routing/_candidate.py
@@ -1,4 +1,4 @@
-"""What a node knows of one replica, and how old it is."""
+"""The state of one replica as routing sees it, with the age of that state."""
 
 import math
 from dataclasses import dataclass, field
@@ -6,21 +6,22 @@
 from fireflyward.upstreams import LoadReport
 
 DEFAULT_MS_PER_TOKEN = 0.05
-_REPORT_SHARE = 0.25
-_REPORT_LIFE_MS = 100.0
-_RATE_DOWN = 0.3
-_RATE_UP = 0.005
-_LEAST_TOKENS_TO_LEARN = 128
-_LEAST_MS_PER_TOKEN = 0.001
-_MOST_MS_PER_TOKEN = 10.0
+_REPORTED_BACKLOG_SHARE = 0.25
+_REPORT_DECAY_MS = 100.0
+_FASTER_SAMPLE_WEIGHT = 0.3
+_SLOWER_SAMPLE_WEIGHT = 0.005
+_MIN_SAMPLE_TOKENS = 128
+_MIN_MS_PER_TOKEN = 0.001
+_MAX_MS_PER_TOKEN = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunShape:
-    """What routing needs to know of a run.
+    """The properties of a run on which routing decides.
 
-    ``block_keys`` name the full blocks of the prompt, first to last; ``run_id``
-    links the choice with what the replica answers.
+    ``block_keys`` are the keys of the full blocks of the prompt, first to last.
+    ``run_id`` associates the choice of a replica with the events that the replica
+    sends for the run.
     """
 
     account: str
@@ -33,11 +34,11 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """One replica as this node knows it.
+    """A replica that may serve runs, with its last report and this node's counts.
 
-    ``pending_tokens`` are what this node's own runs without a first token yet
-    have to compute here; ``ms_per_token`` is the prefill speed as learnt from
-    first tokens.
+    ``pending_tokens`` is the number of prompt tokens that the replica still has to
+    compute for runs which this node sent and which have no first token yet.
+    ``ms_per_token`` is the prefill speed, measured from the times to first tokens.
     """
 
     name: str
@@ -51,15 +52,15 @@
     suspect_until_ms: int = 0
     failures: int = 0
     ms_per_token: float = DEFAULT_MS_PER_TOKEN
-    has_learnt_speed: bool = False
+    has_measured_speed: bool = False
     pending_tokens: float = 0.0
 
     def report_age_ms(self, now_ms: int) -> int:
-        """Return the age of what the last report describes."""
+        """Return the age of the state that the last report describes."""
         return now_ms - self.reported_at_ms
 
-    def take_report(self, reported_at_ms: int, report: LoadReport) -> bool:
-        """Keep a report unless a newer one is known; tell whether it was kept."""
+    def update_report(self, reported_at_ms: int, report: LoadReport) -> bool:
+        """Store a report unless a newer one is stored; return whether it was stored."""
         if self.report is not None and reported_at_ms < self.reported_at_ms:
             return False
         restarted = self.report is not None and report.epoch != self.report.epoch
@@ -70,29 +71,36 @@
         return True
 
     def backlog_tokens(self, now_ms: float) -> float:
-        """Return the tokens that a new run is taken to wait for here.
+        """Return the estimated number of tokens computed before a new run's.
 
-        This node's own runs count in full, since they are known exactly. What the
-        report adds counts for less the older it is, and never for more than a
-        quarter: all nodes see the same report, and if each acted on the whole of
-        it, they would together move several times the load that is out of balance,
-        and move it back on the next report. docs/design/routing.md has figures.
+        The tokens of this node's own runs are known exactly and count in full. The
+        tokens in the report count at most a quarter, and less the older the report
+        is: all nodes see the same report, and if each of them reacted to all of it,
+        they would together move several times the excess load, and move it back
+        with the next report. docs/design/routing.md has figures.
         """
         if self.report is None:
             return self.pending_tokens
-        faded = math.exp(-max(0.0, now_ms - self.reported_at_ms) / _REPORT_LIFE_MS)
-        believed = _REPORT_SHARE * faded * self.report.queued_prefill_tokens
-        return self.pending_tokens + believed
-
-    def learn_speed(self, elapsed_ms: float, tokens: float) -> None:
-        """Learn from the time to one first token and the tokens computed for it.
-
-        The time holds any wait behind other runs too, so the speed follows low
-        values quickly and high ones slowly: what is left is the pure prefill.
+        decay = math.exp(-max(0.0, now_ms - self.reported_at_ms) / _REPORT_DECAY_MS)
+        reported_tokens = (
+            _REPORTED_BACKLOG_SHARE * decay * self.report.queued_prefill_tokens
+        )
+        return self.pending_tokens + reported_tokens
+
+    def update_speed(self, elapsed_ms: float, tokens: float) -> None:
+        """Update the prefill speed from one first token and the tokens it needed.
+
+        The measured time also includes any wait behind other runs. The estimate
+        therefore follows lower samples quickly and higher samples slowly, so that
+        it approaches the time of the prefill alone.
         """
-        if tokens < _LEAST_TOKENS_TO_LEARN:
+        if tokens < _MIN_SAMPLE_TOKENS:
             return
-        seen = min(max(elapsed_ms / tokens, _LEAST_MS_PER_TOKEN), _MOST_MS_PER_TOKEN)
-        self.has_learnt_speed = True
-        rate = _RATE_DOWN if seen < self.ms_per_token else _RATE_UP
-        self.ms_per_token += rate * (seen - self.ms_per_token)
+        sample = min(max(elapsed_ms / tokens, _MIN_MS_PER_TOKEN), _MAX_MS_PER_TOKEN)
+        self.has_measured_speed = True
+        weight = (
+            _FASTER_SAMPLE_WEIGHT
+            if sample < self.ms_per_token
+            else _SLOWER_SAMPLE_WEIGHT
+        )
+        self.ms_per_token += weight * (sample - self.ms_per_token)
--- a/fireflyward/routing/_estimate.py
+++ b/fireflyward/routing/_estimate.py
@@ -1,20 +1,20 @@
-"""How long a replica would take to the first token of a run."""
+"""Estimates the time until a replica produces the first token of a run."""
 
 from typing import Protocol
 
 from ._affinity import PrefixAffinity
 from ._candidate import Candidate, RunShape
 
-_SLOT_COST_MS = 3.0
+_IN_FLIGHT_RUN_COST_MS = 3.0
 _COMPUTE_WEIGHT = 3.0
 
 
 class FirstTokenEstimate(Protocol):
-    """What ``Router`` needs to know of a candidate.
+    """The cost of a candidate, which ``Router`` minimizes.
 
-    The estimate is in milliseconds from now to the first token at the replica,
-    without the network, and is what routing minimizes. An implementation may add
-    what the run costs others, and may weigh an import of kept work.
+    The estimate is the time in milliseconds from now to the first token at the
+    replica, without network latency. An implementation may add the delay that the
+    run causes for other runs, and may consider an import of kept blocks.
     """
 
     def estimate_ms(
@@ -23,11 +23,12 @@
 
 
 class QueueEstimate:
-    """The wait behind other runs, and the prefill of what is not cached.
+    """Estimates the wait behind other runs and the prefill of uncached tokens.
 
-    Prefill counts four times: once for this run, and three times for those that
-    it makes wait, which at high load are several. A run therefore waits a little
-    for a replica that has its blocks, and everyone waits less.
+    The prefill counts four times: once for this run and three times for the runs
+    that it delays, of which there are several under high load. A run therefore
+    accepts a short wait for a replica that has its blocks cached, which shortens
+    the wait of all runs together.
     """
 
     __slots__ = ("_affinity",)
@@ -36,8 +37,11 @@
         self._affinity = affinity
 
     def estimate_ms(self, now_ms: int, candidate: Candidate, shape: RunShape) -> float:
-        cached = self._affinity.expected_tokens(shape).get(candidate.name, 0.0)
-        to_compute = max(1.0, shape.prompt_tokens - cached)
-        waiting = candidate.backlog_tokens(now_ms)
-        weighed = waiting + (1.0 + _COMPUTE_WEIGHT) * to_compute
-        return weighed * candidate.ms_per_token + _SLOT_COST_MS * candidate.in_flight
+        cached = self._affinity.estimate_cached_tokens(shape).get(candidate.name, 0.0)
+        uncached_tokens = max(1.0, shape.prompt_tokens - cached)
+        backlog_tokens = candidate.backlog_tokens(now_ms)
+        weighted_tokens = backlog_tokens + (1.0 + _COMPUTE_WEIGHT) * uncached_tokens
+        return (
+            weighted_tokens * candidate.ms_per_token
+            + _IN_FLIGHT_RUN_COST_MS * candidate.in_flight
+        )
--- a/fireflyward/routing/_router.py
+++ b/fireflyward/routing/_router.py
@@ -1,4 +1,4 @@
-"""The choice of a replica from what is known and how old it is."""
+"""Chooses the replica for each run from load reports and this node's own runs."""
 
 import math
 import random
@@ -19,37 +19,38 @@
 from ._candidate import Candidate, RunShape
 from ._estimate import FirstTokenEstimate, QueueEstimate
 
-_SUSPECT_MS = 2_000
-_MOST_SUSPECT_MS = 30_000
-_REPORT_LIMIT_MS = 3_000
-_MISSED_PERIODS = 5
-_REMOTE_DOMAIN_MS = 3.0
-_SPREAD_MS = 0.5
-_NEGLIGIBLE = 20.0
-_PENDING_LIMIT_MS = 60_000
-_REMEMBERED_LATE = 4_096
+_FIRST_SUSPICION_MS = 2_000
+_MAX_SUSPICION_MS = 30_000
+_MAX_REPORT_AGE_MS = 3_000
+_MAX_AGE_HALF_PERIODS = 5
+_REMOTE_DOMAIN_COST_MS = 3.0
+_RANDOM_CHOICE_SPREAD_MS = 0.5
+_MAX_WEIGHT_EXPONENT = 20.0
+_PENDING_EXPIRY_MS = 60_000
+_MAX_QUEUEING_DELAYS = 4_096
 
 
 class _Pending:
-    """A run between its choice and its first token."""
+    """A run for which a replica was chosen and which has no first token yet."""
 
-    __slots__ = ("chosen_ms", "name", "shape", "to_compute")
+    __slots__ = ("chosen_ms", "name", "shape", "uncached_tokens")
 
     def __init__(
-        self, name: str, chosen_ms: int, shape: RunShape, to_compute: float
+        self, name: str, chosen_ms: int, shape: RunShape, uncached_tokens: float
     ) -> None:
         self.name = name
         self.chosen_ms = chosen_ms
         self.shape = shape
-        self.to_compute = to_compute
+        self.uncached_tokens = uncached_tokens
 
 
 class Router:
-    """Decides without I/O: reports and results go in, choices come out.
+    """Chooses replicas from reports and the results of runs; does no I/O.
 
-    Each able replica has an estimated time to the first token. The least is taken,
-    and of those within about half a millisecond one at random, so that nodes which see
-    the same do not all choose alike.
+    The router estimates the time to the first token for each eligible replica and
+    chooses the replica with the lowest estimate. Among replicas within about half a
+    millisecond of it the choice is random, so that nodes which have the same reports
+    do not all choose the same replica.
 
     >>> router = Router("a", seed=1)
     >>> router.set_replicas([Candidate("r1", "a", ("m",))])
@@ -60,14 +61,14 @@
 
     __slots__ = (
         "_candidate_by_name",
-        "_doubted",
+        "_outdated",
         "_estimate",
         "_failure_domain",
-        "_late_by_run",
+        "_queueing_delay_ms_by_run",
         "_pending_by_run",
         "_random",
         "affinity",
-        "report_limit_ms",
+        "max_report_age_ms",
         "version_changes",
     )
 
@@ -81,69 +82,72 @@
     ) -> None:
         self.affinity = affinity or PrefixAffinity()
         self._estimate = estimate or QueueEstimate(self.affinity)
-        self.report_limit_ms = _REPORT_LIMIT_MS
+        self.max_report_age_ms = _MAX_REPORT_AGE_MS
         self.version_changes = 0
         self._failure_domain = failure_domain
         self._candidate_by_name: dict[str, Candidate] = {}
         self._pending_by_run: dict[str, _Pending] = {}
-        self._doubted: set[str] = set()
-        self._late_by_run: dict[str, float] = {}
+        self._outdated: set[str] = set()
+        self._queueing_delay_ms_by_run: dict[str, float] = {}
         self._random = random.Random(seed)
 
     def __repr__(self) -> str:
         return f"Router({self._failure_domain!r}, {len(self._candidate_by_name)})"
 
     def set_estimate(self, estimate: FirstTokenEstimate) -> None:
-        """Estimate by another rule from now on."""
+        """Replace the estimate of the time to the first token."""
         self._estimate = estimate
 
     def set_replicas(self, candidates: list[Candidate]) -> None:
-        """Take the replicas of a new bundle, keeping what is known of old ones."""
-        known = self._candidate_by_name
+        """Set the replicas of a new bundle; those already present keep their state."""
+        existing = self._candidate_by_name
         self._candidate_by_name = {
-            candidate.name: _merged(known.get(candidate.name), candidate)
+            candidate.name: _merge(existing.get(candidate.name), candidate)
             for candidate in candidates
         }
         names_by_model: dict[str, list[str]] = {}
         for candidate in candidates:
             for model in candidate.models:
                 names_by_model.setdefault(model, []).append(candidate.name)
-        self.affinity.set_names(names_by_model)
+        self.affinity.set_replicas(names_by_model)
 
     def set_report_period(self, period_ms: int) -> None:
-        """Take the time between two reports of a replica.
+        """Set the time between two reports of a replica.
 
-        Where many nodes share the polling, a report may be older than three
-        seconds without anything being wrong.
+        The maximum age of a trusted report is 2.5 periods, but at least three
+        seconds. If many nodes share the polling, a report may be older than three
+        seconds although nothing failed.
         """
-        self.report_limit_ms = max(_REPORT_LIMIT_MS, _MISSED_PERIODS * period_ms // 2)
+        self.max_report_age_ms = max(
+            _MAX_REPORT_AGE_MS, _MAX_AGE_HALF_PERIODS * period_ms // 2
+        )
 
     def names(self) -> tuple[str, ...]:
         """Return the names of all replicas."""
         return tuple(self._candidate_by_name)
 
     def candidate(self, name: str) -> Candidate | None:
-        """Return what is known of a replica."""
+        """Return the state of a replica, or None if it does not exist."""
         return self._candidate_by_name.get(name)
 
     def has_version(self, model: str, version: str) -> bool:
-        """Tell whether some replica is known to have a version of a model."""
+        """Return whether any replica's last report has a version of a model."""
         return any(
             candidate.version_by_model.get(model) == version
             for candidate in self._candidate_by_name.values()
         )
 
     def on_report(self, now_ms: int, name: str, report: LoadReport) -> None:
-        """Take a load report; one that describes an earlier time is dropped.
+        """Store a load report, unless it describes an earlier time than the last.
 
         A new epoch means that the replica was restarted: its cache is empty, and
-        what was suspected of the old process says nothing of the new one.
+        failures of the old process are no reason to suspect the new one.
         """
         candidate = self._candidate_by_name.get(name)
         if candidate is None:
             return
         before, versions = candidate.report, candidate.version_by_model
-        if not candidate.take_report(now_ms - report.age_ms, report):
+        if not candidate.update_report(now_ms - report.age_ms, report):
             return
         self.version_changes += versions != candidate.version_by_model
         if before is not None and before.epoch != report.epoch:
@@ -152,27 +156,28 @@
             candidate.failures = 0
 
     def on_leaving(self, name: str) -> None:
-        """Give a replica nothing new: the list, a peer or a refusal says so.
+        """Send no more runs to a replica that is leaving.
 
-        Only a report under a new epoch, after its restart, takes this back.
+        The replica list, another node or a rejected run reports it. Only a report
+        with a new epoch, sent after a restart, makes the replica eligible again.
         """
         candidate = self._candidate_by_name.get(name)
         if candidate is not None:
             candidate.leaving = True
 
     def on_start(self, name: str) -> None:
-        """Count a run that this node put on a replica."""
+        """Count a run that this node started on a replica."""
         if name in self._candidate_by_name:
             self._candidate_by_name[name].in_flight += 1
 
     def on_event(self, now_ms: int, name: str, run_id: str, event: EngineEvent) -> None:
-        """Learn from what a replica answers to a run that was chosen for it."""
+        """Update the replica's state from an event of a run that was sent to it."""
         candidate = self._candidate_by_name.get(name)
         if candidate is not None:
-            _learn(event, self, now_ms, candidate, run_id)
+            _apply_event(event, self, now_ms, candidate, run_id)
 
     def on_end(self, now_ms: int, name: str, *, failed: bool) -> None:
-        """Count a run off a replica, suspecting the replica if it failed."""
+        """Count a run as finished; suspect the replica if the run failed."""
         candidate = self._candidate_by_name.get(name)
         if candidate is None:
             return
@@ -181,46 +186,49 @@
             self.on_failure(now_ms, name)
 
     def on_failure(self, now_ms: int, name: str) -> None:
-        """Suspect a replica, for twice as long with each failure in a row."""
+        """Suspect a replica, twice as long after each consecutive failure."""
         candidate = self._candidate_by_name.get(name)
         if candidate is None:
             return
-        suspect_ms = min(_MOST_SUSPECT_MS, _SUSPECT_MS << min(candidate.failures, 8))
+        suspect_ms = min(
+            _MAX_SUSPICION_MS, _FIRST_SUSPICION_MS << min(candidate.failures, 8)
+        )
         candidate.failures += 1
         candidate.suspect_until_ms = now_ms + suspect_ms
 
     def choose(
         self, now_ms: int, shape: RunShape, *, without: frozenset[str] = frozenset()
     ) -> str | None:
-        """Return the replica for a run, or None if none can take it."""
-        able = [
+        """Return the replica for a run, or None if no replica is eligible."""
+        eligible = [
             candidate
             for candidate in self._candidate_by_name.values()
             if candidate.name not in without
             and not candidate.leaving
             and candidate.version_by_model.get(shape.model) == shape.version
         ]
-        pool = _most_trusted(now_ms, able, self.report_limit_ms)
+        pool = _most_trusted_candidates(now_ms, eligible, self.max_report_age_ms)
         if not pool:
             return None
-        chosen = self._draw(now_ms, pool, shape)
-        self._note_choice(now_ms, chosen, shape)
+        chosen = self._pick_replica(now_ms, pool, shape)
+        self._record_choice(now_ms, chosen, shape)
         return chosen.name
 
     def pop_queueing_delay_ms(self, run_id: str) -> float | None:
-        """Return by how much a run's first token came later than its prefill alone.
+        """Return and remove the time that a run waited in addition to its prefill.
 
-        It is infinite after a refusal for overload, None when nothing is known.
+        The delay is infinite if the replica rejected the run for overload, and None
+        if it was not measured.
         """
-        return self._late_by_run.pop(run_id, None)
+        return self._queueing_delay_ms_by_run.pop(run_id, None)
 
     def pop_outdated_replicas(self) -> set[str]:
-        """Return the replicas whose report proved wrong since the last call."""
-        doubted, self._doubted = self._doubted, set()
-        return doubted
+        """Return and clear the set of replicas whose report proved outdated."""
+        outdated, self._outdated = self._outdated, set()
+        return outdated
 
     def prefill_ms(self, shape: RunShape) -> float:
-        """Return the usual time to prefill a prompt of which nothing is cached."""
+        """Return the typical time to prefill a prompt without any cached tokens."""
         speeds = sorted(
             candidate.ms_per_token
             for candidate in self._candidate_by_name.values()
@@ -228,11 +236,18 @@
         )
         return shape.prompt_tokens * speeds[len(speeds) // 2] if speeds else 0.0
 
-    def _draw(self, now_ms: int, pool: list[Candidate], shape: RunShape) -> Candidate:
+    def _pick_replica(
+        self, now_ms: int, pool: list[Candidate], shape: RunShape
+    ) -> Candidate:
         costs = [self._cost_ms(now_ms, candidate, shape) for candidate in pool]
         least_ms = min(costs)
         weights = [
-            math.exp(-min(_NEGLIGIBLE, (cost_ms - least_ms) / _SPREAD_MS))
+            math.exp(
+                -min(
+                    _MAX_WEIGHT_EXPONENT,
+                    (cost_ms - least_ms) / _RANDOM_CHOICE_SPREAD_MS,
+                )
+            )
             for cost_ms in costs
         ]
         return self._random.choices(pool, weights)[0]
@@ -240,136 +255,139 @@
     def _cost_ms(self, now_ms: int, candidate: Candidate, shape: RunShape) -> float:
         remote = candidate.failure_domain != self._failure_domain
         estimate_ms = self._estimate.estimate_ms(now_ms, candidate, shape)
-        return estimate_ms + _REMOTE_DOMAIN_MS * remote
+        return estimate_ms + _REMOTE_DOMAIN_COST_MS * remote
 
-    def _note_choice(self, now_ms: int, chosen: Candidate, shape: RunShape) -> None:
-        cached = self.affinity.expected_tokens(shape).get(chosen.name, 0.0)
-        to_compute = max(1.0, shape.prompt_tokens - cached)
+    def _record_choice(self, now_ms: int, chosen: Candidate, shape: RunShape) -> None:
+        cached = self.affinity.estimate_cached_tokens(shape).get(chosen.name, 0.0)
+        uncached_tokens = max(1.0, shape.prompt_tokens - cached)
         self.affinity.record.add(chosen.name, shape.block_keys)
         if shape.run_id:
-            self._settle(shape.run_id)
+            self._remove_pending(shape.run_id)
             self._pending_by_run[shape.run_id] = _Pending(
-                chosen.name, now_ms, shape, to_compute
+                chosen.name, now_ms, shape, uncached_tokens
             )
-            chosen.pending_tokens += to_compute
-        self._settle_forgotten(now_ms)
+            chosen.pending_tokens += uncached_tokens
+        self._expire_pending(now_ms)
 
-    def _lend_speed(self, learnt: Candidate) -> None:
-        """Take a replica that has answered nothing yet for as fast as this one.
+    def _share_speed(self, measured: Candidate) -> None:
+        """Use a measured speed for the similar replicas that have none of their own.
 
-        With the default instead, a pool faster than that would keep to the first
-        replica that answered.
+        With the default speed instead, all runs of a pool that is faster than the
+        default would go to the first replica that had answered.
         """
         for candidate in self._candidate_by_name.values():
-            if not candidate.has_learnt_speed and candidate.models == learnt.models:
-                candidate.ms_per_token = learnt.ms_per_token
+            if not candidate.has_measured_speed and candidate.models == measured.models:
+                candidate.ms_per_token = measured.ms_per_token
 
-    def _settle(self, run_id: str) -> _Pending | None:
-        """Take a run off what its replica still has to compute."""
+    def _remove_pending(self, run_id: str) -> _Pending | None:
+        """Remove a run and subtract its tokens from its replica's pending tokens."""
         pending = self._pending_by_run.pop(run_id, None)
         candidate = self._candidate_by_name.get(pending.name) if pending else None
         if candidate is not None:
-            left = candidate.pending_tokens - pending.to_compute
-            candidate.pending_tokens = max(0.0, left)
+            remaining = candidate.pending_tokens - pending.uncached_tokens
+            candidate.pending_tokens = max(0.0, remaining)
         return pending
 
-    def _settle_forgotten(self, now_ms: int) -> None:
-        """Settle runs that were chosen for but of which nothing was heard again.
+    def _expire_pending(self, now_ms: int) -> None:
+        """Remove runs that are still pending long after their replica was chosen.
 
-        A run may end between its choice and its start. Its tokens would burden the
-        replica for ever, seen as a replica that gets no work; so they expire.
+        A run may stop after its replica was chosen and before it is started. Its
+        tokens would count as pending for ever, and the replica would get no runs.
         """
         for run_id, pending in list(self._pending_by_run.items())[:2]:
-            if now_ms - pending.chosen_ms > _PENDING_LIMIT_MS:
-                self._settle(run_id)
+            if now_ms - pending.chosen_ms > _PENDING_EXPIRY_MS:
+                self._remove_pending(run_id)
 
-    def _doubt(self, candidate: Candidate, pending: _Pending | None) -> None:
-        """Take a version back that a replica turns out not to have any more.
+    def _revoke_version(self, candidate: Candidate, pending: _Pending | None) -> None:
+        """Remove a version that a replica no longer has, contrary to its report.
 
-        Until its next report comes, every run of that version would go there and
-        be refused, seen as ``no_upstream`` while a rollout goes on.
+        Otherwise every run of that version would be sent there and be rejected
+        until the next report, and callers would get ``no_upstream`` during a rollout.
         """
-        self._doubted.add(candidate.name)
+        self._outdated.add(candidate.name)
         if pending is not None:
             versions = dict(candidate.version_by_model)
             versions.pop(pending.shape.model, None)
             candidate.version_by_model = versions
             self.version_changes += 1
 
-    def _note_late(self, run_id: str, late_ms: float) -> None:
-        if len(self._late_by_run) >= _REMEMBERED_LATE:
-            self._late_by_run.pop(next(iter(self._late_by_run)))
-        self._late_by_run[run_id] = late_ms
+    def _record_queueing_delay(self, run_id: str, queueing_delay_ms: float) -> None:
+        if len(self._queueing_delay_ms_by_run) >= _MAX_QUEUEING_DELAYS:
+            self._queueing_delay_ms_by_run.pop(
+                next(iter(self._queueing_delay_ms_by_run))
+            )
+        self._queueing_delay_ms_by_run[run_id] = queueing_delay_ms
 
 
-def _merged(known: Candidate | None, wanted: Candidate) -> Candidate:
-    """Keep what is known of a replica under what the new bundle says of it."""
-    if known is None:
-        return wanted
-    known.failure_domain = wanted.failure_domain
-    known.models = wanted.models
-    return known
+def _merge(existing: Candidate | None, configured: Candidate) -> Candidate:
+    """Apply the new bundle's settings to the state of an existing replica."""
+    if existing is None:
+        return configured
+    existing.failure_domain = configured.failure_domain
+    existing.models = configured.models
+    return existing
 
 
-def _most_trusted(
-    now_ms: int, able: list[Candidate], report_limit_ms: int
+def _most_trusted_candidates(
+    now_ms: int, eligible: list[Candidate], max_report_age_ms: int
 ) -> list[Candidate]:
-    """Return the replicas to choose from, the less trusted only if need be.
+    """Return the replicas with recent reports that are not suspected.
 
-    A replica without a report for so long may be leaving or gone without
-    this node having heard of it, so it gets new work only when no other is left.
+    If there are none, the function returns the suspected replicas with recent
+    reports, or else all. A replica without a recent report may have left without
+    this node having been informed, so it gets runs only if there is no other.
     """
     fresh = [
         candidate
-        for candidate in able
-        if candidate.report_age_ms(now_ms) <= report_limit_ms
+        for candidate in eligible
+        if candidate.report_age_ms(now_ms) <= max_report_age_ms
     ]
     unsuspected = [item for item in fresh if item.suspect_until_ms <= now_ms]
     if unsuspected:
         return unsuspected
-    return fresh or able
+    return fresh or eligible
 
 
 @singledispatch
-def _learn(
+def _apply_event(
     event: EngineEvent, router: Router, now_ms: int, candidate: Candidate, run_id: str
 ) -> None:
-    """Learn nothing from events that say nothing of a replica's load."""
+    """Ignore events that carry no information about a replica's load."""
 
 
-@_learn.register
+@_apply_event.register
 def _(
     event: Accepted, router: Router, now_ms: int, candidate: Candidate, run_id: str
 ) -> None:
-    """Correct the guess at what was cached by the replica's own word."""
+    """Replace the estimate of the cached tokens by the replica's own number."""
     candidate.failures = 0
     pending = router._pending_by_run.get(run_id)
     if pending is None or pending.name != candidate.name:
         return
-    router.affinity.on_cached(candidate.name, pending.shape, event.cached_tokens)
-    to_compute = max(1.0, pending.shape.prompt_tokens - event.cached_tokens)
-    candidate.pending_tokens += to_compute - pending.to_compute
-    pending.to_compute = to_compute
+    router.affinity.on_cached_tokens(candidate.name, pending.shape, event.cached_tokens)
+    uncached_tokens = max(1.0, pending.shape.prompt_tokens - event.cached_tokens)
+    candidate.pending_tokens += uncached_tokens - pending.uncached_tokens
+    pending.uncached_tokens = uncached_tokens
 
 
-@_learn.register
+@_apply_event.register
 def _(
     event: Piece, router: Router, now_ms: int, candidate: Candidate, run_id: str
 ) -> None:
-    """Learn the prefill speed from a first token."""
+    """Update the prefill speed from a first token."""
     if run_id not in router._pending_by_run:
         return
-    pending = router._settle(run_id)
+    pending = router._remove_pending(run_id)
     if pending.name == candidate.name and not event.offset:
         elapsed_ms = now_ms - pending.chosen_ms
-        candidate.learn_speed(elapsed_ms, pending.to_compute)
-        alone_ms = pending.to_compute * candidate.ms_per_token
-        router._note_late(run_id, elapsed_ms - alone_ms)
-        router._lend_speed(candidate)
+        candidate.update_speed(elapsed_ms, pending.uncached_tokens)
+        prefill_only_ms = pending.uncached_tokens * candidate.ms_per_token
+        router._record_queueing_delay(run_id, elapsed_ms - prefill_only_ms)
+        router._share_speed(candidate)
 
 
-@_learn.register(Finished)
-@_learn.register(Broken)
+@_apply_event.register(Finished)
+@_apply_event.register(Broken)
 def _(
     event: Finished | Broken,
     router: Router,
@@ -377,19 +395,19 @@
     candidate: Candidate,
     run_id: str,
 ) -> None:
-    router._settle(run_id)
+    router._remove_pending(run_id)
 
 
-@_learn.register
+@_apply_event.register
 def _(
     event: Refused, router: Router, now_ms: int, candidate: Candidate, run_id: str
 ) -> None:
-    """Act on a refusal at once, since the next report is still to come."""
-    pending = router._settle(run_id)
+    """Apply a rejection at once instead of waiting for the next report."""
+    pending = router._remove_pending(run_id)
     if event.reason is Reason.UNKNOWN_MODEL:
-        router._doubt(candidate, pending)
+        router._revoke_version(candidate, pending)
     if event.reason is Reason.STOPPING:
         candidate.leaving = True
     elif event.reason is Reason.OVERLOADED:
         router.on_failure(now_ms, candidate.name)
-        router._note_late(run_id, math.inf)
+        router._record_queueing_delay(run_id, math.inf)
--- a/tests/routing/test_affinity.py
+++ b/tests/routing/test_affinity.py
@@ -10,29 +10,29 @@
 
 
 class PrefixRecordTests(unittest.TestCase):
-    def test_longest_known_prefix_counts(self):
+    def test_longest_recorded_prefix_counts(self):
         record = PrefixRecord()
         record.add("r1", keys(10))
         record.add("r2", keys(4))
         self.assertEqual(record.cached_tokens(keys(20)), {"r1": 640, "r2": 256})
 
-    def test_another_prefix_is_not_known(self):
+    def test_unrecorded_prefix_has_no_cached_tokens(self):
         record = PrefixRecord()
         record.add("r1", keys(10))
         self.assertEqual(record.cached_tokens(keys(10, "b")), {})
 
-    def test_record_is_bounded_and_loses_the_oldest(self):
-        record = PrefixRecord(kept_entries=10)
+    def test_record_is_bounded_and_drops_the_oldest_entries(self):
+        record = PrefixRecord(max_entries=10)
         for number in range(100):
             record.add("r1", keys(4, str(number)))
             self.assertLessEqual(len(record), 10)
         self.assertEqual(record.cached_tokens(keys(4, "0")), {})
         self.assertEqual(record.cached_tokens(keys(4, "89")), {})
         for number in range(95, 100):
-            known = record.cached_tokens(keys(4, str(number)))
-            self.assertEqual(known, {"r1": 256})
+            cached = record.cached_tokens(keys(4, str(number)))
+            self.assertEqual(cached, {"r1": 256})
 
-    def test_forgotten_replica_is_in_no_entry(self):
+    def test_forgotten_replica_is_removed_from_all_entries(self):
         record = PrefixRecord()
         record.add("r1", keys(8))
         record.add("r2", keys(4))
@@ -41,11 +41,11 @@
 
 
 class RendezvousTests(unittest.TestCase):
-    def test_a_name_that_goes_moves_only_its_own_keys(self):
-        left = [name for name in NAMES if name != "r3"]
+    def test_removed_name_moves_only_its_own_keys(self):
+        remaining = [name for name in NAMES if name != "r3"]
         for number in range(300):
             before = rendezvous_order(str(number), NAMES)[0]
-            after = rendezvous_order(str(number), left)[0]
+            after = rendezvous_order(str(number), remaining)[0]
             if before != "r3":
                 self.assertEqual(after, before)
 
@@ -53,25 +53,25 @@
 class PrefixAffinityTests(unittest.TestCase):
     def setUp(self):
         self.affinity = PrefixAffinity()
-        self.affinity.set_names({"m": NAMES})
+        self.affinity.set_replicas({"m": NAMES})
 
     def shape(self, *, start="a"):
         return RunShape("account", "m", "v1", 1_000, keys(12, start))
 
-    def test_home_is_expected_to_hold_what_homes_turned_out_to_hold(self):
-        home = rendezvous_order(keys(12)[7], NAMES)[0]
-        before = self.affinity.expected_tokens(self.shape())[home]
+    def test_estimate_for_preferred_replica_follows_the_reported_share(self):
+        preferred = rendezvous_order(keys(12)[7], NAMES)[0]
+        before = self.affinity.estimate_cached_tokens(self.shape())[preferred]
         for _ in range(100):
-            self.affinity.on_cached(home, self.shape(), 1_000)
-        after = self.affinity.expected_tokens(self.shape())[home]
+            self.affinity.on_cached_tokens(preferred, self.shape(), 1_000)
+        after = self.affinity.estimate_cached_tokens(self.shape())[preferred]
         self.assertEqual(before, 500)
         self.assertGreater(after, 980)
 
-    def test_other_replicas_teach_nothing_of_homes(self):
+    def test_reports_of_other_replicas_do_not_change_the_share(self):
         last = rendezvous_order(keys(12)[7], NAMES)[-1]
-        self.affinity.on_cached(last, self.shape(), 0)
-        self.assertEqual(self.affinity.home_share, 0.5)
+        self.affinity.on_cached_tokens(last, self.shape(), 0)
+        self.assertEqual(self.affinity.preferred_cached_share, 0.5)
 
-    def test_prompt_without_a_full_block_has_no_home(self):
+    def test_prompt_without_a_full_block_has_no_preferred_replica(self):
         shape = RunShape("account", "m", "v1", 20)
-        self.assertEqual(self.affinity.expected_tokens(shape), {})
+        self.assertEqual(self.affinity.estimate_cached_tokens(shape), {})
