--- a/fireflyward/limits/__init__.py
+++ b/fireflyward/limits/__init__.py
@@ -1,4 +1,4 @@
-"""How much of each client account's work runs at once, and what waits for it."""
+"""Limits the requests of each client account and queues the others fairly."""
 
 from ._account_shares import (
     AccountShares,
--- a/fireflyward/limits/_admission.py
+++ b/fireflyward/limits/_admission.py
@@ -1,4 +1,4 @@
-"""Which requests go to the upstreams now, which wait, and which are refused."""
+"""Decides which requests are admitted, which wait and which are rejected."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,24 +9,25 @@
 from ._fair_queue import FairQueue, Waiter
 from ._window import Window
 
-_LEAST_RETRY_MS = 1_000
-_MOST_RETRY_MS = 30_000
-_MOST_WAITING = 4_096
-_RATE_MEMORY = 64
-_LARGEST_SHARE = 0.8
-_SHARED_FOR_MS = 10_000
-_SINGLES_BEYOND = 2
-_CROWD = 4
-_CROWDED_FOR_MS = 10_000
-_NEVER_MS = -_SHARED_FOR_MS
+_MIN_RETRY_MS = 1_000
+_MAX_RETRY_MS = 30_000
+_MAX_WAITING_REQUESTS = 4_096
+_RATE_SAMPLES = 64
+_MAX_WINDOW_SHARE = 0.8
+_OTHER_ACCOUNT_RECENT_MS = 10_000
+_LIGHT_REQUEST_WINDOWS = 2
+_MANY_WAITING_REQUESTS = 4
+_HEAVY_ACCOUNT_MS = 10_000
+_NEVER_MS = -_OTHER_ACCOUNT_RECENT_MS
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """A request as admission sees it: who, for which model, how much work.
+    """The properties of a request on which admission decides.
 
-    ``cost`` is in tokens; ``limit`` is how many requests the account may have
-    here at once; ``deadline_ms`` is when the caller stops waiting.
+    ``cost`` is in tokens. ``limit`` is the number of requests that the account may
+    have in flight at this node. ``deadline_ms`` is the time when the caller stops
+    waiting.
     """
 
     account: str
@@ -39,14 +40,14 @@
 
 @dataclass(slots=True)
 class Ticket:
-    """A request that waits or was admitted; the key to leave by.
+    """A request that waits or was admitted; the caller passes it to ``leave``.
 
-    ``is_beyond_share`` tells that its account lately kept several waiting, so that
-    it asks for more than its share; engines should put it behind the runs of
-    accounts that do not.
+    ``is_beyond_share`` is true if the account recently had several requests waiting,
+    that is, requested more than its share. Engines should run the request after those
+    of accounts that did not.
     """
 
-    ask: AdmissionRequest
+    request: AdmissionRequest
     waiter: Waiter
     reject_at_ms: int
     admitted_ms: int | None = None
@@ -60,63 +61,70 @@
 
 
 @dataclass(slots=True)
-class _Lane:
-    """What is kept for one model, since each has replicas of its own."""
+class _ModelState:
+    """The queue and window of one model; each model has its own replicas."""
 
     queue: FairQueue = field(default_factory=FairQueue)
     window: Window = field(default_factory=Window)
     ticket_by_waiter: dict[int, Ticket] = field(default_factory=dict)
     pending_by_account: dict[str, int] = field(default_factory=dict)
-    crowded_ms_by_account: dict[str, int] = field(default_factory=dict)
-    latest: tuple[str, int] = ("", _NEVER_MS)
-    latest_other: tuple[str, int] = ("", _NEVER_MS)
+    heavy_ms_by_account: dict[str, int] = field(default_factory=dict)
+    last_arrival: tuple[str, int] = ("", _NEVER_MS)
+    last_arrival_of_other: tuple[str, int] = ("", _NEVER_MS)
     admitted: deque[tuple[int, float]] = field(
-        default_factory=lambda: deque(maxlen=_RATE_MEMORY)
+        default_factory=lambda: deque(maxlen=_RATE_SAMPLES)
     )
 
     def pending(self) -> int:
         return sum(self.pending_by_account.values())
 
-    def see(self, now_ms: int, account: str) -> None:
-        """Remember the last request, and the last of another account than that.
+    def record_arrival(self, now_ms: int, account: str) -> None:
+        """Record a new request.
 
-        An account that keeps several waiting asks for more than its share.
+        ``last_arrival`` becomes this request; ``last_arrival_of_other`` is the last one
+        of another account. An account with several waiting requests is recorded as
+        heavy, which means that it requests more than its share.
         """
-        if self.queue.waiting_of(account) >= _CROWD:
-            self.crowded_ms_by_account[account] = now_ms
-        if account != self.latest[0]:
-            self.latest_other = self.latest
-        self.latest = account, now_ms
+        if self.queue.waiting_requests(account) >= _MANY_WAITING_REQUESTS:
+            self.heavy_ms_by_account[account] = now_ms
+        if account != self.last_arrival[0]:
+            self.last_arrival_of_other = self.last_arrival
+        self.last_arrival = account, now_ms
 
     def is_light(self, now_ms: int, account: str) -> bool:
-        """Tell whether an account has lately asked for less than its share."""
-        crowded_ms = self.crowded_ms_by_account.get(account)
-        if crowded_ms is None:
+        """Return whether an account has recently requested no more than its share."""
+        heavy_ms = self.heavy_ms_by_account.get(account)
+        if heavy_ms is None:
             return True
-        if now_ms - crowded_ms < _CROWDED_FOR_MS:
+        if now_ms - heavy_ms < _HEAVY_ACCOUNT_MS:
             return False
-        del self.crowded_ms_by_account[account]
+        del self.heavy_ms_by_account[account]
         return True
 
-    def other_seen_ms(self, account: str) -> int:
-        """Return when an account other than this one last asked."""
-        return (self.latest if self.latest[0] != account else self.latest_other)[1]
+    def last_other_arrival_ms(self, account: str) -> int:
+        """Return the time of the last request of any other account."""
+        return (
+            self.last_arrival
+            if self.last_arrival[0] != account
+            else self.last_arrival_of_other
+        )[1]
 
 
 class Admission:
-    """Decides without I/O; ``enter`` gives a ticket, ``decide`` settles tickets.
+    """Admits, queues or rejects requests; does no I/O.
 
-    A request is admitted when fewer runs wait for a first token than the learnt
-    window of its model holds. Otherwise it waits in the fair queue, for at most
-    ``queue_limit_ms`` and never past its deadline. If the queue would not reach it
-    by then, it is refused the moment it arrives.
+    ``enter`` returns a ticket for a request, and ``decide`` returns the tickets that
+    were admitted or rejected since. A request is admitted if the number of runs that
+    wait for a first token is below the adaptive window of its model. Otherwise it
+    waits in the fair queue, for ``queue_limit_ms`` at most and not past its deadline.
+    If it is not expected to be admitted by then, it is rejected on arrival.
     """
 
-    __slots__ = ("_in_flight_by_account", "_lane_by_model", "_queue_limit_ms")
+    __slots__ = ("_in_flight_by_account", "_state_by_model", "_queue_limit_ms")
 
     def __init__(self, *, queue_limit_ms: int = 2_000) -> None:
         self._queue_limit_ms = queue_limit_ms
-        self._lane_by_model: dict[str, _Lane] = {}
+        self._state_by_model: dict[str, _ModelState] = {}
         self._in_flight_by_account: dict[str, int] = {}
 
     def __repr__(self) -> str:
@@ -130,166 +138,185 @@
         """Return the number of an account's requests that wait or run."""
         return self._in_flight_by_account.get(account, 0)
 
-    def enter(self, now_ms: int, ask: AdmissionRequest) -> Ticket | NotRun:
-        """Count a request in, or say why it is refused at once."""
-        lane = self._lane_by_model.setdefault(ask.model, _Lane())
-        rejection = self._refusal(now_ms, lane, ask)
+    def enter(self, now_ms: int, request: AdmissionRequest) -> Ticket | NotRun:
+        """Add a request and return its ticket, or return why it is rejected at once."""
+        state = self._state_by_model.setdefault(request.model, _ModelState())
+        rejection = self._immediate_rejection(now_ms, state, request)
         if rejection:
             return rejection
-        reject_at_ms = min(now_ms + self._queue_limit_ms, ask.deadline_ms)
-        ticket = Ticket(ask, Waiter(ask.account, ask.weight, ask.cost), reject_at_ms)
-        lane.queue.push(ticket.waiter)
-        lane.ticket_by_waiter[id(ticket.waiter)] = ticket
-        lane.see(now_ms, ask.account)
-        self._in_flight_by_account[ask.account] = self.in_flight(ask.account) + 1
+        reject_at_ms = min(now_ms + self._queue_limit_ms, request.deadline_ms)
+        ticket = Ticket(
+            request, Waiter(request.account, request.weight, request.cost), reject_at_ms
+        )
+        state.queue.push(ticket.waiter)
+        state.ticket_by_waiter[id(ticket.waiter)] = ticket
+        state.record_arrival(now_ms, request.account)
+        self._in_flight_by_account[request.account] = (
+            self.in_flight(request.account) + 1
+        )
         return ticket
 
     def decide(self, now_ms: int) -> list[Ticket]:
-        """Return the tickets that are settled now: admitted, or refused as late."""
-        settled = []
-        for lane in self._lane_by_model.values():
-            settled.extend(self._refuse_late(now_ms, lane))
-            settled.extend(self._admit(now_ms, lane))
-        return settled
+        """Return the tickets admitted now or rejected after waiting too long."""
+        decided = []
+        for state in self._state_by_model.values():
+            decided.extend(self._reject_late(now_ms, state))
+            decided.extend(self._admit(now_ms, state))
+        return decided
 
     def on_first_token(
-        self, now_ms: int, ticket: Ticket, late_ms: float | None
+        self, now_ms: int, ticket: Ticket, queueing_delay_ms: float | None
     ) -> None:
-        """Take the end of a run's prefill, ``late_ms`` after it could have ended.
+        """Record the end of a run's prefill.
 
-        Of a run that failed nothing may be known; ``late_ms`` is then None.
+        ``queueing_delay_ms`` is the time that the run waited in addition to its
+        prefill. It may be None if the run failed.
         """
         if not ticket.is_pending:
             return
-        lane = self._lane_by_model[ticket.ask.model]
-        was_full = lane.pending() + 1 > lane.window.size
-        if late_ms is not None:
-            lane.window.on_first_token(now_ms, late_ms, was_full=was_full)
-        self._end_pending(lane, ticket)
+        state = self._state_by_model[ticket.request.model]
+        was_full = state.pending() + 1 > state.window.size
+        if queueing_delay_ms is not None:
+            state.window.on_first_token(now_ms, queueing_delay_ms, was_full=was_full)
+        self._remove_pending(state, ticket)
 
     def leave(self, ticket: Ticket) -> None:
-        """Count a request out, whether it ran, was refused or its caller went."""
-        lane = self._lane_by_model[ticket.ask.model]
-        if lane.ticket_by_waiter.pop(id(ticket.waiter), None):
-            lane.queue.remove(ticket.waiter)
-        self._end_pending(lane, ticket)
-        account = ticket.ask.account
-        left = self.in_flight(account) - 1
-        require(left >= 0, Invariant.IN_FLIGHT, "%s left once too often", account)
-        if left:
-            self._in_flight_by_account[account] = left
+        """Remove a request that finished, was rejected or lost its caller."""
+        state = self._state_by_model[ticket.request.model]
+        if state.ticket_by_waiter.pop(id(ticket.waiter), None):
+            state.queue.remove(ticket.waiter)
+        self._remove_pending(state, ticket)
+        account = ticket.request.account
+        remaining = self.in_flight(account) - 1
+        require(
+            remaining >= 0,
+            Invariant.IN_FLIGHT,
+            "%s left more often than it entered",
+            account,
+        )
+        if remaining:
+            self._in_flight_by_account[account] = remaining
         else:
             del self._in_flight_by_account[account]
 
-    def _refusal(
-        self, now_ms: int, lane: _Lane, ask: AdmissionRequest
+    def _immediate_rejection(
+        self, now_ms: int, state: _ModelState, request: AdmissionRequest
     ) -> NotRun | None:
-        in_flight = self.in_flight(ask.account)
-        if in_flight >= ask.limit:
-            detail = f"account {ask.account} has {in_flight} requests in flight here"
-            return NotRun(Reason.OVER_LIMIT, detail, _LEAST_RETRY_MS)
-        if ask.deadline_ms <= now_ms:
-            return NotRun(Reason.DEADLINE, "the deadline has passed", _LEAST_RETRY_MS)
-        wait_ms = self._wait_ms(now_ms, lane, ask)
-        if now_ms + wait_ms > ask.deadline_ms:
-            detail = f"its turn would come in {wait_ms:.0f} ms, after its deadline"
+        in_flight = self.in_flight(request.account)
+        if in_flight >= request.limit:
+            detail = (
+                f"account {request.account} has {in_flight} requests in flight here"
+            )
+            return NotRun(Reason.OVER_LIMIT, detail, _MIN_RETRY_MS)
+        if request.deadline_ms <= now_ms:
+            return NotRun(Reason.DEADLINE, "the deadline has passed", _MIN_RETRY_MS)
+        wait_ms = self._wait_ms(now_ms, state, request)
+        if now_ms + wait_ms > request.deadline_ms:
+            detail = f"the estimated wait of {wait_ms:.0f} ms exceeds the deadline"
             return NotRun(Reason.DEADLINE, detail, _retry_ms(wait_ms))
-        if wait_ms > self._queue_limit_ms or len(lane.queue) >= _MOST_WAITING:
-            detail = f"its turn would come in {wait_ms:.0f} ms"
+        if wait_ms > self._queue_limit_ms or len(state.queue) >= _MAX_WAITING_REQUESTS:
+            detail = f"the estimated wait is {wait_ms:.0f} ms"
             return NotRun(Reason.OVERLOADED, detail, _retry_ms(wait_ms))
         return None
 
-    def _wait_ms(self, now_ms: int, lane: _Lane, ask: AdmissionRequest) -> float:
-        """Return when the account's share of the recent rate reaches this request.
+    def _wait_ms(
+        self, now_ms: int, state: _ModelState, request: AdmissionRequest
+    ) -> float:
+        """Return the estimated wait, given the account's share of the recent rate.
 
-        The rate is that of the admissions since the queue was last empty; before
-        there are enough, nothing is known that would justify a refusal.
+        The rate is that of the admissions since the queue was last empty. With fewer
+        than 16 of them the estimate is 0, because so few do not justify a rejection.
         """
-        ahead = lane.queue.cost_of(ask.account)
-        if not ahead or len(lane.admitted) < _RATE_MEMORY // 4:
+        ahead = state.queue.waiting_cost(request.account)
+        if not ahead or len(state.admitted) < _RATE_SAMPLES // 4:
             return 0.0
-        span_ms = max(1, now_ms - lane.admitted[0][0])
-        rate = sum(cost for _, cost in lane.admitted) / span_ms
-        share = ask.weight / (ask.weight + lane.queue.weight_beside(ask.account))
+        span_ms = max(1, now_ms - state.admitted[0][0])
+        rate = sum(cost for _, cost in state.admitted) / span_ms
+        share = request.weight / (
+            request.weight + state.queue.weight_of_others(request.account)
+        )
         return ahead / (rate * share)
 
-    def _admit(self, now_ms: int, lane: _Lane) -> list[Ticket]:
+    def _admit(self, now_ms: int, state: _ModelState) -> list[Ticket]:
         admitted = []
-        while lane.queue:
-            waiter = self._next(now_ms, lane)
+        while state.queue:
+            waiter = self._next(now_ms, state)
             if waiter is None:
                 break
-            ticket = lane.ticket_by_waiter.pop(id(waiter))
+            ticket = state.ticket_by_waiter.pop(id(waiter))
             ticket.admitted_ms = now_ms
             ticket.is_pending = True
-            ticket.is_beyond_share = not lane.is_light(now_ms, waiter.account)
-            pending = lane.pending_by_account.get(waiter.account, 0)
-            lane.pending_by_account[waiter.account] = pending + 1
-            lane.admitted.append((now_ms, waiter.cost))
+            ticket.is_beyond_share = not state.is_light(now_ms, waiter.account)
+            pending = state.pending_by_account.get(waiter.account, 0)
+            state.pending_by_account[waiter.account] = pending + 1
+            state.admitted.append((now_ms, waiter.cost))
             admitted.append(ticket)
-        if not lane.queue:
-            lane.admitted.clear()
+        if not state.queue:
+            state.admitted.clear()
         return admitted
 
-    def _next(self, now_ms: int, lane: _Lane) -> Waiter | None:
-        """Take the next request that may go out of the queue.
+    def _next(self, now_ms: int, state: _ModelState) -> Waiter | None:
+        """Remove and return the next request that may be admitted, or None.
 
-        Beyond the window only a light account's single request goes, so that it
-        need not wait for a prefill of another account to end.
+        If the window is full, up to twice the window is admitted from light accounts
+        that have no other run waiting for its first token, so that such a request
+        does not wait until the prefill of another account ends.
         """
-        pending = lane.pending()
-        if pending < int(lane.window.size):
-            return lane.queue.pop(lambda name: _is_in_share(now_ms, lane, name))
-        if pending < _SINGLES_BEYOND * int(lane.window.size):
-            return lane.queue.pop(
+        pending = state.pending()
+        if pending < int(state.window.size):
+            return state.queue.pop(lambda name: _may_use_window(now_ms, state, name))
+        if pending < _LIGHT_REQUEST_WINDOWS * int(state.window.size):
+            return state.queue.pop(
                 lambda name: (
-                    name not in lane.pending_by_account and lane.is_light(now_ms, name)
+                    name not in state.pending_by_account
+                    and state.is_light(now_ms, name)
                 )
             )
         return None
 
-    def _refuse_late(self, now_ms: int, lane: _Lane) -> list[Ticket]:
+    def _reject_late(self, now_ms: int, state: _ModelState) -> list[Ticket]:
         late = [
             ticket
-            for ticket in lane.ticket_by_waiter.values()
+            for ticket in state.ticket_by_waiter.values()
             if ticket.reject_at_ms <= now_ms
         ]
         for ticket in late:
-            del lane.ticket_by_waiter[id(ticket.waiter)]
-            lane.queue.remove(ticket.waiter)
-            ticket.rejection = self._late_refusal(ticket)
+            del state.ticket_by_waiter[id(ticket.waiter)]
+            state.queue.remove(ticket.waiter)
+            ticket.rejection = self._late_rejection(ticket)
         return late
 
-    def _late_refusal(self, ticket: Ticket) -> NotRun:
-        if ticket.reject_at_ms == ticket.ask.deadline_ms:
-            detail = "the deadline came before its turn"
-            return NotRun(Reason.DEADLINE, detail, _LEAST_RETRY_MS)
-        detail = f"no turn within {self._queue_limit_ms} ms"
+    def _late_rejection(self, ticket: Ticket) -> NotRun:
+        if ticket.reject_at_ms == ticket.request.deadline_ms:
+            detail = "the deadline passed before admission"
+            return NotRun(Reason.DEADLINE, detail, _MIN_RETRY_MS)
+        detail = f"not admitted within {self._queue_limit_ms} ms"
         return NotRun(Reason.OVERLOADED, detail, _retry_ms(self._queue_limit_ms))
 
-    def _end_pending(self, lane: _Lane, ticket: Ticket) -> None:
+    def _remove_pending(self, state: _ModelState, ticket: Ticket) -> None:
         if not ticket.is_pending:
             return
         ticket.is_pending = False
-        left = lane.pending_by_account[ticket.ask.account] - 1
-        if left:
-            lane.pending_by_account[ticket.ask.account] = left
+        remaining = state.pending_by_account[ticket.request.account] - 1
+        if remaining:
+            state.pending_by_account[ticket.request.account] = remaining
         else:
-            del lane.pending_by_account[ticket.ask.account]
+            del state.pending_by_account[ticket.request.account]
 
 
-def _is_in_share(now_ms: int, lane: _Lane, account: str) -> bool:
-    """Tell whether an account leaves room for others that were here lately.
+def _may_use_window(now_ms: int, state: _ModelState, account: str) -> bool:
+    """Return whether an account may have another run in the window.
 
-    A run that was admitted cannot be taken back. If one account held the whole
-    window, the next request of another would wait for a prefill to end; with a
-    fifth of the window kept free it starts at once.
+    If another account had a request in the last ten seconds, one account may use at
+    most four fifths of the window. An admitted run cannot be cancelled again: if one
+    account occupied all of the window, the next request of another account would have
+    to wait until a prefill ends.
     """
-    most = max(1, int(_LARGEST_SHARE * lane.window.size))
-    if lane.pending_by_account.get(account, 0) < most:
+    max_pending = max(1, int(_MAX_WINDOW_SHARE * state.window.size))
+    if state.pending_by_account.get(account, 0) < max_pending:
         return True
-    return now_ms - lane.other_seen_ms(account) >= _SHARED_FOR_MS
+    return now_ms - state.last_other_arrival_ms(account) >= _OTHER_ACCOUNT_RECENT_MS
 
 
 def _retry_ms(wait_ms: float) -> int:
-    return int(min(_MOST_RETRY_MS, max(_LEAST_RETRY_MS, wait_ms)))
+    return int(min(_MAX_RETRY_MS, max(_MIN_RETRY_MS, wait_ms)))
--- a/fireflyward/limits/_fair_queue.py
+++ b/fireflyward/limits/_fair_queue.py
@@ -1,4 +1,4 @@
-"""Start-time fair queueing: each client account gets its share by weight."""
+"""Start-time fair queueing among client accounts, weighted by account."""
 
 import heapq
 import itertools
@@ -11,15 +11,15 @@
 class Waiter:
     """One request in the queue; ``cost`` is its work in tokens.
 
-    ``start`` is its place in virtual time: what its account was served before,
-    divided by the account's weight.
+    ``start`` is its start time in virtual time: the cost of the account's earlier
+    requests, divided by the account's weight.
     """
 
     account: str
     weight: int
     cost: float
     start: float = 0.0
-    is_gone: bool = False
+    is_removed: bool = False
 
 
 @dataclass(slots=True)
@@ -32,11 +32,11 @@
 class FairQueue:
     """Orders requests so that a large account delays a small one by one request.
 
-    A request starts, in virtual time, where the one before it of the same account
-    finished, but never before what is being served now. The queue gives out the
-    earliest start. An account that asks for little therefore finds itself in
-    front, one that floods waits behind its own requests, and one that was idle
-    has no credit to spend.
+    In virtual time, a request starts when the previous request of its account
+    finishes, but not before the start of the request that was served last. The queue
+    returns the request with the earliest start. Requests of an account with few
+    requests are therefore served first, those of an account with many requests wait
+    behind each other, and an account gets no credit for time in which it was idle.
 
     >>> queue = FairQueue()
     >>> for account in ("large", "large", "large", "small"):
@@ -58,7 +58,7 @@
         return self._waiting
 
     def push(self, waiter: Waiter) -> None:
-        """Put a request behind those of its account."""
+        """Append a request to the queue of its account."""
         account = self._account_by_name.setdefault(waiter.account, _Account())
         waiter.start = max(self._virtual_time, account.last_finish)
         account.last_finish = waiter.start + waiter.cost / waiter.weight
@@ -69,31 +69,34 @@
             self._push_head(waiter)
 
     def pop(
-        self, may_go: Callable[[str], bool] = lambda account: True
+        self, is_allowed: Callable[[str], bool] = lambda account: True
     ) -> Waiter | None:
-        """Take the first request whose account ``may_go``; None if there is none."""
-        held: list[tuple[float, int, Waiter]] = []
+        """Remove and return the first request whose account ``is_allowed`` accepts.
+
+        Returns None if there is no such request.
+        """
+        skipped: list[tuple[float, int, Waiter]] = []
         found = None
         while self._heads and found is None:
             head = heapq.heappop(self._heads)
             waiter = head[2]
-            if waiter.is_gone:
+            if waiter.is_removed:
                 continue
-            if may_go(waiter.account):
+            if is_allowed(waiter.account):
                 found = waiter
             else:
-                held.append(head)
-        for head in held:
+                skipped.append(head)
+        for head in skipped:
             heapq.heappush(self._heads, head)
         if found is not None:
             self._virtual_time = max(self._virtual_time, found.start)
-            self._take(found)
+            self._remove_waiter(found)
         return found
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a request out that is refused or whose caller is gone.
+        """Remove a request that was rejected or whose caller disconnected.
 
-        Its account does not pay for it: the requests behind it move up.
+        Its cost is not charged to its account: the account's later requests move up.
         """
         account = self._account_by_name[waiter.account]
         share = waiter.cost / waiter.weight
@@ -101,43 +104,43 @@
             if item.start > waiter.start:
                 item.start -= share
         account.last_finish -= share
-        self._take(waiter)
+        self._remove_waiter(waiter)
 
-    def cost_of(self, account: str) -> float:
-        """Return the work that waits for one account."""
-        known = self._account_by_name.get(account)
-        return known.cost if known else 0.0
+    def waiting_cost(self, account: str) -> float:
+        """Return the total cost of an account's waiting requests."""
+        found = self._account_by_name.get(account)
+        return found.cost if found else 0.0
 
-    def waiting_of(self, account: str) -> int:
-        """Return the number of an account's requests that wait."""
-        known = self._account_by_name.get(account)
-        return len(known.waiters) if known else 0
+    def waiting_requests(self, account: str) -> int:
+        """Return the number of an account's waiting requests."""
+        found = self._account_by_name.get(account)
+        return len(found.waiters) if found else 0
 
-    def weight_beside(self, account: str) -> int:
-        """Return the summed weight of the other accounts with a request here."""
+    def weight_of_others(self, account: str) -> int:
+        """Return the total weight of the other accounts with waiting requests."""
         return sum(
             item.waiters[0].weight
             for name, item in self._account_by_name.items()
             if item.waiters and name != account
         )
 
-    def _take(self, waiter: Waiter) -> None:
+    def _remove_waiter(self, waiter: Waiter) -> None:
         account = self._account_by_name[waiter.account]
         was_head = account.waiters[0] is waiter
         account.waiters.remove(waiter)
         account.cost = max(0.0, account.cost - waiter.cost)
-        waiter.is_gone = True
+        waiter.is_removed = True
         self._waiting -= 1
         if was_head and account.waiters:
             self._push_head(account.waiters[0])
         if not self._waiting:
-            self._forget_idle()
+            self._reset()
 
     def _push_head(self, waiter: Waiter) -> None:
         heapq.heappush(self._heads, (waiter.start, next(self._order), waiter))
 
-    def _forget_idle(self) -> None:
-        """Start afresh when the queue is empty, so that state stays small."""
+    def _reset(self) -> None:
+        """Discard all state once the queue is empty, which keeps the state small."""
         self._account_by_name.clear()
         self._heads.clear()
         self._virtual_time = 0.0
--- a/tests/limits/test_fair_queue.py
+++ b/tests/limits/test_fair_queue.py
@@ -11,9 +11,8 @@
 
 class FairQueueTests(unittest.TestCase):
     def test_flood_delays_another_account_by_one_request(self):
-        """Symptom: a small account waits for minutes. Sequence: a large one sends a
-        thousand prompts, then the small one sends one. Cause: first come, first
-        served."""
+        """A request of a small account waited for minutes behind a thousand prompts of
+        a large account, because requests were served in order of arrival."""
         queue = FairQueue()
         for _ in range(1_000):
             queue.push(Waiter("a", 1, 100.0))
@@ -30,7 +29,7 @@
         self.assertAlmostEqual(served.count("c"), 60, delta=2)
         self.assertAlmostEqual(served.count("a"), 20, delta=2)
 
-    def test_costly_requests_count_by_their_cost(self):
+    def test_shares_are_measured_by_cost(self):
         queue = FairQueue()
         for _ in range(100):
             queue.push(Waiter("a", 1, 90.0))
@@ -49,7 +48,7 @@
         served = [queue.pop().account for _ in range(20)]
         self.assertAlmostEqual(served.count("b"), 10, delta=1)
 
-    def test_account_that_may_not_go_keeps_its_place(self):
+    def test_skipped_account_keeps_its_position(self):
         queue = FairQueue()
         queue.push(Waiter("a", 1, 10.0))
         queue.push(Waiter("b", 1, 10.0))
@@ -59,19 +58,19 @@
 
     def test_removed_request_costs_its_account_nothing(self):
         queue = FairQueue()
-        gone = Waiter("a", 1, 1_000.0)
-        queue.push(gone)
+        removed = Waiter("a", 1, 1_000.0)
+        queue.push(removed)
         queue.push(Waiter("a", 1, 10.0))
         queue.push(Waiter("b", 1, 20.0))
         queue.push(Waiter("b", 1, 20.0))
-        queue.remove(gone)
+        queue.remove(removed)
         self.assertEqual([queue.pop().account for _ in range(3)], ["b", "a", "b"])
 
 
 class FairQueueMachine(RuleBasedStateMachine):
-    """Requests come, go and are served in any order; while two accounts both have
-    requests waiting, their served work by weight never differs by more than the
-    largest request of each."""
+    """Requests are added, removed and served in any order. While two accounts both
+    have waiting requests, the work served for them, divided by their weights, never
+    differs by more than the largest request of each."""
 
     def __init__(self):
         super().__init__()
@@ -109,7 +108,7 @@
         assert len(self.queue) == len(self.waiting)
         for account in ACCOUNTS:
             cost = sum(item.cost for item in self.waiting if item.account == account)
-            assert abs(self.queue.cost_of(account) - cost) < 1e-6
+            assert abs(self.queue.waiting_cost(account) - cost) < 1e-6
 
     @invariant()
     def no_account_is_starved(self):
