--- a/fireflyward/placement/__init__.py
+++ b/fireflyward/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which way of serving a prompt gives its first token soonest, and what to keep."""
+"""Chooses the fastest way to serve a prompt, and which of its blocks to keep."""
 
 from ._budget import BudgetAction, Dropped, Grant, LinkBudget, Transfer, Urgency
 from ._keep import PIECE_BLOCKS, KeepOffer, KeepPolicy, Piece, ServedPrompt
@@ -14,7 +14,7 @@
     Tier,
 )
 from ._rates import LinkRates
-from ._returns import ReturnClass, ReturnTimes
+from ._returns import ReuseClass, ReuseStatistics
 from ._sketch import FrequencySketch
 from ._space import Admit, Decline, StoreSpace
 from ._spread import anchor_key, assign_stores, preferred_store
@@ -43,8 +43,8 @@
     "PrefixIndex",
     "ServedPrompt",
     "Recompute",
-    "ReturnClass",
-    "ReturnTimes",
+    "ReuseClass",
+    "ReuseStatistics",
     "Reuse",
     "StoreSpace",
     "StoredRun",
--- a/fireflyward/placement/_budget.py
+++ b/fireflyward/placement/_budget.py
@@ -1,15 +1,15 @@
-"""Who may use a store's link next."""
+"""Decides which transfer may use the link of a store next."""
 
 import enum
 from collections import deque
 from dataclasses import dataclass
 
-_HALF = 2
+_BACKGROUND_DIVISOR = 2
 _MAX_WAITING_EXPORTS = 1_024
 
 
 class Urgency(enum.IntEnum):
-    """Why blocks are moved, first things first."""
+    """The purpose of a transfer, most urgent first."""
 
     IMPORT = 0
     PREFETCH = 1
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transfer:
-    """A piece of work for one link, small enough to be waited out."""
+    """A transfer on one link, small enough that a more urgent one can wait for it."""
 
     transfer_id: int
     urgency: Urgency
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The transfer may begin."""
+    """The transfer may start."""
 
     transfer: Transfer
 
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """The transfer will never begin; it was a kindness and the queue is full."""
+    """The export will never start, because the queue of exports is full."""
 
     transfer: Transfer
 
@@ -44,14 +44,14 @@
 
 
 class LinkBudget:
-    """Orders one node's transfers on one store's link, without I/O.
-
-    At most ``limit_bytes`` are in flight. Imports of waiting callers are granted
-    before prefetches, and exports only while nothing else waits. Prefetches and
-    exports together fill at most half of the limit, so that an import that comes
-    meanwhile begins at once. Accounts take turns within an urgency, so that one
-    large account's imports do not stand before everybody else's. A transfer larger
-    than its limit is granted alone.
+    """Schedules one node's transfers on the link of one store; does no I/O.
+
+    At most ``limit_bytes`` are in flight. Imports for waiting callers are granted
+    before prefetches, and exports only if nothing else waits. Prefetches and exports
+    together use at most half of the limit, so that a new import can start at once.
+    Transfers of the same urgency are granted to the accounts in turn, so that the
+    imports of one large account do not delay those of all others. A transfer larger
+    than the limit is granted when no other is in flight.
     """
 
     __slots__ = (
@@ -77,15 +77,15 @@
 
     @property
     def in_flight_bytes(self) -> int:
-        """Return the bytes of granted transfers that have not ended."""
+        """Return the bytes of granted transfers that have not finished."""
         return self._in_flight_bytes
 
     def waiting(self, urgency: Urgency) -> int:
-        """Return how many transfers of an urgency wait."""
+        """Return the number of waiting transfers of an urgency."""
         return sum(len(queue) for queue in self._waiting[urgency].values())
 
     def request(self, transfer: Transfer) -> list[BudgetAction]:
-        """Queue a transfer; return what may begin or is dropped now."""
+        """Queue a transfer; return the transfers that may start or are dropped now."""
         if (
             transfer.urgency is Urgency.EXPORT
             and self.waiting(Urgency.EXPORT) >= _MAX_WAITING_EXPORTS
@@ -96,7 +96,7 @@
         return self._grant()
 
     def on_end(self, transfer_id: int) -> list[BudgetAction]:
-        """Take the end of a granted transfer, whatever came of it."""
+        """Record that a granted transfer has finished or failed."""
         transfer = self._in_flight.pop(transfer_id, None)
         if transfer is None:
             return []
@@ -106,24 +106,27 @@
         return self._grant()
 
     def cancel(self, transfer_id: int) -> None:
-        """Forget a waiting transfer that nobody wants any more."""
+        """Remove a waiting transfer that is no longer needed."""
         for queues in self._waiting.values():
             for account, queue in list(queues.items()):
-                kept = deque(t for t in queue if t.transfer_id != transfer_id)
-                if kept:
-                    queues[account] = kept
+                remaining = deque(t for t in queue if t.transfer_id != transfer_id)
+                if remaining:
+                    queues[account] = remaining
                 else:
                     del queues[account]
 
     def _grant(self) -> list[BudgetAction]:
         grants: list[BudgetAction] = []
         while (transfer := self._next()) is not None:
-            self._start(transfer)
+            self._begin_transfer(transfer)
             grants.append(Grant(transfer))
         return grants
 
     def _next(self) -> Transfer | None:
-        """Take the next transfer that fits; less urgent ones never overtake."""
+        """Remove and return the next transfer that fits.
+
+        While a transfer waits for room, no less urgent one is granted.
+        """
         for urgency in Urgency:
             queues = self._waiting[urgency]
             if not queues:
@@ -142,12 +145,15 @@
         if transfer.urgency is Urgency.IMPORT:
             used, limit = self._in_flight_bytes, self._limit_bytes
         else:
-            used, limit = self._background_bytes, self._limit_bytes // _HALF
+            used, limit = (
+                self._background_bytes,
+                self._limit_bytes // _BACKGROUND_DIVISOR,
+            )
             if self._in_flight_bytes + transfer.size_bytes > self._limit_bytes:
                 return not self._in_flight
         return not used or used + transfer.size_bytes <= limit
 
-    def _start(self, transfer: Transfer) -> None:
+    def _begin_transfer(self, transfer: Transfer) -> None:
         self._in_flight[transfer.transfer_id] = transfer
         self._in_flight_bytes += transfer.size_bytes
         if transfer.urgency is not Urgency.IMPORT:
--- a/fireflyward/placement/_keep.py
+++ b/fireflyward/placement/_keep.py
@@ -1,24 +1,24 @@
-"""Which parts of a served prompt are worth a place in a store."""
+"""Decides which parts of a served prompt should be kept in a store."""
 
 from dataclasses import dataclass
 
-from ._returns import ReturnClass, ReturnTimes
+from ._returns import ReuseClass, ReuseStatistics
 from ._sketch import FrequencySketch
 
 PIECE_BLOCKS = 4
-_HINTED_REUSES = 3.0
-_LEAST_REUSES = 0.25
-_SHARED_FROM = 4
+_MIN_HINTED_REUSES = 3.0
+_MIN_REUSES = 0.25
+_MIN_SHARED_COUNT = 4
 _SKETCH_WIDTH = 1 << 16
 
 
 @dataclass(frozen=True, slots=True)
 class ServedPrompt:
-    """A prompt that a replica has in its cache now.
+    """A prompt that a replica now has in its cache.
 
-    ``hinted_blocks`` leading blocks were named by the caller's ``keep`` hint;
-    ``has_session`` says that the caller gave a session id. ``kept_blocks`` leading
-    blocks are in a store already, as far as the index knows.
+    ``hinted_blocks`` is the number of leading blocks covered by the caller's ``keep``
+    hint. ``has_session`` is true if the caller sent a session id. ``kept_blocks`` is
+    the number of leading blocks that a store already has according to the index.
     """
 
     account: str
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """Four consecutive blocks of a prompt, moved and kept as one.
+    """Four consecutive blocks of a prompt, transferred and kept as a unit.
 
-    ``key`` is the key of the last block, which names all before it, too; the piece
-    covers ``block_keys[first : first + PIECE_BLOCKS]``.
+    ``key`` is the key of the last block, which also identifies all blocks before it.
+    The piece covers ``block_keys[first : first + PIECE_BLOCKS]``.
     """
 
     key: str
@@ -44,10 +44,10 @@
 class KeepOffer:
     """A piece that is worth keeping.
 
-    ``reuses`` is how often it is expected to be asked for again; since all pieces
-    are of one size, it is the expected reuse per byte, too. ``is_shared`` pieces
-    were in several prompts and may go to every store: they are asked for most, by
-    prompts whose other pieces lie in different stores.
+    ``reuses`` is the estimated number of future uses. Since all pieces have the same
+    size, this is also proportional to the uses per byte. ``is_shared`` pieces occurred
+    in several prompts and may be written to every store: they are used most, by
+    prompts whose other pieces are in different stores.
     """
 
     piece: Piece
@@ -58,62 +58,63 @@
 
 
 class KeepPolicy:
-    """Decides what to export after a prompt was served, without I/O.
+    """Decides which pieces to export after a prompt was served; does no I/O.
 
-    A piece that was seen before is expected again as often as it was seen lately.
-    A new one is expected as often as new pieces of its class turned out to return;
-    so a prompt that will return is exported before the engine evicts it, and an
-    account that sends every prompt once soon exports nothing.
+    For a piece that occurred before, the estimate of its future uses is the number of
+    its recent repetitions. For a new piece, the estimate is the share of new pieces of
+    its class that were used again. Prompts that are likely to be repeated are
+    therefore exported before the engine evicts them, and an account that sends every
+    prompt only once soon exports nothing.
     """
 
-    __slots__ = ("_sketch", "returns")
+    __slots__ = ("_sketch", "reuse_statistics")
 
     def __init__(self, *, sketch_width: int = _SKETCH_WIDTH) -> None:
         self._sketch = FrequencySketch(sketch_width)
-        self.returns = ReturnTimes()
+        self.reuse_statistics = ReuseStatistics()
 
     def on_prompt(self, now_ms: float, prompt: ServedPrompt) -> list[KeepOffer]:
-        """Count a prompt's pieces and return those to export, best first.
+        """Count a prompt's pieces and return those to export, most valuable first.
 
-        Of equal ones the earlier comes first, since a block is of no use without
-        those before it.
+        Among equally valuable pieces the earlier ones come first, because a block
+        cannot be used without the blocks before it.
         """
         offers = []
-        watched: set[ReturnClass] = set()
+        tracked: set[ReuseClass] = set()
         pieces = len(prompt.block_keys) // PIECE_BLOCKS
         for index in range(pieces):
             first = index * PIECE_BLOCKS
             key = prompt.block_keys[first + PIECE_BLOCKS - 1]
-            kind = ReturnClass(
+            kind = ReuseClass(
                 prompt.account, prompt.has_session, (pieces - index).bit_length()
             )
-            seen = self._count(now_ms, kind, key, watched)
+            seen = self._count(now_ms, kind, key, tracked)
             if first + PIECE_BLOCKS <= prompt.kept_blocks:
                 continue
-            reuses = float(seen - 1) if seen > 1 else self.returns.rate(kind)
+            reuses = float(seen - 1) if seen > 1 else self.reuse_statistics.rate(kind)
             if first + PIECE_BLOCKS <= prompt.hinted_blocks:
-                reuses = max(reuses, _HINTED_REUSES)
-            if reuses < _LEAST_REUSES:
+                reuses = max(reuses, _MIN_HINTED_REUSES)
+            if reuses < _MIN_REUSES:
                 continue
             offers.append(
                 KeepOffer(
                     Piece(key, first),
                     prompt.account,
                     reuses,
-                    self.returns.gap_ms(kind),
-                    seen >= _SHARED_FROM,
+                    self.reuse_statistics.gap_ms(kind),
+                    seen >= _MIN_SHARED_COUNT,
                 )
             )
         return sorted(offers, key=lambda offer: (-offer.reuses, offer.piece.first))
 
     def _count(
-        self, now_ms: float, kind: ReturnClass, key: str, watched: set[ReturnClass]
+        self, now_ms: float, kind: ReuseClass, key: str, tracked: set[ReuseClass]
     ) -> int:
-        """Count a piece; of new ones watch the first of each class for its return."""
+        """Count a piece; track the reuse of the first new piece of each class."""
         seen = self._sketch.add(key)
         if seen > 1:
-            self.returns.on_again(now_ms, kind, key)
-        elif kind not in watched:
-            watched.add(kind)
-            self.returns.on_first(now_ms, kind, key)
+            self.reuse_statistics.on_repeated(now_ms, kind, key)
+        elif kind not in tracked:
+            tracked.add(kind)
+            self.reuse_statistics.on_first_seen(now_ms, kind, key)
         return seen
--- a/fireflyward/placement/_plans.py
+++ b/fireflyward/placement/_plans.py
@@ -1,11 +1,11 @@
-"""What passes between the index, placement, routing and what executes a plan."""
+"""Types shared by the index, placement, routing and the execution of plans."""
 
 import enum
 from dataclasses import dataclass, field
 
 
 class Tier(enum.StrEnum):
-    """Where on a store VM a block lies."""
+    """The storage of a store VM in which a block is kept."""
 
     MEMORY = "memory"
     DISK = "disk"
@@ -13,10 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRun:
-    """Consecutive blocks of one prompt on one store.
+    """Consecutive blocks of one prompt in one store.
 
-    ``first`` counts from 0 in the prompt's ``block_keys``; the run covers
-    ``block_keys[first : first + blocks]``.
+    The run covers ``block_keys[first : first + blocks]`` of the prompt.
     """
 
     store: str
@@ -32,42 +31,43 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixLocations:
-    """What the index says of one prompt: a hint, which may be late or wrong.
+    """The locations of a prompt's blocks; a hint, which may be outdated or wrong.
 
-    ``cached_blocks_by_replica`` gives the length in blocks of the longest prefix that each
-    replica's own cache has; a replica that is missing there has none.
+    ``cached_blocks_by_replica`` contains the length in blocks of the longest prefix
+    in each replica's own cache. A replica that is not listed has no cached prefix.
 
-    >>> PrefixLocations({"calc-1": 12}).held("calc-2")
+    >>> PrefixLocations({"calc-1": 12}).cached_blocks("calc-2")
     0
     """
 
     cached_blocks_by_replica: dict[str, int] = field(default_factory=dict)
     stored: tuple[StoredRun, ...] = ()
 
-    def held(self, replica: str) -> int:
-        """Return how many leading blocks a replica has."""
+    def cached_blocks(self, replica: str) -> int:
+        """Return the number of leading blocks that a replica has cached."""
         return self.cached_blocks_by_replica.get(replica, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Reuse:
-    """Send the prompt as it is: the replica has ``blocks`` leading blocks."""
+    """Send the prompt as it is; the replica has ``blocks`` leading blocks cached."""
 
     blocks: int
 
 
 @dataclass(frozen=True, slots=True)
 class Import:
-    """Import ``block_keys[first : first + blocks]`` in that order, then send.
+    """Import ``block_keys[first : first + blocks]`` in order, then send the prompt.
 
-    The replica has or computes everything before ``first`` and computes everything
-    after the run. What it has of ``block_keys[:first]`` is touched before loading:
-    loading would else evict the prompt's own beginning, and nothing be gained.
+    The replica has or computes all blocks before ``first`` and computes all blocks
+    after the imported ones. Its cached blocks in ``block_keys[:first]`` are touched
+    before loading. Otherwise the import could evict the beginning of the same prompt
+    and save nothing.
 
-    The executor gives the import up as soon as its ``ImportWatch`` says so, keeps
-    what has arrived and sends the prompt: ``block_ms`` is what the replica needs to
-    compute one block and ``allowance_ms`` how much later than recomputing the
-    prompt may become through the import.
+    The executor aborts the import at the time that ``ImportWatch`` determines, uses
+    the blocks that have arrived and sends the prompt. ``block_ms`` is the time that
+    the replica needs to compute one block. ``allowance_ms`` is how much later the
+    first token may arrive because of the import than by recomputing.
     """
 
     store: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recompute:
-    """Send the prompt as it is: nothing of it is kept anywhere of use."""
+    """Send the prompt as it is; none of its blocks are cached or worth importing."""
 
 
 Plan = Reuse | Import | Recompute
@@ -87,10 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A way of serving a prompt and what it is expected to take.
+    """A plan for serving a prompt, with its estimated times.
 
-    ``first_token_ms`` is made of ``queue_ms``, loading beyond that, and
-    ``compute_ms``; ``reused_blocks`` are the prompt's blocks that are not computed.
+    ``first_token_ms`` is the sum of ``queue_ms``, the loading time beyond that, and
+    ``compute_ms``. ``reused_blocks`` is the number of blocks that are not computed.
     """
 
     replica: str
--- a/fireflyward/placement/_rates.py
+++ b/fireflyward/placement/_rates.py
@@ -1,17 +1,17 @@
-"""Speeds of the links to stores as one node measures them."""
+"""Measures the transfer rates of one node's links to stores."""
 
 from dataclasses import dataclass, field
 
 from ._plans import Tier
 
-_NEW_SAMPLE_SHARE = 0.2
-_FORGET_MS = 60_000.0
-_FIRST_PAUSE_MS = 1_000
-_LONGEST_PAUSE_MS = 60_000
+_NEW_SAMPLE_WEIGHT = 0.2
+_RATE_DOUBLING_MS = 60_000.0
+_FIRST_BACKOFF_MS = 1_000
+_MAX_BACKOFF_MS = 60_000
 
 
-def _mixed(old: float, sample: float) -> float:
-    return old + _NEW_SAMPLE_SHARE * (sample - old)
+def _moving_average(old: float, sample: float) -> float:
+    return old + _NEW_SAMPLE_WEIGHT * (sample - old)
 
 
 @dataclass(slots=True)
@@ -20,17 +20,17 @@
     measured_at_ms: dict[Tier, float] = field(default_factory=dict)
     in_flight_bytes: int = 0
     failures: int = 0
-    closed_until_ms: float = 0.0
+    backoff_until_ms: float = 0.0
 
 
 class LinkRates:
-    """Learns what each store's link gives, and leaves alone one that gives nothing.
+    """Measures the rate of each store's link and avoids stores that deliver nothing.
 
-    Others use the same links, so that the measured rate of each import already
-    holds their part. A slow measurement is forgotten by doubling the rate every
-    minute, up to the initial one: else a link that was slow once would never be
-    tried again. A store that delivered nothing is left alone for a second, then
-    two, four and so on up to a minute; the next import is the probe.
+    Other nodes use the same links, so the measured rate of an import already accounts
+    for their traffic. A low rate is doubled every minute, up to the initial rate;
+    otherwise a link that was slow once would never be used again. A store that
+    delivered nothing is not used for one second, then for two, four and so on up to
+    a minute. The next import then serves as a probe.
     """
 
     __slots__ = ("_initial", "_link_by_store")
@@ -40,49 +40,49 @@
         self._link_by_store: dict[str, _Link] = {}
 
     def on_start(self, store: str, size_bytes: int) -> None:
-        """Count bytes that this node now moves on a store's link."""
+        """Add the bytes of a transfer that this node starts on a store's link."""
         self._link(store).in_flight_bytes += size_bytes
 
     def on_end(self, store: str, size_bytes: int) -> None:
-        """Count bytes off again, moved or not."""
+        """Subtract the bytes of a transfer that finished or failed."""
         link = self._link(store)
         link.in_flight_bytes = max(0, link.in_flight_bytes - size_bytes)
 
     def on_measured(
         self, now_ms: float, store: str, tier: Tier, size_bytes: int, took_ms: float
     ) -> None:
-        """Take a finished or partial transfer."""
+        """Update the rate from a complete or partial transfer."""
         link = self._link(store)
         sample = size_bytes / max(took_ms, 0.001)
-        known = self.bytes_per_ms(now_ms, store, tier)
-        link.bytes_per_ms[tier] = _mixed(known, sample)
+        current = self.bytes_per_ms(now_ms, store, tier)
+        link.bytes_per_ms[tier] = _moving_average(current, sample)
         link.measured_at_ms[tier] = now_ms
         link.failures = 0
-        link.closed_until_ms = 0.0
+        link.backoff_until_ms = 0.0
 
     def on_no_data(self, now_ms: float, store: str) -> None:
-        """Take an import that was given up before its first block arrived."""
+        """Record an import that was aborted before its first block arrived."""
         link = self._link(store)
-        pause_ms = min(_FIRST_PAUSE_MS << min(link.failures, 16), _LONGEST_PAUSE_MS)
+        backoff_ms = min(_FIRST_BACKOFF_MS << min(link.failures, 16), _MAX_BACKOFF_MS)
         link.failures += 1
-        link.closed_until_ms = now_ms + pause_ms
+        link.backoff_until_ms = now_ms + backoff_ms
 
     def is_available(self, now_ms: float, store: str) -> bool:
-        """Tell whether an import may be tried now."""
-        return now_ms >= self._link(store).closed_until_ms
+        """Return whether an import from a store may be tried now."""
+        return now_ms >= self._link(store).backoff_until_ms
 
     def bytes_per_ms(self, now_ms: float, store: str, tier: Tier) -> float:
-        """Return the rate to expect of a store's tier."""
+        """Return the estimated rate of a store's tier."""
         link = self._link(store)
-        known = link.bytes_per_ms.get(tier)
-        if known is None:
+        measured = link.bytes_per_ms.get(tier)
+        if measured is None:
             return self._initial
         age_ms = now_ms - link.measured_at_ms[tier]
-        recovered = known * 2 ** min(60.0, age_ms / _FORGET_MS)
-        return max(known, min(recovered, self._initial))
+        recovered = measured * 2 ** min(60.0, age_ms / _RATE_DOUBLING_MS)
+        return max(measured, min(recovered, self._initial))
 
     def in_flight_bytes(self, store: str) -> int:
-        """Return what this node moves on the store's link now."""
+        """Return the bytes that this node is transferring on the store's link."""
         return self._link(store).in_flight_bytes
 
     def _link(self, store: str) -> _Link:
--- a/fireflyward/placement/_sketch.py
+++ b/fireflyward/placement/_sketch.py
@@ -1,17 +1,17 @@
-"""How often something was seen lately, in a fixed number of bytes."""
+"""Counts recent occurrences of keys in a fixed number of bytes."""
 
 _ROWS = 4
-_MOST = 15
+_MAX_COUNT = 15
 _HALVE = bytes(value >> 1 for value in range(256))
 
 
 class FrequencySketch:
-    """Estimates recent counts; may say too much, never too little.
+    """Estimates recent counts; may overestimate a count, but not underestimate it.
 
-    A count-min sketch of ``width`` counters in each of four rows. After as many
-    additions as it has counters in a row times eight, all counters are halved, so
-    that what was frequent yesterday gives way (the TinyLFU ageing of Einziger et
-    al., 2017). Keys are hexadecimal block keys, whose digits are already a hash.
+    This is a count-min sketch with four rows of ``width`` counters. All counters are
+    halved after ``8 * width`` additions, so that the counts of keys which are no
+    longer frequent decrease (the ageing of TinyLFU, Einziger et al., 2017). Keys are
+    hexadecimal block keys, whose digits are already a hash.
 
     >>> sketch = FrequencySketch(1024)
     >>> sketch.add("00ff" * 8)
@@ -34,10 +34,10 @@
         return f"FrequencySketch({self._mask + 1})"
 
     def add(self, key: str) -> int:
-        """Count ``key`` once more and return its estimated count."""
+        """Add one to the count of ``key`` and return its estimated count."""
         places = self._places(key)
         count = min(row[place] for row, place in places)
-        if count < _MOST:
+        if count < _MAX_COUNT:
             for row, place in places:
                 if row[place] == count:
                     row[place] = count + 1
--- a/fireflyward/placement/_space.py
+++ b/fireflyward/placement/_space.py
@@ -1,4 +1,4 @@
-"""What a store VM's memory and disk hold, and what gives way."""
+"""Decides which pieces a store VM keeps in memory, keeps on disk or evicts."""
 
 import random
 from dataclasses import dataclass
@@ -6,16 +6,16 @@
 from ._keep import KeepOffer
 from ._plans import Tier
 
-_SAMPLE = 32
+_SAMPLE_SIZE = 32
 _ACCOUNT_SHARE = 0.35
-_LEAST_HALF_LIFE_MS = 6 * 3_600_000.0
+_MIN_HALF_LIFE_MS = 6 * 3_600_000.0
 _GAPS_TO_HALVE = 2.0
-_SAME_WORTH = 1.05
+_MIN_VALUE_RATIO = 1.05
 
 
 @dataclass(frozen=True, slots=True)
 class Admit:
-    """Write the piece to memory; ``evicted`` keys are freed and others demoted."""
+    """Write the piece to memory, delete ``evicted`` and move ``demoted`` to disk."""
 
     evicted: tuple[str, ...] = ()
     demoted: tuple[str, ...] = ()
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decline:
-    """Everything that would have to give way is worth more."""
+    """Do not store the piece; the piece that it would replace is worth more."""
 
 
 @dataclass(slots=True)
@@ -35,34 +35,34 @@
     tier: Tier
     depth: int
 
-    def worth(self, now_ms: float) -> float:
-        """Return the expected reuses that remain, halved with each half-life."""
+    def value(self, now_ms: float) -> float:
+        """Return the estimated remaining reuses, which halve with each half-life."""
         idle_ms = max(0.0, now_ms - self.touched_ms)
         return self.reuses * 2 ** (-idle_ms / self.half_life_ms)
 
 
 class _KeySet:
-    """Keys in an order that allows a random sample, and removal, in O(1)."""
+    """A set of keys with random sampling and removal in constant time."""
 
-    __slots__ = ("_keys", "_place_by_key")
+    __slots__ = ("_keys", "_index_by_key")
 
     def __init__(self) -> None:
         self._keys: list[str] = []
-        self._place_by_key: dict[str, int] = {}
+        self._index_by_key: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._keys)
 
     def add(self, key: str) -> None:
-        self._place_by_key[key] = len(self._keys)
+        self._index_by_key[key] = len(self._keys)
         self._keys.append(key)
 
     def remove(self, key: str) -> None:
-        place = self._place_by_key.pop(key)
+        index = self._index_by_key.pop(key)
         last = self._keys.pop()
         if last != key:
-            self._keys[place] = last
-            self._place_by_key[last] = place
+            self._keys[index] = last
+            self._index_by_key[last] = index
 
     def sample(self, source: random.Random, size: int) -> list[str]:
         if len(self._keys) <= size:
@@ -72,13 +72,15 @@
 
 
 class StoreSpace:
-    """Accounts one store's places, in pieces; decides without I/O.
+    """Manages the pieces of one store; does no I/O.
 
-    New pieces go to memory; the least worth of a sample there moves to disk, and
-    the least worth of a sample on disk is evicted, if it is worth less than the
-    newcomer. An account that holds more than its share of a full store gives way
-    with its own pieces first, so that a large one cannot wash out the rest. A piece
-    read from disk comes back to memory when it is worth more than one there.
+    New pieces are written to memory. If memory is full, the least valuable piece of a
+    random sample in memory is moved to disk. If the store is full, the least valuable
+    piece of a sample on disk is evicted, unless it is more valuable than the new
+    piece. If the new piece's account already uses its share of the store, one of the
+    account's own pieces is evicted instead, so that a large account cannot displace
+    the others. A piece read from disk is moved back to memory if it is more valuable
+    than a piece there.
 
     >>> space = StoreSpace(memory_pieces=100, disk_pieces=1_000)
     >>> len(space)
@@ -117,20 +119,20 @@
         return f"StoreSpace({memory} in memory, {disk} on disk)"
 
     def tier(self, key: str) -> Tier | None:
-        """Return where a piece lies, or None."""
+        """Return the tier of a piece, or None if the store does not have it."""
         entry = self._entry_by_key.get(key)
         return entry.tier if entry else None
 
     def used(self, tier: Tier) -> int:
-        """Return the pieces in a tier."""
+        """Return the number of pieces in a tier."""
         return len(self._keys_by_tier[tier])
 
     def account_pieces(self, account: str) -> int:
-        """Return the pieces that an account has in the store."""
+        """Return the number of an account's pieces in the store."""
         return len(self._keys_by_account.get(account, ()))
 
     def offer(self, now_ms: float, offer: KeepOffer) -> Admit | Decline:
-        """Make room for a piece and account it, or decline it."""
+        """Make room for a piece and add it, or decline it."""
         key = offer.piece.key
         if key in self._entry_by_key:
             self.touch(now_ms, key, offer.reuses)
@@ -138,30 +140,30 @@
         entry = _Entry(
             offer.account,
             offer.reuses,
-            max(_LEAST_HALF_LIFE_MS, _GAPS_TO_HALVE * offer.gap_ms),
+            max(_MIN_HALF_LIFE_MS, _GAPS_TO_HALVE * offer.gap_ms),
             now_ms,
             Tier.MEMORY,
             offer.piece.first,
         )
         evicted: tuple[str, ...] = ()
         if len(self) >= sum(self._pieces_by_tier.values()):
-            victim = self._victim(now_ms, offer.account)
-            gives_way = self._entry_by_key[victim].worth(now_ms) * _SAME_WORTH
-            if gives_way >= offer.reuses:
+            victim = self._choose_victim(now_ms, offer.account)
+            victim_value = self._entry_by_key[victim].value(now_ms) * _MIN_VALUE_RATIO
+            if victim_value >= offer.reuses:
                 return Decline()
             self.remove(victim)
             evicted = (victim,)
-        demoted = self._make_memory(now_ms)
+        demoted = self._make_room_in_memory(now_ms)
         self._insert(key, entry)
         return Admit(evicted, demoted)
 
     def touch(
         self, now_ms: float, key: str, reuses: float = 0.0, *, is_read: bool = True
     ) -> bool:
-        """Take a use of a piece; tell whether it came back to memory by it.
+        """Record the use of a piece; return whether it was moved back to memory.
 
-        Only a piece that was read from disk can; of one that an engine still has
-        it is enough to know that it is in use.
+        Only a piece that was read from the store is moved. If an engine still has the
+        piece cached (``is_read`` is false), only its use is recorded.
         """
         entry = self._entry_by_key.get(key)
         if entry is None:
@@ -173,7 +175,7 @@
         return self._promote(now_ms, key, entry)
 
     def remove(self, key: str) -> None:
-        """Take a piece off the account: evicted, or found to be gone."""
+        """Remove a piece that was evicted or found to be missing."""
         entry = self._entry_by_key.pop(key, None)
         if entry is None:
             return
@@ -188,28 +190,28 @@
         self._keys_by_tier[entry.tier].add(key)
         self._keys_by_account.setdefault(entry.account, _KeySet()).add(key)
 
-    def _victim(self, now_ms: float, account: str) -> str:
-        """Return the least worth of a sample, an account's own if it has too much."""
+    def _choose_victim(self, now_ms: float, account: str) -> str:
+        """Return the piece to evict for a new piece of an account."""
         if self.account_pieces(account) >= self._account_limit:
             keys = self._keys_by_account[account]
         else:
             disk = self._keys_by_tier[Tier.DISK]
             keys = disk if len(disk) else self._keys_by_tier[Tier.MEMORY]
-        return self._least(now_ms, keys)
+        return self._least_valuable(now_ms, keys)
 
-    def _least(self, now_ms: float, keys: _KeySet) -> str:
+    def _least_valuable(self, now_ms: float, keys: _KeySet) -> str:
         entries = self._entry_by_key
         return min(
-            keys.sample(self._random, _SAMPLE),
-            key=lambda key: (entries[key].worth(now_ms), -entries[key].depth, key),
+            keys.sample(self._random, _SAMPLE_SIZE),
+            key=lambda key: (entries[key].value(now_ms), -entries[key].depth, key),
         )
 
-    def _make_memory(self, now_ms: float) -> tuple[str, ...]:
-        """Demote one piece if memory is full and disk is not."""
+    def _make_room_in_memory(self, now_ms: float) -> tuple[str, ...]:
+        """Move one piece to disk if memory is full; return the moved keys."""
         memory = self._keys_by_tier[Tier.MEMORY]
         if len(memory) < self._pieces_by_tier[Tier.MEMORY]:
             return ()
-        key = self._least(now_ms, memory)
+        key = self._least_valuable(now_ms, memory)
         self._move(key, Tier.DISK)
         return (key,)
 
@@ -220,8 +222,8 @@
             return True
         if not len(memory):
             return False
-        other = self._least(now_ms, memory)
-        if self._entry_by_key[other].worth(now_ms) >= entry.worth(now_ms):
+        other = self._least_valuable(now_ms, memory)
+        if self._entry_by_key[other].value(now_ms) >= entry.value(now_ms):
             return False
         self._move(other, Tier.DISK)
         self._move(key, Tier.MEMORY)
--- a/fireflyward/placement/_spread.py
+++ b/fireflyward/placement/_spread.py
@@ -1,4 +1,4 @@
-"""Which store keeps what."""
+"""Decides which store keeps which pieces."""
 
 from dataclasses import replace
 
@@ -6,14 +6,14 @@
 
 from ._keep import KeepOffer
 
-_SECOND_COPY_WORTH = 0.02
+_SECOND_COPY_VALUE = 0.02
 
 
 def preferred_store(key: str, stores: tuple[str, ...]) -> str:
-    """Return the store of a key by rendezvous hashing.
+    """Return the preferred store of a key by rendezvous hashing.
 
-    Every node computes the same without a message, and a store that comes or goes
-    moves only what it holds itself.
+    All nodes calculate the same store without messages. If a store is added or
+    removed, only the keys that it has or had are assigned to another store.
 
     >>> preferred_store("00ff", ("store-a",))
     'store-a'
@@ -24,31 +24,31 @@
 def assign_stores(
     offers: list[KeepOffer], block_keys: tuple[str, ...], stores: tuple[str, ...]
 ) -> list[tuple[str, KeepOffer]]:
-    """Return which store each offer goes to.
+    """Return each offer with the store to which it is written.
 
-    A prompt has one home store, so that one import loads it. Shared pieces go to
-    the other stores, too, for prompts that have their home there and for the day a
-    store dies; but a second copy saves far less than the first, so that it is the
-    first to give way when a store is full.
+    All pieces of a prompt are written to its preferred store, so that one import loads
+    them. Shared pieces are also written to the other stores, for prompts that prefer
+    another store and in case a store fails. A second copy saves far less than the
+    first; its lower value makes it the first to be evicted when a store is full.
     """
     if not stores:
         return []
-    home = preferred_store(anchor_key(block_keys), stores)
+    preferred = preferred_store(anchor_key(block_keys), stores)
     placed = []
     for offer in offers:
-        placed.append((home, offer))
+        placed.append((preferred, offer))
         if offer.is_shared:
-            copy = replace(offer, reuses=offer.reuses * _SECOND_COPY_WORTH)
-            placed += [(name, copy) for name in stores if name != home]
+            copy = replace(offer, reuses=offer.reuses * _SECOND_COPY_VALUE)
+            placed += [(name, copy) for name in stores if name != preferred]
     return placed
 
 
 def anchor_key(block_keys: tuple[str, ...]) -> str:
-    """Return the key from which a prompt's home follows.
+    """Return the key that determines the preferred store of a prompt.
 
-    It lies between three eighths and three quarters of the prompt, at a power of
-    two: behind the clauses that many documents share, before the question, and for
-    all questions about one document nearly always in the same place.
+    It is the key at a power of two between three eighths and three quarters of the
+    prompt: after the clauses that many documents share and before the question. For
+    all questions about one document it is nearly always the same key.
     """
     if not block_keys:
         return ""
--- a/tests/placement/test_keep.py
+++ b/tests/placement/test_keep.py
@@ -22,21 +22,21 @@
     def see(self, keys, account="a", now_ms=0.0, **options):
         return self.policy.on_prompt(now_ms, ServedPrompt(account, keys, **options))
 
-    def test_shared_prefix_comes_before_tails_and_goes_to_every_store(self):
+    def test_shared_prefix_is_offered_first_and_marked_as_shared(self):
         for number in range(4):
             offers = self.see(chain(number, 8, self.clauses))
         self.assertEqual([o.piece.first for o in offers[:4]], [0, 4, 8, 12])
         self.assertTrue(all(offer.is_shared for offer in offers[:4]))
         self.assertFalse(any(offer.is_shared for offer in offers[4:]))
 
-    def test_what_a_store_has_is_not_offered_again(self):
+    def test_pieces_that_a_store_has_are_not_offered_again(self):
         offers = self.see(self.clauses, kept_blocks=8)
         self.assertEqual({offer.piece.first for offer in offers}, {8, 12})
 
-    def test_account_that_never_returns_soon_exports_nothing(self):
-        """Symptom: kept work of everybody else is gone. Sequence: one account
-        sends thousands of prompts once each. Cause: every new prompt was exported
-        on the hope that it returns."""
+    def test_account_that_repeats_no_prompt_soon_exports_nothing(self):
+        """The kept blocks of all other accounts were evicted. One account sent
+        thousands of prompts once each, and every new prompt was exported in case it
+        would be repeated."""
         first = self.see(chain("scan", 32), "scanner")
         self.assertTrue(first)
         for number in range(600):
@@ -44,7 +44,7 @@
         self.assertEqual(last, [])
         self.assertTrue(self.see(chain("b", 32), "b"))
 
-    def test_prompts_that_do_return_are_offered_at_first_sight(self):
+    def test_prompts_likely_to_be_repeated_are_offered_at_the_first_use(self):
         for number in range(100):
             keys = chain(number, 32)
             self.see(keys, now_ms=number * MINUTE_MS)
@@ -54,7 +54,7 @@
         self.assertGreater(offers[0].reuses, 0.8)
         self.assertAlmostEqual(offers[0].gap_ms / MINUTE_MS, 30, delta=2)
 
-    def test_hint_outweighs_what_was_learnt(self):
+    def test_hint_takes_precedence_over_the_estimate(self):
         for number in range(600):
             self.see(chain(("scan", number), 32), "scanner", number)
         offers = self.see(chain("named", 32), "scanner", hinted_blocks=16)
--- a/tests/placement/test_sketch.py
+++ b/tests/placement/test_sketch.py
@@ -10,7 +10,7 @@
 
 
 class FrequencySketchTests(unittest.TestCase):
-    def test_never_says_too_little_and_rarely_too_much(self):
+    def test_never_underestimates_and_rarely_overestimates(self):
         sketch = FrequencySketch(1 << 12)
         counts = Counter()
         for number in range(2_000):
--- a/tests/placement/test_space.py
+++ b/tests/placement/test_space.py
@@ -27,7 +27,7 @@
             for number in range(count)
         ]
 
-    def test_memory_goes_to_disk_and_comes_back_when_it_is_used(self):
+    def test_piece_is_moved_to_disk_and_back_to_memory_when_used(self):
         self.fill("a", 11, 1.0)
         self.assertEqual(self.space.used(Tier.DISK), 1)
         (demoted,) = (
@@ -39,23 +39,22 @@
         self.assertIs(self.space.tier(demoted), Tier.MEMORY)
         self.assertEqual(self.space.used(Tier.MEMORY), 10)
 
-    def test_full_store_declines_what_is_worth_less_than_all_it_holds(self):
+    def test_full_store_declines_the_least_valuable_piece(self):
         self.fill("a", 100, 2.0)
         self.assertEqual(self.space.offer(0, offer("x", reuses=0.5)), Decline())
         self.assertEqual(len(self.space), 100)
 
-    def test_full_store_evicts_for_what_is_worth_more(self):
+    def test_full_store_evicts_for_a_more_valuable_piece(self):
         self.fill("a", 100, 0.5)
         result = self.space.offer(0, offer("x", "b", reuses=2.0))
         self.assertIsInstance(result, Admit)
         self.assertEqual(len(result.evicted), 1)
         self.assertEqual(len(self.space), 100)
 
-    def test_large_account_does_not_wash_out_the_rest(self):
-        """Symptom: the small accounts recompute everything after a large one's
-        busy morning. Sequence: the large account offers many times the store's
-        size, each worth as much as what the others hold. Cause: eviction looked
-        at worth alone and not at whose it was."""
+    def test_large_account_does_not_displace_the_others(self):
+        """Small accounts had to recompute everything. A large account had offered many
+        times the store's size in pieces as valuable as those of the others, and
+        eviction considered only the value of a piece and not its account."""
         for number in range(3):
             self.fill(f"small-{number}", 10, 1.0)
         for number in range(1_000):
@@ -68,13 +67,13 @@
         kept = sum(self.space.account_pieces(f"small-{n}") for n in range(3))
         self.assertEqual(kept, 30)
 
-    def test_unused_pieces_lose_their_worth(self):
+    def test_unused_pieces_lose_value(self):
         self.fill("a", 100, 2.0)
         result = self.space.offer(24 * HOUR_MS, offer("x", "b", reuses=0.5))
         self.assertIsInstance(result, Admit)
 
-    def test_of_equal_pieces_the_deeper_gives_way(self):
-        """A block without those before it is of no use."""
+    def test_later_one_of_equally_valuable_pieces_is_demoted(self):
+        """A block cannot be used without the blocks before it."""
         for number in range(12):
             self.space.offer(0, offer(number, first=4 * number))
         demoted = [n for n in range(12) if self.space.tier(key_of(n)) is Tier.DISK]
@@ -84,9 +83,9 @@
 class StoreSpaceProperties(unittest.TestCase):
     @settings(derandomize=True, database=None, deadline=None, max_examples=100)
     @given(st.integers(1, 6), st.integers(0, 12), st.integers(0, 2**32))
-    def test_accounts_match_what_is_held(self, memory, disk, seed):
-        """Whatever is offered, touched and removed: neither tier is overfull, every
-        admitted piece that was not evicted is held, and the accounts' sums agree."""
+    def test_counts_match_the_stored_pieces(self, memory, disk, seed):
+        """After any offers, uses and removals, no tier exceeds its size, every admitted
+        piece that was not evicted is stored, and the counts per account are right."""
         source = random.Random(seed)
         space = StoreSpace(memory_pieces=memory, disk_pieces=disk, seed=seed)
         account_by_key = {}
@@ -111,6 +110,6 @@
             self.assertLessEqual(space.used(Tier.DISK), disk)
             self.assertEqual(len(space), len(account_by_key))
             for name in "abc":
-                held = list(account_by_key.values()).count(name)
-                self.assertEqual(space.account_pieces(name), held)
+                stored = list(account_by_key.values()).count(name)
+                self.assertEqual(space.account_pieces(name), stored)
             self.assertTrue(all(space.tier(key) for key in account_by_key))
--- a/tests/placement/test_watch.py
+++ b/tests/placement/test_watch.py
@@ -9,15 +9,14 @@
 
 
 class ImportWatchTests(unittest.TestCase):
-    def test_dead_store_costs_the_allowance_and_no_more(self):
-        """Symptom: first tokens late by a whole timeout. Sequence: the store dies
-        after the plan was made. Cause: the prompt waited for blocks that never
-        come."""
+    def test_store_that_delivers_nothing_costs_only_the_allowance(self):
+        """First tokens were late by a whole timeout. The store had crashed after the
+        plan was made, and the prompt waited for blocks that never arrived."""
         watch = ImportWatch(0, Import("s", 0, 100, BLOCK_MS, ALLOWANCE_MS))
         self.assertEqual(watch.abort_at_ms(), ALLOWANCE_MS)
-        self.assertFalse(watch.is_whole())
+        self.assertFalse(watch.is_complete())
 
-    def test_queue_that_would_be_waited_for_anyway_is_not_lost_time(self):
+    def test_wait_in_the_queue_is_added_to_the_allowed_time(self):
         plan = Import("s", 0, 100, BLOCK_MS, ALLOWANCE_MS)
         watch = ImportWatch(0, plan, queue_ms=400)
         self.assertEqual(watch.abort_at_ms(), 400 + ALLOWANCE_MS)
@@ -25,8 +24,8 @@
     @settings(derandomize=True, database=None, deadline=None)
     @given(st.lists(st.floats(0.1, 500), min_size=1, max_size=40))
     def test_never_later_than_computing_by_more_than_the_allowance(self, gaps):
-        """Blocks arrive after any gaps; whenever the watch gives up, computing what
-        is missing ends within the allowance of computing everything."""
+        """Blocks arrive after any gaps. Whenever the import is aborted, computing the
+        missing blocks ends within the allowance of computing all blocks."""
         watch = ImportWatch(0, Import("s", 0, len(gaps), BLOCK_MS, ALLOWANCE_MS))
         now_ms, arrived = 0.0, 0
         for gap in gaps:
