--- a/fireflyward/retries/__init__.py
+++ b/fireflyward/retries/__init__.py
@@ -1,4 +1,4 @@
-"""How often a request may be sent to a second replica."""
+"""Limits how many requests are sent again to another replica."""
 
 from ._budget import RetryBudget
 
