--- a/tests/limits/test_admission.py
+++ b/tests/limits/test_admission.py
@@ -104,8 +104,8 @@
 
     def test_single_request_of_a_light_account_may_exceed_the_window(self):
         """A request of a small account waited for a prefill of a large one. Eight nodes
-        shared six replicas, so each node had a window of two, and the large account's
-        share of it is one or two."""
+        shared six replicas, so each node had a window of two, which the large account
+        occupied: an account's share of two is one or two."""
         self.flood(0, 50)
         (single,) = self.enter(10, 1, "small")
         self.assertEqual(self.admission.decide(10), [single])
--- a/tests/limits/test_window.py
+++ b/tests/limits/test_window.py
@@ -15,7 +15,7 @@
 
     def test_simultaneous_late_tokens_shrink_it_once(self):
         """A single short delay reduced a node's window to one. A dozen first tokens
-        were late for the same reason, and each of them shrank the window."""
+        were late because of the same queue, and each of them shrank the window."""
         window = Window(10.0)
         for _ in range(12):
             window.on_first_token(1_000, 500.0, was_full=True)
