--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -9,7 +9,7 @@
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, FleetSettings
 from fireflyward.feeds import FeedFollower, Followed, Pace, SharedTables
-from fireflyward.forwarding import Forwarder, WeightBook
+from fireflyward.forwarding import Forwarder, WeightVersions
 from fireflyward.http1 import ConnectionPool
 from fireflyward.leases import Gained, LeaseNews, LeaseTask, Lost
 from fireflyward.observe import Metrics
@@ -69,7 +69,7 @@
         self._metrics = Metrics()
         self._pool = ConnectionPool(clock)
         self._store = StoreClient(settings.store.address, clock=clock)
-        self._weights = WeightBook(version_ms=bounds.version_ms)
+        self._weights = WeightVersions(version_ms=bounds.version_ms)
         self._routes = RouteTable(
             revoke_ms=bounds.revoke_ms,
             closes_without_contact=bounds.closes_without_contact,
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -7,7 +7,7 @@
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, ReplicaEntry
 from fireflyward.feeds import CARRIED_MS, Followed, TableRow
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.http1 import ConnectionPool
 from fireflyward.platform import (
     CONFIGURATION_KEY,
@@ -35,7 +35,7 @@
         *,
         clock: Clock,
         routes: RouteTable,
-        weights: WeightBook,
+        weights: WeightVersions,
         directory: ReplicaDirectory,
         failure_domains: tuple[str, ...],
         on_configuration: Callable[[Configuration], None],
--- a/fireflyward/forwarding/__init__.py
+++ b/fireflyward/forwarding/__init__.py
@@ -16,7 +16,7 @@
 )
 from ._plan import AttemptPlan
 from ._trace import Trace
-from ._weights import WeightBook
+from ._weights import WeightVersions
 
 __all__ = [
     "AttemptPlan",
@@ -32,6 +32,6 @@
     "Trace",
     "TryAgain",
     "Unsent",
-    "WeightBook",
+    "WeightVersions",
     "WholeAnswer",
 ]
--- a/fireflyward/forwarding/_forwarder.py
+++ b/fireflyward/forwarding/_forwarder.py
@@ -16,7 +16,7 @@
 from ._run import Run
 from ._tools import Notices, Reach, SendGate, Tools
 from ._trace import Trace
-from ._weights import WeightBook
+from ._weights import WeightVersions
 
 
 class Forwarder:
@@ -36,7 +36,7 @@
         pool: ConnectionPool,
         chooser: Chooser,
         budget: RetryBudget,
-        weights: WeightBook,
+        weights: WeightVersions,
         planner: PartPlanner,
         gate: SendGate,
         reach: Reach,
--- a/fireflyward/forwarding/_prompt.py
+++ b/fireflyward/forwarding/_prompt.py
@@ -5,7 +5,7 @@
 from fireflyward.replicas import Choice, Wanted
 from fireflyward.routes import Allowed
 
-from ._weights import WeightBook
+from ._weights import WeightVersions
 
 
 class PromptNeeds:
@@ -19,7 +19,7 @@
         allowed: Allowed,
         *,
         planner: PartPlanner,
-        weights: WeightBook,
+        weights: WeightVersions,
     ) -> None:
         self._caller = caller
         self._allowed = allowed
--- a/fireflyward/forwarding/_tools.py
+++ b/fireflyward/forwarding/_tools.py
@@ -15,7 +15,7 @@
 from ._admission import Admission
 from ._caller_times import CallerTimes
 from ._late_lane import LateLane
-from ._weights import WeightBook
+from ._weights import WeightVersions
 
 
 class SendGate(Protocol):
@@ -62,7 +62,7 @@
     pool: ConnectionPool
     chooser: Chooser
     budget: RetryBudget
-    weights: WeightBook
+    weights: WeightVersions
     planner: PartPlanner
     admission: Admission
     callers: CallerTimes
--- a/fireflyward/forwarding/_weights.py
+++ b/fireflyward/forwarding/_weights.py
@@ -10,13 +10,13 @@
 _AT_START_MS = 2_500
 
 
-class WeightBook:
+class WeightVersions:
     """The versions that operators named and since when this node knows; no I/O.
 
     Each version has a time limit of its own: a newer one that is named meanwhile
     gives the weights before the last no more time.
 
-    >>> book = WeightBook(version_ms=12_000)
+    >>> book = WeightVersions(version_ms=12_000)
     >>> book.take(0, WeightTarget("m", 2)), book.take(6_000, WeightTarget("m", 3))
     (True, True)
     >>> book.least(8_499, "m"), book.least(8_500, "m"), book.least(14_500, "m")
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Coroutine
 
 from fireflyward.clock import Clock
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.leases import Gained, LeaseTask, Lost
 from fireflyward.platform import ReplicaApi, ReplicaReport
 from fireflyward.replicas import ReplicaDirectory, ReplicaState
@@ -63,7 +63,7 @@
         lease: LeaseTask,
         api: ReplicaApi,
         directory: ReplicaDirectory,
-        weights: WeightBook,
+        weights: WeightVersions,
         news: LoadNews,
         busy_ms: Callable[[int, ReplicaState], float],
         node: str,
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -7,7 +7,7 @@
 from fireflyward.clock import ManualClock
 from fireflyward.feeds import Followed, TableRow
 from fireflyward.fleet._views import OperatorView, ReplicaView
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.replicas import ReplicaDirectory
 from fireflyward.routes import RouteTable
 from tests.platform_standins import ReplicaStandIn
@@ -21,7 +21,7 @@
         self.view = OperatorView(
             clock=self.clock,
             routes=RouteTable(revoke_ms=5_000, closes_without_contact=True),
-            weights=WeightBook(version_ms=12_000),
+            weights=WeightVersions(version_ms=12_000),
             directory=self.directory,
             failure_domains=("a", "b"),
             on_configuration=lambda configuration: None,
--- a/tests/forwarding/test_late_run.py
+++ b/tests/forwarding/test_late_run.py
@@ -12,7 +12,7 @@
     RouteKind,
     ServiceShare,
 )
-from fireflyward.forwarding import Forwarder, Trace, WeightBook
+from fireflyward.forwarding import Forwarder, Trace, WeightVersions
 from fireflyward.http1 import NotConnected
 from fireflyward.platform import CallerRequest
 from fireflyward.prefixes import PartPlanner
@@ -62,7 +62,7 @@
             pool=self.pool,
             chooser=Chooser(self.directory, failure_domain="a", seed=1),
             budget=RetryBudget(ratio=0.2, extra=10, window_ms=10_000),
-            weights=WeightBook(version_ms=12_000),
+            weights=WeightVersions(version_ms=12_000),
             planner=PartPlanner(),
             gate=OpenGate(),
             reach=MagicMock(),
--- a/tests/forwarding/test_silent_replicas.py
+++ b/tests/forwarding/test_silent_replicas.py
@@ -13,7 +13,7 @@
     Service,
     ServiceShare,
 )
-from fireflyward.forwarding import Forwarder, Trace, WeightBook
+from fireflyward.forwarding import Forwarder, Trace, WeightVersions
 from fireflyward.http1 import NotConnected
 from fireflyward.platform import CallerRequest
 from fireflyward.prefixes import PartPlanner
@@ -69,7 +69,7 @@
             pool=_Pool(connection),
             chooser=Chooser(self.directory, failure_domain="a", seed=1),
             budget=RetryBudget(ratio=0.2, extra=10, window_ms=10_000),
-            weights=WeightBook(version_ms=12_000),
+            weights=WeightVersions(version_ms=12_000),
             planner=PartPlanner(),
             gate=OpenGate(),
             reach=self.reach,
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -7,7 +7,7 @@
 
 from fireflyward.clock import ManualClock
 from fireflyward.deployment import Route, RouteKind, ServiceShare
-from fireflyward.forwarding import Forwarder, Trace, WeightBook
+from fireflyward.forwarding import Forwarder, Trace, WeightVersions
 from fireflyward.outcomes import NotRun
 from fireflyward.platform import CallerRequest
 from fireflyward.prefixes import PartPlanner
@@ -67,7 +67,7 @@
                 self.directory, failure_domain="a", rate_limits=limits, seed=1
             ),
             budget=RetryBudget(ratio=0.2, extra=10, window_ms=10_000),
-            weights=WeightBook(version_ms=12_000),
+            weights=WeightVersions(version_ms=12_000),
             planner=PartPlanner(),
             gate=OpenGate(),
             reach=MagicMock(),
--- a/tests/forwarding/test_weights.py
+++ b/tests/forwarding/test_weights.py
@@ -3,12 +3,12 @@
 import unittest
 
 from fireflyward.deployment import WeightTarget
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 
 
 class WeightTests(unittest.TestCase):
     def setUp(self):
-        self.book = WeightBook(version_ms=12_000)
+        self.book = WeightVersions(version_ms=12_000)
 
     def test_a_version_named_meanwhile_gives_the_first_no_more_time(self):
         """Symptom: a request begins on weights that were replaced 12 s ago.
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -11,7 +11,7 @@
 from fireflyward.feeds import Changes, Followed, HistoryLost, Snapshot, TableRow
 from fireflyward.fleet._peers import PeerRegister
 from fireflyward.fleet._views import OperatorView, ReplicaView
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.http1 import ConnectionPool
 from fireflyward.peers import pack
 from fireflyward.platform import (
@@ -152,7 +152,7 @@
         OperatorView(
             clock=clock,
             routes=routes,
-            weights=WeightBook(version_ms=12_000),
+            weights=WeightVersions(version_ms=12_000),
             directory=directory,
             failure_domains=("a",),
             on_configuration=lambda configuration: None,
--- a/tests/weights/test_starts.py
+++ b/tests/weights/test_starts.py
@@ -3,7 +3,7 @@
 import unittest
 
 from fireflyward.clock import ManualClock
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.leases import Claim
 from fireflyward.platform import OrderResult, ReplicaReport
 from fireflyward.replicas import ReplicaDirectory
@@ -43,7 +43,7 @@
             lease=_Lease(),
             api=self.api,
             directory=self.directory,
-            weights=WeightBook(version_ms=12_000),
+            weights=WeightVersions(version_ms=12_000),
             news=None,
             busy_ms=lambda now_ms, state: 0.0,
             node="entry-1",
--- a/tests/weights/test_task.py
+++ b/tests/weights/test_task.py
@@ -4,7 +4,7 @@
 
 from fireflyward.clock import ManualClock
 from fireflyward.deployment import ModelWeights, ReplicaEntry, WeightTarget
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.leases import Claim, Gained, Lost
 from fireflyward.replicas import ReplicaDirectory
 from fireflyward.weights import WeightTask
@@ -32,7 +32,7 @@
         self.clock = ManualClock(10_000)
         self.lease = Lease()
         self.directory = ReplicaDirectory()
-        self.weights = WeightBook(version_ms=12_000)
+        self.weights = WeightVersions(version_ms=12_000)
         self.task = WeightTask(
             clock=self.clock,
             lease=self.lease,
