--- a/fireflyward/fleet/_stores.py
+++ b/fireflyward/fleet/_stores.py
@@ -9,7 +9,7 @@
 from fireflyward.peers import PeerLink
 from fireflyward.platform import ReplicaApi
 from fireflyward.prefixes import (
-    KvNews,
+    KvUpdate,
     PartPlanner,
     SharedEvents,
     StoreFollower,
@@ -72,7 +72,7 @@
         for address in wanted.keys() - self._follower_by_address.keys():
             self._follow(address, wanted[address])
 
-    def _on_read(self, address: str, news: KvNews) -> None:
+    def _on_read(self, address: str, news: KvUpdate) -> None:
         self._shared.on_read(address, news)
         self._telling.on_read(address, news)
 
--- a/fireflyward/platform/_replica_api.py
+++ b/fireflyward/platform/_replica_api.py
@@ -14,7 +14,7 @@
     WholeResponse,
     read_whole,
 )
-from fireflyward.prefixes import KvEvent, KvNews, PartKey
+from fireflyward.prefixes import KvEvent, KvUpdate, PartKey
 
 from ._decoding import decoded
 
@@ -155,7 +155,7 @@
 
     async def kv_events(
         self, address: str, *, since: int, wait_ms: int, limit_ms: float
-    ) -> KvNews | None:
+    ) -> KvUpdate | None:
         """Wait for what changed at a store, None if it did not answer."""
         headers = [("Host", address), ("Wait-Ms", str(wait_ms))]
         target = f"{_KV_EVENTS}?since={since}"
@@ -170,9 +170,11 @@
             KvEvent(PartKey(salt, part), tokens)
             for _, _, salt, part, tokens, _ in raw.events
         )
-        return KvNews(raw.boot_epoch, events, raw.next, since=since, was_lost=raw.lost)
+        return KvUpdate(
+            raw.boot_epoch, events, raw.next, since=since, was_lost=raw.lost
+        )
 
-    async def kv_list(self, address: str, *, limit_ms: float) -> KvNews | None:
+    async def kv_list(self, address: str, *, limit_ms: float) -> KvUpdate | None:
         """Return all that a store holds whole, None if it did not answer."""
         headers = [("Host", address)]
         answer = await self._call(address, "GET", _KV_LIST, headers, b"", limit_ms)
@@ -184,7 +186,7 @@
         events = tuple(
             KvEvent(PartKey(salt, part), tokens) for salt, part, tokens, _ in raw.held
         )
-        return KvNews(raw.boot_epoch, events, raw.next, is_whole=True)
+        return KvUpdate(raw.boot_epoch, events, raw.next, is_whole=True)
 
     async def kv_free(
         self, address: str, *, epoch: int, keys: list[PartKey], limit_ms: float
--- a/fireflyward/prefixes/__init__.py
+++ b/fireflyward/prefixes/__init__.py
@@ -1,7 +1,7 @@
 """Where the KV cache of shared prompt parts is kept, and who saves it."""
 
 from ._follow import Following, StoreFollower
-from ._index import KvEvent, KvNews, PartKey, StoreIndex
+from ._index import KvEvent, KvUpdate, PartKey, StoreIndex
 from ._janitor import Janitor
 from ._planner import KvPlan, PartPlanner
 from ._salt import cache_salt, salt_version
@@ -12,7 +12,7 @@
     "Following",
     "Janitor",
     "KvEvent",
-    "KvNews",
+    "KvUpdate",
     "KvPlan",
     "PartKey",
     "PartPlanner",
--- a/fireflyward/prefixes/_encoding.py
+++ b/fireflyward/prefixes/_encoding.py
@@ -2,11 +2,11 @@
 
 from typing import Any
 
-from ._index import KvEvent, KvNews, PartKey
+from ._index import KvEvent, KvUpdate, PartKey
 from ._prefixes_structs import StoreEvents
 
 
-def encoded(address: str, news: KvNews) -> Any:
+def encoded(address: str, news: KvUpdate) -> Any:
     """Return news of a store as a struct; each salt is written once."""
     salts = list({event.key.salt: None for event in news.events})
     number_by_salt = {salt: number for number, salt in enumerate(salts)}
@@ -22,7 +22,7 @@
     )
 
 
-def decoded(told: Any, *, is_whole: bool = False, was_lost: bool = False) -> KvNews:
+def decoded(told: Any, *, is_whole: bool = False, was_lost: bool = False) -> KvUpdate:
     """Return the news of a struct."""
     events = tuple(
         KvEvent(PartKey(told.salts[salt], part_id), tokens)
@@ -30,7 +30,7 @@
             told.salt_of, told.part_ids, told.tokens, strict=True
         )
     )
-    return KvNews(
+    return KvUpdate(
         told.epoch,
         events,
         told.next_event,
--- a/fireflyward/prefixes/_follow.py
+++ b/fireflyward/prefixes/_follow.py
@@ -8,7 +8,7 @@
 
 from fireflyward.clock import Clock, within_ms
 
-from ._index import KvNews, StoreIndex
+from ._index import KvUpdate, StoreIndex
 
 log = logging.getLogger("fireflyward.prefixes")
 
@@ -46,9 +46,9 @@
 
     async def kv_events(
         self, address: str, *, since: int, wait_ms: int, limit_ms: float
-    ) -> KvNews | None: ...
+    ) -> KvUpdate | None: ...
 
-    async def kv_list(self, address: str, *, limit_ms: float) -> KvNews | None: ...
+    async def kv_list(self, address: str, *, limit_ms: float) -> KvUpdate | None: ...
 
 
 class StoreFollower:
@@ -67,7 +67,7 @@
         reader: KvReader,
         clock: Clock,
         way: Callable[[], Following],
-        on_read: Callable[[str, KvNews], None] = lambda address, news: None,
+        on_read: Callable[[str, KvUpdate], None] = lambda address, news: None,
     ) -> None:
         self._index = index
         self._reader = reader
@@ -117,7 +117,7 @@
         self._heard_ms = self._clock.now_ms()
         return True
 
-    def hear(self, news: KvNews) -> None:
+    def hear(self, news: KvUpdate) -> None:
         """Take what an aggregator read, if it follows on what is known here."""
         index = self._index
         if news.epoch != index.epoch and news.since == 0:
--- a/fireflyward/prefixes/_index.py
+++ b/fireflyward/prefixes/_index.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KvNews:
+class KvUpdate:
     """Events of one life of a store; ``is_whole`` when they are all it holds.
 
     They come after the event ``since``; ``next_event`` is the ``since`` of the next.
@@ -79,7 +79,7 @@
     def __len__(self) -> int:
         return len(self._tokens_by_key)
 
-    def take(self, news: KvNews) -> bool:
+    def take(self, news: KvUpdate) -> bool:
         """Take events; return False when everything must be read anew."""
         if self.epoch != news.epoch:
             self._clear()
@@ -94,7 +94,7 @@
             self._apply(event)
         return True
 
-    def difference(self, whole: KvNews) -> KvNews:
+    def difference(self, whole: KvUpdate) -> KvUpdate:
         """Return the events that lead from what is known here to a whole list.
 
         Whoever follows this node misses nothing then, although it missed events.
@@ -102,14 +102,14 @@
         held = {event.key: event for event in whole.events}
         freed = [KvEvent(key, 0) for key in self._tokens_by_key if key not in held]
         made = [event for key, event in held.items() if key not in self._tokens_by_key]
-        return KvNews(
+        return KvUpdate(
             whole.epoch, (*freed, *made), whole.next_event, since=self.next_event
         )
 
-    def whole(self) -> KvNews:
+    def whole(self) -> KvUpdate:
         """Return all that is known to be there."""
         events = tuple(KvEvent(key, n) for key, n in self._tokens_by_key.items())
-        return KvNews(self.epoch or 0, events, self.next_event, is_whole=True)
+        return KvUpdate(self.epoch or 0, events, self.next_event, is_whole=True)
 
     def restart(self, epoch: int, *, no_saves_until_ms: int) -> None:
         """Take word that the store is in a new life, and empty; save nothing yet.
--- a/fireflyward/prefixes/_sharing.py
+++ b/fireflyward/prefixes/_sharing.py
@@ -11,7 +11,7 @@
 
 from ._encoding import decoded, encoded
 from ._follow import NEIGHBOUR_LIMIT_MS, KvReader
-from ._index import KvEvent, KvNews, StoreIndex
+from ._index import KvEvent, KvUpdate, StoreIndex
 from ._prefixes_structs import StoreAnswer, StoreAsk
 
 log = logging.getLogger("fireflyward.prefixes")
@@ -28,8 +28,8 @@
     """The last events of one store, as they were read; no I/O.
 
     >>> recent = RecentEvents()
-    >>> recent.take(KvNews(7, (), 12, since=10))
-    >>> recent.take(KvNews(7, (), 15, since=12))
+    >>> recent.take(KvUpdate(7, (), 12, since=10))
+    >>> recent.take(KvUpdate(7, (), 15, since=12))
     >>> recent.after(11).next_event, recent.after(3) is None
     (15, True)
     """
@@ -37,9 +37,9 @@
     __slots__ = ("_calls",)
 
     def __init__(self) -> None:
-        self._calls: deque[KvNews] = deque(maxlen=_CALLS_KEPT)
+        self._calls: deque[KvUpdate] = deque(maxlen=_CALLS_KEPT)
 
-    def take(self, news: KvNews) -> None:
+    def take(self, news: KvUpdate) -> None:
         """Take what one call read; a gap or another life of the store ends the rest."""
         last = self._calls[-1] if self._calls else None
         if last is not None:
@@ -49,7 +49,7 @@
                 return
         self._calls.append(news)
 
-    def after(self, since: int) -> KvNews | None:
+    def after(self, since: int) -> KvUpdate | None:
         """Return all events after a number, None if they are not all kept.
 
         To whoever knows more than this node nothing is new; what it has seen freed
@@ -59,12 +59,12 @@
             return None
         last = self._calls[-1]
         if since >= last.next_event:
-            return KvNews(last.epoch, (), since, since=since)
+            return KvUpdate(last.epoch, (), since, since=since)
         events: list[KvEvent] = []
         for news in self._calls:
             if news.next_event > since:
                 events += news.events
-        return KvNews(last.epoch, tuple(events), last.next_event, since=since)
+        return KvUpdate(last.epoch, tuple(events), last.next_event, since=since)
 
 
 class SharedEvents:
@@ -97,13 +97,13 @@
         self._link = link
         link.register(_KIND, StoreAsk, self._answer)
 
-    def on_read(self, address: str, news: KvNews) -> None:
+    def on_read(self, address: str, news: KvUpdate) -> None:
         """Keep what this node read of a store, for those that miss it."""
         self._recent_by_address.setdefault(address, RecentEvents()).take(news)
 
     async def kv_events(
         self, address: str, *, since: int, wait_ms: int, limit_ms: float
-    ) -> KvNews | None:
+    ) -> KvUpdate | None:
         """Return the events after ``since``; an aggregator answers at once."""
         ask = StoreAsk(address=address, since=since, is_whole=False)
         answer = await self._ask(ask)
@@ -113,7 +113,7 @@
             )
         return _news(answer)
 
-    async def kv_list(self, address: str, *, limit_ms: float) -> KvNews | None:
+    async def kv_list(self, address: str, *, limit_ms: float) -> KvUpdate | None:
         """Return all that a store holds."""
         answer = await self._ask(StoreAsk(address=address, since=0, is_whole=True))
         if answer is None:
@@ -154,12 +154,12 @@
         recent = self._recent_by_address.get(ask.address)
         news = None if recent is None else recent.after(ask.since)
         if news is None or news.epoch != index.epoch:
-            lost = KvNews(index.epoch, (), index.next_event, since=ask.since)
+            lost = KvUpdate(index.epoch, (), index.next_event, since=ask.since)
             return StoreAnswer(outcome=_LOST, events=encoded(ask.address, lost))
         return StoreAnswer(outcome=_EVENTS, events=encoded(ask.address, news))
 
 
-def _news(answer: Any) -> KvNews | None:
+def _news(answer: Any) -> KvUpdate | None:
     if answer.outcome == _UNABLE or answer.events is None:
         return None
     return decoded(
--- a/fireflyward/prefixes/_telling.py
+++ b/fireflyward/prefixes/_telling.py
@@ -9,7 +9,7 @@
 
 from ._encoding import decoded, encoded
 from ._follow import Following, StoreFollower
-from ._index import KvNews
+from ._index import KvUpdate
 from ._prefixes_structs import StoresNews
 
 _KIND = "stores"
@@ -41,8 +41,8 @@
         self._clock = clock
         self._aggregators = aggregators
         self._followers = followers
-        self._unsaid: list[tuple[str, KvNews]] = []
-        self._last_by_address: dict[str, tuple[int, KvNews]] = {}
+        self._unsaid: list[tuple[str, KvUpdate]] = []
+        self._last_by_address: dict[str, tuple[int, KvUpdate]] = {}
 
     def way(self) -> Following:
         """Return how this node follows stores now."""
@@ -52,7 +52,7 @@
             return Following.FOR_OTHERS
         return Following.FROM_AGGREGATOR
 
-    def on_read(self, address: str, news: KvNews) -> None:
+    def on_read(self, address: str, news: KvUpdate) -> None:
         """Keep what was read from a store until it is told."""
         if self.way() is not Following.FOR_OTHERS:
             self._last_by_address.pop(address, None)
@@ -95,13 +95,13 @@
                 follower.hear(decoded(told))
 
 
-def _groups(unsaid: list[tuple[str, KvNews]]) -> Iterator[list[tuple[str, KvNews]]]:
+def _groups(unsaid: list[tuple[str, KvUpdate]]) -> Iterator[list[tuple[str, KvUpdate]]]:
     """Cut what is to be told into what fits into a datagram.
 
     What one call read stays together. If that alone is too much it is not sent, and
     listeners find that they miss something by the next one.
     """
-    group: list[tuple[str, KvNews]] = []
+    group: list[tuple[str, KvUpdate]] = []
     size = 0
     for address, news in unsaid:
         more = _STORE_BYTES + _EVENT_BYTES * len(news.events)
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -23,7 +23,7 @@
     decode_replica,
     decode_weight_target,
 )
-from fireflyward.prefixes import KvNews
+from fireflyward.prefixes import KvUpdate
 from fireflyward.quarantine import Free, Held, OnTrial, Suspects
 from fireflyward.quarantine._quarantine_structs import ClearNews
 from fireflyward.quarantine._rows import SuspectRows
@@ -114,9 +114,9 @@
         found = self.ask(api.report(address, "i", limit_ms=500), status, body)
         self.assertIsInstance(found, ReplicaReport | None)
         call = api.kv_events(address, since=0, wait_ms=0, limit_ms=500)
-        self.assertIsInstance(self.ask(call, status, body), KvNews | None)
+        self.assertIsInstance(self.ask(call, status, body), KvUpdate | None)
         call = api.kv_list(address, limit_ms=500)
-        self.assertIsInstance(self.ask(call, status, body), KvNews | None)
+        self.assertIsInstance(self.ask(call, status, body), KvUpdate | None)
 
 
 class RowTests(unittest.TestCase):
--- a/tests/prefixes/test_follow.py
+++ b/tests/prefixes/test_follow.py
@@ -7,7 +7,7 @@
 from fireflyward.prefixes import (
     Following,
     KvEvent,
-    KvNews,
+    KvUpdate,
     PartKey,
     StoreFollower,
     StoreIndex,
@@ -44,7 +44,7 @@
             return None
         was_lost = len(self.events) - since > self.keeps
         found = tuple(self.events[since:])
-        return KvNews(
+        return KvUpdate(
             self.epoch, found, len(self.events), since=since, was_lost=was_lost
         )
 
@@ -54,7 +54,7 @@
             return None
         held = {event.key: event for event in self.events}
         whole = tuple(event for event in held.values() if event.tokens)
-        return KvNews(self.epoch, whole, len(self.events), is_whole=True)
+        return KvUpdate(self.epoch, whole, len(self.events), is_whole=True)
 
 
 class _Node:
--- a/tests/prefixes/test_index.py
+++ b/tests/prefixes/test_index.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from fireflyward.prefixes import KvEvent, KvNews, PartKey, StoreIndex
+from fireflyward.prefixes import KvEvent, KvUpdate, PartKey, StoreIndex
 
 KEY = PartKey("m~1", "p")
 
 
 def news(*events, epoch=1, next_event=1, **options):
-    return KvNews(epoch, events, next_event, **options)
+    return KvUpdate(epoch, events, next_event, **options)
 
 
 class IndexTests(unittest.TestCase):
--- a/tests/prefixes/test_planner.py
+++ b/tests/prefixes/test_planner.py
@@ -6,7 +6,7 @@
 from fireflyward.deployment import KvStore
 from fireflyward.prefixes import (
     KvEvent,
-    KvNews,
+    KvUpdate,
     PartKey,
     PartPlanner,
     cache_salt,
@@ -25,7 +25,7 @@
         self.planner = PartPlanner()
         self.planner.set_stores([store("s1"), store("s2")])
         for index in self.planner.indexes():
-            index.take(KvNews(1, (), 0))
+            index.take(KvUpdate(1, (), 0))
 
     def plan(self, salt="m~1", now_ms=0, elsewhere="r1:80"):
         return self.planner.plan(now_ms, salt, PARTS, elsewhere=elsewhere)
@@ -33,7 +33,7 @@
     def fill(self, salt):
         for index in self.planner.indexes():
             events = tuple(KvEvent(PartKey(salt, name), n) for name, n in PARTS)
-            index.take(KvNews(1, events, 0))
+            index.take(KvUpdate(1, events, 0))
 
     def test_first_a_replica_is_asked_and_shared_parts_are_saved(self):
         plan = self.plan()
@@ -59,7 +59,7 @@
         other = PartPlanner()
         other.set_stores([store("s2"), store("s1")])
         for index in other.indexes():
-            index.take(KvNews(1, (), 0))
+            index.take(KvUpdate(1, (), 0))
         mine = self.plan().saves
         theirs = other.plan(0, "m~1", PARTS, elsewhere=None).saves
         self.assertEqual(mine, theirs)
@@ -68,7 +68,7 @@
         planner = PartPlanner()
         planner.set_stores([store("s1", 100_000_000), store("s2", 300_000_000)])
         for index in planner.indexes():
-            index.take(KvNews(1, (), 0))
+            index.take(KvUpdate(1, (), 0))
         counts = Counter(
             planner.plan(0, "m~1", ((f"p{n}", 300), ("q", 1)), elsewhere=None).saves[0]
             for n in range(2_000)
@@ -84,7 +84,7 @@
         planner = PartPlanner()
         planner.set_stores([store(f"s{i}", 20_000) for i in range(5)])
         for index in planner.indexes():
-            index.take(KvNews(1, (), 0))
+            index.take(KvUpdate(1, (), 0))
         saved = 0
         for n in range(11):
             parts = ((f"p{n}", 8_000), ("q", 1))
@@ -98,7 +98,7 @@
             planner.set_stores([store("s1"), store("s2")])
             for index in planner.indexes():
                 held = (KvEvent(PartKey("m~1", "own"), 8_000),)
-                index.take(KvNews(1, held if index.address == address else (), 0))
+                index.take(KvUpdate(1, held if index.address == address else (), 0))
             plan = planner.plan(0, "m~1", PARTS, elsewhere=None)
             self.assertEqual(plan.sources[1], address)
 
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -8,7 +8,7 @@
 from fireflyward.prefixes import (
     Following,
     KvEvent,
-    KvNews,
+    KvUpdate,
     PartKey,
     SharedEvents,
     StoreFollower,
@@ -34,12 +34,14 @@
     async def kv_events(self, address, *, since, wait_ms, limit_ms):
         self.calls += 1
         events = tuple(self.events[since:])
-        return KvNews(self.epoch, events, len(self.events), since=since)
+        return KvUpdate(self.epoch, events, len(self.events), since=since)
 
     async def kv_list(self, address, *, limit_ms):
         self.calls += 1
         held = {event.key: event for event in self.events if event.tokens}
-        return KvNews(self.epoch, tuple(held.values()), len(self.events), is_whole=True)
+        return KvUpdate(
+            self.epoch, tuple(held.values()), len(self.events), is_whole=True
+        )
 
 
 class _Link:
--- a/tests/prefixes/test_telling.py
+++ b/tests/prefixes/test_telling.py
@@ -5,7 +5,7 @@
 from fireflyward.aggregators import Aggregators, Member
 from fireflyward.clock import ManualClock
 from fireflyward.peers import pack, unpack
-from fireflyward.prefixes import Following, KvEvent, KvNews, PartKey, StoreTelling
+from fireflyward.prefixes import Following, KvEvent, KvUpdate, PartKey, StoreTelling
 from fireflyward.prefixes._telling import StoresNews
 
 
@@ -51,7 +51,7 @@
     events = tuple(
         KvEvent(PartKey(f"m~{i % 2}", f"p{since + i}"), 16 * i) for i in range(count)
     )
-    return KvNews(7, events, since + count, since=since)
+    return KvUpdate(7, events, since + count, since=since)
 
 
 class StoreTellingTests(unittest.IsolatedAsyncioTestCase):
@@ -95,7 +95,7 @@
         the next events only, each listener took the difference for a gap.
         """
         self.first.telling.on_read("s:1", news(10, 0))
-        self.first.telling.on_read("s:1", KvNews(7, (), 12, since=10))
+        self.first.telling.on_read("s:1", KvUpdate(7, (), 12, since=10))
         self.first.telling.tell(self.first.link)
         ((_, told),) = self.first.link.sent
         self.assertEqual([item.next_event for item in told.stores], [10, 12])
