--- a/fireflyward/fleet/_stores.py
+++ b/fireflyward/fleet/_stores.py
@@ -14,7 +14,7 @@
     SharedEvents,
     StoreFollower,
     StoreIndex,
-    StoreTelling,
+    StorePublisher,
 )
 
 Run = Coroutine[None, None, None]
@@ -43,7 +43,7 @@
         self._shared = SharedEvents(
             api, clock=clock, aggregators=aggregators, index_of=self._index_of
         )
-        self._telling = StoreTelling(
+        self._telling = StorePublisher(
             clock=clock,
             aggregators=aggregators,
             followers=lambda: self._follower_by_address.items(),
--- a/fireflyward/prefixes/__init__.py
+++ b/fireflyward/prefixes/__init__.py
@@ -6,7 +6,7 @@
 from ._planner import KvPlan, PartPlanner
 from ._salt import cache_salt, salt_version
 from ._sharing import SharedEvents
-from ._telling import StoreTelling
+from ._telling import StorePublisher
 
 __all__ = [
     "Following",
@@ -19,7 +19,7 @@
     "SharedEvents",
     "StoreFollower",
     "StoreIndex",
-    "StoreTelling",
+    "StorePublisher",
     "cache_salt",
     "salt_version",
 ]
--- a/fireflyward/prefixes/_telling.py
+++ b/fireflyward/prefixes/_telling.py
@@ -28,7 +28,7 @@
 _MOST_BYTES = 1_150
 
 
-class StoreTelling:
+class StorePublisher:
     """Collects what followers read, tells it, and gives followers what is told."""
 
     def __init__(
--- a/tests/prefixes/test_telling.py
+++ b/tests/prefixes/test_telling.py
@@ -5,7 +5,7 @@
 from fireflyward.aggregators import Aggregators, Member
 from fireflyward.clock import ManualClock
 from fireflyward.peers import pack, unpack
-from fireflyward.prefixes import Following, KvEvent, KvUpdate, PartKey, StoreTelling
+from fireflyward.prefixes import Following, KvEvent, KvUpdate, PartKey, StorePublisher
 from fireflyward.prefixes._telling import StoresNews
 
 
@@ -39,7 +39,7 @@
         self.aggregators.set_members(members(name))
         self.follower = _Follower()
         self.link = _Link()
-        self.telling = StoreTelling(
+        self.telling = StorePublisher(
             clock=clock,
             aggregators=self.aggregators,
             followers=lambda: [("s:1", self.follower)],
