--- a/fireflyward/fleet/_stores.py
+++ b/fireflyward/fleet/_stores.py
@@ -11,7 +11,7 @@
 from fireflyward.prefixes import (
     KvUpdate,
     PartPlanner,
-    SharedEvents,
+    SharedStoreReader,
     StoreFollower,
     StoreIndex,
     StorePublisher,
@@ -40,7 +40,7 @@
         self._guarded = guarded
         self._follower_by_address: dict[str, StoreFollower] = {}
         self._task_by_address: dict[str, asyncio.Task[None]] = {}
-        self._shared = SharedEvents(
+        self._shared = SharedStoreReader(
             api, clock=clock, aggregators=aggregators, index_of=self._index_of
         )
         self._telling = StorePublisher(
--- a/fireflyward/prefixes/__init__.py
+++ b/fireflyward/prefixes/__init__.py
@@ -5,7 +5,7 @@
 from ._janitor import Janitor
 from ._planner import KvPlan, PartPlanner
 from ._salt import cache_salt, salt_version
-from ._sharing import SharedEvents
+from ._sharing import SharedStoreReader
 from ._telling import StorePublisher
 
 __all__ = [
@@ -16,7 +16,7 @@
     "KvPlan",
     "PartKey",
     "PartPlanner",
-    "SharedEvents",
+    "SharedStoreReader",
     "StoreFollower",
     "StoreIndex",
     "StorePublisher",
--- a/fireflyward/prefixes/_follow.py
+++ b/fireflyward/prefixes/_follow.py
@@ -57,7 +57,7 @@
     A few nodes each wait at the store. A store lets about a dozen callers wait, so
     of many nodes only the aggregators do, and tell the others what they read. A
     listener that hears nothing, or misses something, asks once; its reader passes the
-    question to the aggregator (``SharedEvents``).
+    question to the aggregator (``SharedStoreReader``).
     """
 
     def __init__(
--- a/fireflyward/prefixes/_sharing.py
+++ b/fireflyward/prefixes/_sharing.py
@@ -67,7 +67,7 @@
         return KvUpdate(last.epoch, tuple(events), last.next_event, since=since)
 
 
-class SharedEvents:
+class SharedStoreReader:
     """Reads stores through the aggregator, and from the store where that fails.
 
     A store lets about a dozen callers wait and turns others away. When one datagram
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -10,7 +10,7 @@
     KvEvent,
     KvUpdate,
     PartKey,
-    SharedEvents,
+    SharedStoreReader,
     StoreFollower,
     StoreIndex,
 )
@@ -69,7 +69,7 @@
         )
         self.is_first = aggregators.own(0) is None
         self.index = StoreIndex(STORE, 10_000)
-        self.events = SharedEvents(
+        self.events = SharedStoreReader(
             store,
             clock=clock,
             aggregators=aggregators,
