--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -21,7 +21,7 @@
     ReplicaApi,
     StoreClient,
 )
-from fireflyward.prefixes import Janitor, PartPlanner
+from fireflyward.prefixes import GarbageCollector, PartPlanner
 from fireflyward.quarantine import Quarantine
 from fireflyward.retries import RetryBudget
 from fireflyward.routes import RouteTable
@@ -184,7 +184,7 @@
             lease_ms=bounds.lease_ms,
             slack_ms=bounds.thaw_slack_ms,
         )
-        self._janitor = Janitor(
+        self._janitor = GarbageCollector(
             clock=clock,
             planner=self._planner,
             freer=self._api,
--- a/fireflyward/prefixes/__init__.py
+++ b/fireflyward/prefixes/__init__.py
@@ -2,7 +2,7 @@
 
 from ._follow import Following, StoreFollower
 from ._index import KvEvent, KvUpdate, PartKey, StoreIndex
-from ._janitor import Janitor
+from ._janitor import GarbageCollector
 from ._planner import KvPlan, PartPlanner
 from ._salt import cache_salt, salt_version
 from ._sharing import SharedStoreReader
@@ -10,7 +10,7 @@
 
 __all__ = [
     "Following",
-    "Janitor",
+    "GarbageCollector",
     "KvEvent",
     "KvUpdate",
     "KvPlan",
--- a/fireflyward/prefixes/_janitor.py
+++ b/fireflyward/prefixes/_janitor.py
@@ -96,7 +96,7 @@
         return now_ms - since_ms >= (_MOVED_ON_MS if moved_on else _SETTLED_MS)
 
 
-class Janitor:
+class GarbageCollector:
     """Frees garbage from every store while ``may_act`` says so."""
 
     def __init__(
--- a/tests/prefixes/test_janitor.py
+++ b/tests/prefixes/test_janitor.py
@@ -4,7 +4,13 @@
 
 from fireflyward.clock import ManualClock
 from fireflyward.deployment import KvStore
-from fireflyward.prefixes import Janitor, KvEvent, KvUpdate, PartKey, PartPlanner
+from fireflyward.prefixes import (
+    GarbageCollector,
+    KvEvent,
+    KvUpdate,
+    PartKey,
+    PartPlanner,
+)
 from fireflyward.prefixes._janitor import Garbage
 
 OLD, NEW, FOREIGN = PartKey("m~1", "p"), PartKey("m~2", "p"), PartKey("x", "p")
@@ -85,7 +91,7 @@
         planner.set_stores([KvStore("kv:1", "a", 10_000, 1_000.0, drops_nothing=True)])
         (index,) = planner.indexes()
         index.take(KvUpdate(7, (KvEvent(OLD, 100),), 1))
-        janitor = Janitor(
+        janitor = GarbageCollector(
             clock=clock,
             planner=planner,
             freer=freer,
