--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -184,7 +184,7 @@
             lease_ms=bounds.lease_ms,
             slack_ms=bounds.thaw_slack_ms,
         )
-        self._janitor = GarbageCollector(
+        self._garbage_collector = GarbageCollector(
             clock=clock,
             planner=self._planner,
             freer=self._api,
@@ -249,7 +249,7 @@
             self._lost_rows.run(),
             self._lease.run(),
             self._weight_task.run(),
-            self._janitor.run(),
+            self._garbage_collector.run(),
             self._quarantine.run(),
             self._known.notices.run(),
         )
