--- a/fireflyward/forwarding/_forwarder.py
+++ b/fireflyward/forwarding/_forwarder.py
@@ -52,7 +52,7 @@
             planner=planner,
             admission=admission or Admission(),
             callers=CallerTimes(),
-            late_lane=LateLane(),
+            late_limit=LateLane(),
             gate=gate,
             reach=reach,
             notices=notices,
@@ -60,7 +60,7 @@
 
     def set_nodes(self, nodes: int) -> None:
         """Take the number of nodes that send to the same replicas."""
-        self._tools.late_lane.set_nodes(nodes)
+        self._tools.late_limit.set_nodes(nodes)
 
     async def serve(
         self,
--- a/fireflyward/forwarding/_run.py
+++ b/fireflyward/forwarding/_run.py
@@ -209,7 +209,7 @@
         refusal = admission.refusal(prospect)
         if refusal is None or not admission.may_wait(prospect):
             return refusal
-        self._waits_late = self._tools.late_lane.enter(self._service, choice.slots)
+        self._waits_late = self._tools.late_limit.enter(self._service, choice.slots)
         self._trace.waits_late = self._waits_late
         return None if self._waits_late else refusal
 
@@ -218,7 +218,7 @@
         if not self._waits_late:
             return
         self._waits_late = False
-        self._tools.late_lane.leave(self._service)
+        self._tools.late_limit.leave(self._service)
         if replica is not None:
             replica.waiting_late -= 1
             replica.in_flight += 1
--- a/fireflyward/forwarding/_tools.py
+++ b/fireflyward/forwarding/_tools.py
@@ -66,7 +66,7 @@
     planner: PartPlanner
     admission: Admission
     callers: CallerTimes
-    late_lane: LateLane
+    late_limit: LateLane
     gate: SendGate
     reach: Reach
     notices: Notices
