--- a/fireflyward/forwarding/_exchange.py
+++ b/fireflyward/forwarding/_exchange.py
@@ -15,9 +15,9 @@
 from fireflyward.platform import ResponseFacts, decode_response
 from fireflyward.replicas import ReplicaState
 
+from ._deps import Notices
 from ._events import EventSplitter, StreamEvent
 from ._messages import Failed, NotRunThere, SendResult, Streamed, WholeAnswer
-from ._tools import Notices
 
 # Larger answers than this are not read into memory; these services answer a few
 # kilobytes.
--- a/fireflyward/forwarding/_forwarder.py
+++ b/fireflyward/forwarding/_forwarder.py
@@ -11,10 +11,10 @@
 
 from ._admission import Admission
 from ._caller_times import CallerTimes
+from ._deps import Notices, Reach, SendGate, Tools
 from ._exchange import Reply
 from ._late_lane import LateLane
 from ._run import Run
-from ._tools import Notices, Reach, SendGate, Tools
 from ._trace import Trace
 from ._weights import WeightVersions
 
@@ -27,7 +27,7 @@
     the caller's connection must be closed without the end of the response.
     """
 
-    __slots__ = ("_tools",)
+    __slots__ = ("_deps",)
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         notices: Notices,
         admission: Admission | None = None,
     ) -> None:
-        self._tools = Tools(
+        self._deps = Tools(
             clock=clock,
             pool=pool,
             chooser=chooser,
@@ -60,7 +60,7 @@
 
     def set_nodes(self, nodes: int) -> None:
         """Take the number of nodes that send to the same replicas."""
-        self._tools.late_limit.set_nodes(nodes)
+        self._deps.late_limit.set_nodes(nodes)
 
     async def serve(
         self,
@@ -73,5 +73,5 @@
         trace: Trace,
     ) -> Outcome:
         """Carry one request to its end; ``trace`` is filled on the way."""
-        run = Run(self._tools, caller, body, allowed, arrived_ms, reply, trace)
+        run = Run(self._deps, caller, body, allowed, arrived_ms, reply, trace)
         return await run.to_end()
--- a/fireflyward/forwarding/_run.py
+++ b/fireflyward/forwarding/_run.py
@@ -14,6 +14,7 @@
 from fireflyward.routes import Allowed
 
 from ._admission import Prospect
+from ._deps import Tools
 from ._exchange import Exchange, Reply, StreamProgress
 from ._messages import (
     Deliver,
@@ -30,7 +31,6 @@
 from ._plan import AttemptPlan
 from ._prompt import PromptNeeds
 from ._send_check import SendCheck
-from ._tools import Tools
 from ._trace import Trace
 from ._unread import UnreadPrompt
 
@@ -52,7 +52,7 @@
         "_due_ms",
         "_is_late",
         "_objective_ms",
-        "_tools",
+        "_deps",
         "_needs",
         "_send_check",
         "_plan",
@@ -81,7 +81,7 @@
         trace.fingerprint = fingerprint_of(trace.account, caller.target, body)
         trace.service = allowed.service
         trace.configuration = allowed.configuration_version
-        self._tools = tools
+        self._deps = tools
         self._clock = tools.clock
         self._caller = caller
         self._body = body
@@ -119,7 +119,7 @@
             self._send_check.end()
 
     async def _send_to_end(self) -> Outcome:
-        self._tools.budget.on_request(self._clock.now_ms(), self._service)
+        self._deps.budget.on_request(self._clock.now_ms(), self._service)
         while True:
             result = await self._send_once()
             if isinstance(result, Streamed):
@@ -168,17 +168,17 @@
                 self._send_check.on_sending(choice)
                 return await self._send_on(connection, choice)
             # It asked for something else meanwhile, so the choice does not hold.
-            self._tools.pool.give_back(connection)
+            self._deps.pool.give_back(connection)
             self._end_late_wait(None)
 
     def _no_replica(self) -> NoReplica:
         now_ms = self._clock.now_ms()
-        return NoReplica(int(self._tools.chooser.wait_ms(now_ms, self._service)))
+        return NoReplica(int(self._deps.chooser.wait_ms(now_ms, self._service)))
 
     async def _connect(
         self, replica: ReplicaState, left_ms: float
     ) -> HttpConnection | NotConnected:
-        return await self._tools.pool.take(
+        return await self._deps.pool.take(
             replica.entry.address,
             connect_ms=min(_CONNECT_MS, left_ms),
             fresh=replica.is_suspect(self._clock.now_ms()),
@@ -187,7 +187,7 @@
     def _unsent(self, replica: ReplicaState, failure: NotConnected) -> Unsent:
         replica.on_trouble(self._clock.now_ms())
         if not failure.is_refused:
-            self._tools.reach.on_silent(replica)
+            self._deps.reach.on_silent(replica)
         self._send_check.on_unreached(replica, is_refused=failure.is_refused)
         self._tried.add(replica.number)
         self._end_late_wait(None)
@@ -204,12 +204,12 @@
             left_ms,
             choice.slot_ms,
         )
-        admission = self._tools.admission
+        admission = self._deps.admission
         self._is_late = admission.is_late(prospect)
         refusal = admission.refusal(prospect)
         if refusal is None or not admission.may_wait(prospect):
             return refusal
-        self._waits_late = self._tools.late_limit.enter(self._service, choice.slots)
+        self._waits_late = self._deps.late_limit.enter(self._service, choice.slots)
         self._trace.waits_late = self._waits_late
         return None if self._waits_late else refusal
 
@@ -218,7 +218,7 @@
         if not self._waits_late:
             return
         self._waits_late = False
-        self._tools.late_limit.leave(self._service)
+        self._deps.late_limit.leave(self._service)
         if replica is not None:
             replica.waiting_late -= 1
             replica.in_flight += 1
@@ -267,7 +267,7 @@
         exchange = self._exchange(connection, choice, unread)
         if not self._allowed.route.may_repeat:
             return await exchange.read()
-        with self._tools.reach.awaiting(choice.replica, connection):
+        with self._deps.reach.awaiting(choice.replica, connection):
             return await exchange.read()
 
     def _exchange(
@@ -281,9 +281,9 @@
         return Exchange(
             connection,
             clock=self._clock,
-            pool=self._tools.pool,
+            pool=self._deps.pool,
             replica=choice.replica,
-            notices=self._tools.notices,
+            notices=self._deps.notices,
             request_id=self._caller.request_id,
             due_ms=self._due_ms,
             is_stream=self._allowed.route.kind is RouteKind.STREAM,
@@ -296,7 +296,7 @@
         replica, now_ms = choice.replica, self._clock.now_ms()
         replica.refusals += 1
         if not facts.is_other_replica:
-            newest = self._tools.weights.newest(self._caller.model)
+            newest = self._deps.weights.newest(self._caller.model)
             if newest is not None and choice.weights != newest:
                 replica.on_loading(now_ms)
             else:
@@ -315,7 +315,7 @@
     ) -> None:
         """Believe the replica over the list, which lags by a heartbeat."""
         model = self._caller.model
-        other = self._tools.weights.newest(model)
+        other = self._deps.weights.newest(model)
         if other is None or other == choice.weights:
             other = replica.entry.version_of(model)
         replica.version_by_model[model] = facts.weights or other or choice.weights
@@ -323,11 +323,11 @@
     def _choose(self) -> Choice | None:
         now_ms = self._clock.now_ms()
         wanted = self._needs.wanted(now_ms)
-        choice = self._tools.chooser.choose(
+        choice = self._deps.chooser.choose(
             now_ms, wanted, without=frozenset(self._tried)
         )
         if choice is None and self._tried and not self._plan.may_have_run:
-            choice = self._tools.chooser.choose(now_ms, wanted)
+            choice = self._deps.chooser.choose(now_ms, wanted)
         return choice
 
     def _priority(self) -> int:
@@ -367,7 +367,7 @@
         return self._due_ms - self._clock.now_ms()
 
     def _take_budget(self) -> bool:
-        return self._tools.budget.take(self._clock.now_ms(), self._service)
+        return self._deps.budget.take(self._clock.now_ms(), self._service)
 
 
 def _says_not_run(answer: WholeAnswer) -> bool:
--- a/fireflyward/forwarding/_send_check.py
+++ b/fireflyward/forwarding/_send_check.py
@@ -3,8 +3,8 @@
 from fireflyward.quarantine import TRIAL_IS_OVER, Held, Trial
 from fireflyward.replicas import Choice, ReplicaState
 
+from ._deps import SendGate
 from ._messages import Failed, SendResult, Streamed, WholeAnswer
-from ._tools import SendGate
 
 # A replica whose queue is shorter than this begins on a request about as soon as it
 # has it: a step of its batch takes 3 ms and more.
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -256,7 +256,7 @@
                 "fireflyward-nodes", f"node/{name}", msgspec.json.encode(row)
             )
         await self.until(lambda: len(self.node._peers.names()) == 4)
-        lane = self.node._forwarder._tools.late_limit
+        lane = self.node._forwarder._deps.late_limit
         await self.until(lambda: lane._nodes == 4)
         self.assertEqual([lane.enter("s", 16) for _ in range(3)], [True, True, False])
 
--- a/tests/forwarding/test_late_run.py
+++ b/tests/forwarding/test_late_run.py
@@ -68,7 +68,7 @@
             reach=MagicMock(),
             notices=MagicMock(),
         )
-        self.lane = forwarder._tools.late_limit
+        self.lane = forwarder._deps.late_limit
         self.trace = Trace()
         return asyncio.create_task(
             forwarder.serve(
--- a/tests/forwarding/test_silent_replicas.py
+++ b/tests/forwarding/test_silent_replicas.py
@@ -75,7 +75,7 @@
             reach=self.reach,
             notices=MagicMock(),
         )
-        forwarder._tools.chooser._cold_shares.set_nodes([""])
+        forwarder._deps.chooser._cold_shares.set_nodes([""])
         shares = (ServiceShare("s", 1),)
         route = Route("r", "h", "/", kind, 3_000, 200, 0, 2, shares)
         return asyncio.create_task(
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -145,7 +145,7 @@
     def setUp(self):
         super().setUp()
         self.gate = _TrialGate()
-        self.forwarder._tools = replace(self.forwarder._tools, gate=self.gate)
+        self.forwarder._deps = replace(self.forwarder._deps, gate=self.gate)
 
     async def test_with_all_replicas_resting_it_is_refused_unsent(self):
         for state in self.directory.all():
