--- a/fireflyward/forwarding/_forwarder.py
+++ b/fireflyward/forwarding/_forwarder.py
@@ -14,7 +14,7 @@
 from ._deps import Notices, Reach, SendGate, Tools
 from ._exchange import Reply
 from ._late_lane import LateLane
-from ._run import Run
+from ._request_run import Run
 from ._trace import Trace
 from ._weights import WeightVersions
 
