--- a/fireflyward/forwarding/_request_run.py
+++ b/fireflyward/forwarding/_request_run.py
@@ -35,7 +35,7 @@
 from ._unread import UnreadPrompt
 
 # A replica is a few ms away; one lost packet takes 200 ms to be sent again.
-_CONNECT_MS = 350
+_CONNECT_TIMEOUT_MS = 350
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 _LOWEST_PRIORITY = 9
 _LATE_STEP = 5
@@ -180,7 +180,7 @@
     ) -> HttpConnection | NotConnected:
         return await self._deps.pool.take(
             replica.entry.address,
-            connect_ms=min(_CONNECT_MS, left_ms),
+            connect_ms=min(_CONNECT_TIMEOUT_MS, left_ms),
             fresh=replica.is_suspect(self._clock.now_ms()),
         )
 
