--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -124,7 +124,7 @@
         target = decode_weight_target(row.value)
         if target is None:
             log.error("views: row %s is not understood", row.key)
-        elif self._weights.take(self._clock.now_ms(), target, at_start=at_start):
+        elif self._weights.set_target(self._clock.now_ms(), target, at_start=at_start):
             log.info("views: %s named for %s", target.version, target.model)
 
 
--- a/fireflyward/forwarding/_prompt.py
+++ b/fireflyward/forwarding/_prompt.py
@@ -48,7 +48,7 @@
             kv_tokens=self._allowed.kv_tokens,
             model=caller.model,
             version=version,
-            least_version=self._weights.least(now_ms, caller.model),
+            least_version=self._weights.min_version(now_ms, caller.model),
         )
 
     def kv(self, now_ms: int, choice: Choice) -> tuple[str | None, KvPlan]:
--- a/fireflyward/forwarding/_weights.py
+++ b/fireflyward/forwarding/_weights.py
@@ -16,11 +16,13 @@
     Each version has a time limit of its own: a newer one that is named meanwhile
     gives the weights before the last no more time.
 
-    >>> book = WeightVersions(version_ms=12_000)
-    >>> book.take(0, WeightTarget("m", 2)), book.take(6_000, WeightTarget("m", 3))
-    (True, True)
-    >>> book.least(8_499, "m"), book.least(8_500, "m"), book.least(14_500, "m")
-    (0, 2, 3)
+    >>> versions = WeightVersions(version_ms=12_000)
+    >>> versions.set_target(0, WeightTarget("m", 2))
+    True
+    >>> versions.set_target(6_000, WeightTarget("m", 3))
+    True
+    >>> [versions.min_version(at_ms, "m") for at_ms in (8_499, 8_500, 14_500)]
+    [0, 2, 3]
     """
 
     __slots__ = ("_due_by_model", "_newest_by_model", "_version_ms")
@@ -30,7 +32,7 @@
         self._newest_by_model: dict[str, int] = {}
         self._due_by_model: dict[str, list[tuple[int, int]]] = {}
 
-    def take(
+    def set_target(
         self, now_ms: int, target: WeightTarget, *, at_start: bool = False
     ) -> bool:
         """Take a named version; return whether it is newer than the last."""
@@ -50,7 +52,7 @@
         """Return the newest version of every model."""
         return dict(self._newest_by_model)
 
-    def least(self, now_ms: int, model: str) -> int:
+    def min_version(self, now_ms: int, model: str) -> int:
         """Return the oldest version that may still begin on a request."""
         due = self._due_by_model.get(model, ())
         return max((version for due_ms, version in due if now_ms >= due_ms), default=0)
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -175,7 +175,7 @@
 
     def _views(self, now_ms: int, model: str) -> list[RolloutView]:
         views = []
-        least = self._weights.least(now_ms, model)
+        least = self._weights.min_version(now_ms, model)
         evacuated = self._directory.evacuated
         for state in self._directory.all():
             version = state.version_by_model.get(model)
--- a/tests/fleet/node_fixtures.py
+++ b/tests/fleet/node_fixtures.py
@@ -39,7 +39,9 @@
 
     async def asyncSetUp(self):
         # A machine that stands still for a moment must not make a replica unreachable.
-        patience = mock.patch("fireflyward.forwarding._request_run._CONNECT_TIMEOUT_MS", 20_000)
+        patience = mock.patch(
+            "fireflyward.forwarding._request_run._CONNECT_TIMEOUT_MS", 20_000
+        )
         patience.start()
         self.addCleanup(patience.stop)
         self.store = StoreStandIn()
--- a/tests/weights/test_task.py
+++ b/tests/weights/test_task.py
@@ -68,7 +68,7 @@
         weights = (ModelWeights("m", 1),)
         entry = ReplicaEntry("r1", "s", "r1:80", "a", 4, False, weights=weights)
         self.directory.on_whole(0, [entry], after_outage=False)
-        self.weights.take(0, WeightTarget("m", 2), at_start=False)
+        self.weights.set_target(0, WeightTarget("m", 2), at_start=False)
         self.assertEqual(self.task._models_behind(), {"m"})
         self.directory.on_leaving(self.directory.find("r1"))
         self.assertEqual(self.task._models_behind(), set())
@@ -116,7 +116,7 @@
             "r1", "s", "r1:80", "a", 4, False, weights=(ModelWeights("m", 1),)
         )
         self.directory.on_whole(0, [entry], after_outage=False)
-        self.weights.take(0, WeightTarget("m", 2))
+        self.weights.set_target(0, WeightTarget("m", 2))
 
     def test_a_lease_is_renewed_for_an_order(self):
         """Symptom: a rollout stands still for four seconds after its holder was lost.
