--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -116,7 +116,7 @@
             # The store takes only valid rows, so this one is of a newer format;
             # what is in force stays.
             log.error("views: row %s is not understood", row.key)
-        elif self._routes.take(configuration):
+        elif self._routes.apply(configuration):
             log.info("views: configuration %d in force", configuration.version)
             self._on_configuration(configuration)
 
--- a/fireflyward/routes/_table.py
+++ b/fireflyward/routes/_table.py
@@ -86,7 +86,7 @@
         """Return how long ago the configuration was known to be the newest."""
         return now_ms - self._as_of_ms
 
-    def take(self, configuration: Configuration) -> bool:
+    def apply(self, configuration: Configuration) -> bool:
         """Put a newer configuration in force; an older one changes nothing.
 
         A node that fell back to an older version would serve withdrawn keys and
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -36,7 +36,7 @@
 class TableTests(unittest.TestCase):
     def setUp(self):
         self.table = RouteTable(revoke_ms=5_000, closes_without_contact=True)
-        self.table.take(configuration())
+        self.table.apply(configuration())
         self.table.confirm(0)
 
     def decide(self, now_ms=0, host="h", path="/a/x", key="k", request_id="r"):
@@ -45,7 +45,7 @@
         )
 
     def test_the_longest_prefix_counts(self):
-        self.table.take(configuration(2, (route("/a/", "x"), route("/a/b/", "y"))))
+        self.table.apply(configuration(2, (route("/a/", "x"), route("/a/b/", "y"))))
         self.assertEqual(self.decide(path="/a/b/c").service, "y")
         self.assertEqual(self.decide(path="/a/bc").service, "x")
 
@@ -77,23 +77,23 @@
         self.assertIsInstance(self.decide(4_700), Allowed)
 
     def test_open_routes_need_neither_key_nor_contact(self):
-        self.table.take(configuration(2, (route("/a/", is_open=True),)))
+        self.table.apply(configuration(2, (route("/a/", is_open=True),)))
         allowed = self.decide(60_000, key=None)
         self.assertIsNone(allowed.account)
 
     def test_an_older_configuration_changes_nothing(self):
-        self.assertTrue(self.table.take(configuration(5, keys=("new",))))
-        self.assertFalse(self.table.take(configuration(4)))
+        self.assertTrue(self.table.apply(configuration(5, keys=("new",))))
+        self.assertFalse(self.table.apply(configuration(4)))
         self.assertEqual(self.decide(key="k").reason, Reason.WRONG_KEY)
 
     def test_the_accounts_priority_goes_before_the_routes(self):
         self.assertEqual(self.decide().priority, 3)
-        self.table.take(configuration(2, priority=1))
+        self.table.apply(configuration(2, priority=1))
         self.assertEqual(self.decide().priority, 1)
 
     def test_shares_are_drawn_by_weight_and_alike_for_one_request(self):
         shares = (ServiceShare("x", 90), ServiceShare("y", 10))
-        self.table.take(configuration(2, (route("/a/", shares=shares),)))
+        self.table.apply(configuration(2, (route("/a/", shares=shares),)))
         drawn = [self.decide(request_id=f"r{n}").service for n in range(1_000)]
         again = [self.decide(request_id=f"r{n}").service for n in range(1_000)]
         self.assertEqual(drawn, again)
@@ -101,6 +101,6 @@
 
     def test_shares_below_one_are_drawn_like_others(self):
         shares = (ServiceShare("x", 0.45), ServiceShare("y", 0.05))
-        self.table.take(configuration(2, (route("/a/", shares=shares),)))
+        self.table.apply(configuration(2, (route("/a/", shares=shares),)))
         drawn = [self.decide(request_id=f"r{n}").service for n in range(1_000)]
         self.assertTrue(60 < drawn.count("y") < 140, drawn.count("y"))
