--- a/fireflyward/fleet/_callers.py
+++ b/fireflyward/fleet/_callers.py
@@ -52,7 +52,7 @@
         self._request = request
         self.response: StreamResponse | None = None
 
-    async def whole(self, head: Head, body: bytes) -> None:
+    async def send_response(self, head: Head, body: bytes) -> None:
         response = Response(
             status=head.status,
             reason=head.reason,
@@ -62,7 +62,7 @@
         self.response = response
         await self._door.send(self._request, response)
 
-    async def begin(self, head: Head) -> None:
+    async def begin_stream(self, head: Head) -> None:
         self.response = StreamResponse(
             status=head.status,
             reason=head.reason,
@@ -72,10 +72,10 @@
         self._door.close_if_stopping(self.response)
         await self.response.prepare(self._request)
 
-    async def event(self, data: bytes) -> None:
+    async def send_event(self, data: bytes) -> None:
         await self.response.write(data)
 
-    async def end(self) -> None:
+    async def end_stream(self) -> None:
         await self.response.write_eof()
 
 
--- a/fireflyward/forwarding/_exchange.py
+++ b/fireflyward/forwarding/_exchange.py
@@ -27,13 +27,13 @@
 class Reply(Protocol):
     """The way back to the caller."""
 
-    async def whole(self, head: Head, body: bytes) -> None: ...
+    async def send_response(self, head: Head, body: bytes) -> None: ...
 
-    async def begin(self, head: Head) -> None: ...
+    async def begin_stream(self, head: Head) -> None: ...
 
-    async def event(self, data: bytes) -> None: ...
+    async def send_event(self, data: bytes) -> None: ...
 
-    async def end(self) -> None: ...
+    async def end_stream(self) -> None: ...
 
 
 class StreamProgress:
@@ -179,8 +179,8 @@
             return self._broken("stream ends within an event")
         self._finished(failed=False)
         if not self._progress.has_begun:
-            await self._reply.begin(head)
-        await self._reply.end()
+            await self._reply.begin_stream(head)
+        await self._reply.end_stream()
         return Streamed()
 
     async def _pass_events(self, head: Head, events: list[StreamEvent]) -> None:
@@ -191,7 +191,7 @@
                     continue
             if not progress.has_begun:
                 progress.has_begun = True
-                await self._reply.begin(head)
-            await self._reply.event(event.data)
+                await self._reply.begin_stream(head)
+            await self._reply.send_event(event.data)
             if event.number is not None:
                 progress.last_number = event.number
--- a/fireflyward/forwarding/_request_run.py
+++ b/fireflyward/forwarding/_request_run.py
@@ -141,7 +141,7 @@
         if _says_not_run(answer):
             # Passed on, this status would promise the caller that nothing ran.
             return Unknown(Reason.UPSTREAM_FAILED, "replica failed after it began")
-        await self._reply.whole(answer.head, answer.body)
+        await self._reply.send_response(answer.head, answer.body)
         return Answered()
 
     async def _send_once(self) -> SendResult | NotRun:
