--- a/fireflyward/platform/_replica_api.py
+++ b/fireflyward/platform/_replica_api.py
@@ -170,9 +170,7 @@
             KvEvent(PartKey(salt, part), tokens)
             for _, _, salt, part, tokens, _ in raw.events
         )
-        return KvUpdate(
-            raw.boot_epoch, events, raw.next, since=since, was_lost=raw.lost
-        )
+        return KvUpdate(raw.boot_epoch, events, raw.next, since=since, has_gap=raw.lost)
 
     async def kv_list(self, address: str, *, limit_ms: float) -> KvUpdate | None:
         """Return all that a store holds whole, None if it did not answer."""
@@ -186,7 +184,7 @@
         events = tuple(
             KvEvent(PartKey(salt, part), tokens) for salt, part, tokens, _ in raw.held
         )
-        return KvUpdate(raw.boot_epoch, events, raw.next, is_whole=True)
+        return KvUpdate(raw.boot_epoch, events, raw.next, is_snapshot=True)
 
     async def kv_free(
         self, address: str, *, epoch: int, keys: list[PartKey], limit_ms: float
--- a/fireflyward/prefixes/_encoding.py
+++ b/fireflyward/prefixes/_encoding.py
@@ -22,7 +22,7 @@
     )
 
 
-def decoded(told: Any, *, is_whole: bool = False, was_lost: bool = False) -> KvUpdate:
+def decoded(told: Any, *, is_snapshot: bool = False, has_gap: bool = False) -> KvUpdate:
     """Return the news of a struct."""
     events = tuple(
         KvEvent(PartKey(told.salts[salt], part_id), tokens)
@@ -35,6 +35,6 @@
         events,
         told.next_event,
         since=told.since,
-        is_whole=is_whole,
-        was_lost=was_lost,
+        is_snapshot=is_snapshot,
+        has_gap=has_gap,
     )
--- a/fireflyward/prefixes/_index.py
+++ b/fireflyward/prefixes/_index.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KvUpdate:
-    """Events of one life of a store; ``is_whole`` when they are all it holds.
+    """Events of one life of a store; ``is_snapshot`` when they are all it holds.
 
     They come after the event ``since``; ``next_event`` is the ``since`` of the next.
     """
@@ -40,8 +40,8 @@
     events: tuple[KvEvent, ...]
     next_event: int
     since: int = 0
-    is_whole: bool = False
-    was_lost: bool = False
+    is_snapshot: bool = False
+    has_gap: bool = False
 
 
 class StoreIndex:
@@ -84,9 +84,9 @@
         if self.epoch != news.epoch:
             self._clear()
             self.epoch = news.epoch
-        elif news.was_lost and not news.is_whole:
+        elif news.has_gap and not news.is_snapshot:
             return False
-        if news.is_whole:
+        if news.is_snapshot:
             self._clear()
         self.is_up = True
         self.next_event = news.next_event
@@ -109,7 +109,7 @@
     def whole(self) -> KvUpdate:
         """Return all that is known to be there."""
         events = tuple(KvEvent(key, n) for key, n in self._tokens_by_key.items())
-        return KvUpdate(self.epoch or 0, events, self.next_event, is_whole=True)
+        return KvUpdate(self.epoch or 0, events, self.next_event, is_snapshot=True)
 
     def restart(self, epoch: int, *, no_saves_until_ms: int) -> None:
         """Take word that the store is in a new life, and empty; save nothing yet.
--- a/fireflyward/prefixes/_sharing.py
+++ b/fireflyward/prefixes/_sharing.py
@@ -164,6 +164,6 @@
         return None
     return decoded(
         answer.events,
-        is_whole=answer.outcome == _WHOLE,
-        was_lost=answer.outcome == _LOST,
+        is_snapshot=answer.outcome == _WHOLE,
+        has_gap=answer.outcome == _LOST,
     )
--- a/tests/prefixes/test_follow.py
+++ b/tests/prefixes/test_follow.py
@@ -42,10 +42,10 @@
         self.calls += 1
         if self.is_down:
             return None
-        was_lost = len(self.events) - since > self.keeps
+        has_gap = len(self.events) - since > self.keeps
         found = tuple(self.events[since:])
         return KvUpdate(
-            self.epoch, found, len(self.events), since=since, was_lost=was_lost
+            self.epoch, found, len(self.events), since=since, has_gap=has_gap
         )
 
     async def kv_list(self, address, *, limit_ms):
@@ -54,7 +54,7 @@
             return None
         held = {event.key: event for event in self.events}
         whole = tuple(event for event in held.values() if event.tokens)
-        return KvUpdate(self.epoch, whole, len(self.events), is_whole=True)
+        return KvUpdate(self.epoch, whole, len(self.events), is_snapshot=True)
 
 
 class _Node:
--- a/tests/prefixes/test_index.py
+++ b/tests/prefixes/test_index.py
@@ -50,8 +50,8 @@
         self.assertTrue(self.index.may_save(0, PartKey("m~1", "q"), 100))
 
     def test_a_gap_asks_for_the_whole_list(self):
-        self.assertFalse(self.index.take(news(was_lost=True)))
-        whole = news(KvEvent(KEY, 100), is_whole=True, next_event=9)
+        self.assertFalse(self.index.take(news(has_gap=True)))
+        whole = news(KvEvent(KEY, 100), is_snapshot=True, next_event=9)
         self.assertTrue(self.index.take(whole))
         self.assertTrue(self.index.has(KEY))
         self.assertEqual(self.index.next_event, 9)
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -40,7 +40,7 @@
         self.calls += 1
         held = {event.key: event for event in self.events if event.tokens}
         return KvUpdate(
-            self.epoch, tuple(held.values()), len(self.events), is_whole=True
+            self.epoch, tuple(held.values()), len(self.events), is_snapshot=True
         )
 
 
