--- a/fireflyward/prefixes/_sharing.py
+++ b/fireflyward/prefixes/_sharing.py
@@ -92,7 +92,7 @@
         self._link: PeerLink | None = None
         self._recent_by_address: dict[str, RecentEvents] = {}
 
-    def use(self, link: PeerLink) -> None:
+    def register(self, link: PeerLink) -> None:
         """Ask and answer over a link from now on."""
         self._link = link
         link.register(_KIND, StoreAsk, self._answer)
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -75,7 +75,7 @@
             aggregators=aggregators,
             index_of=lambda address: self.index if address == STORE else None,
         )
-        self.events.use(self.link)
+        self.events.register(self.link)
         way = Following.FOR_OTHERS if self.is_first else Following.FROM_AGGREGATOR
         self.follower = StoreFollower(
             self.index,
