--- a/fireflyward/fleet/_stores.py
+++ b/fireflyward/fleet/_stores.py
@@ -85,7 +85,7 @@
             index,
             reader=self._shared,
             clock=self._clock,
-            way=self._telling.way,
+            mode=self._telling.mode,
             on_read=self._on_read,
         )
         self._follower_by_address[address] = follower
--- a/fireflyward/prefixes/_follow.py
+++ b/fireflyward/prefixes/_follow.py
@@ -66,13 +66,13 @@
         *,
         reader: KvReader,
         clock: Clock,
-        way: Callable[[], Following],
+        mode: Callable[[], Following],
         on_read: Callable[[str, KvUpdate], None] = lambda address, news: None,
     ) -> None:
         self._index = index
         self._reader = reader
         self._clock = clock
-        self._way = way
+        self._mode = mode
         self._on_read = on_read
         self._missed = asyncio.Event()
         self._heard_ms = -_UNHEARD_MS
@@ -80,11 +80,11 @@
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            way = self._way()
-            if way is Following.FROM_AGGREGATOR and not self._must_ask():
+            mode = self._mode()
+            if mode is Following.FROM_AGGREGATOR and not self._must_ask():
                 await within_ms(self._clock, _UNHEARD_MS, self._missed.wait())
                 continue
-            pause_ms = _AGGREGATOR_PAUSE_MS if way is Following.FOR_OTHERS else 0
+            pause_ms = _AGGREGATOR_PAUSE_MS if mode is Following.FOR_OTHERS else 0
             if not await self.step():
                 pause_ms = _PAUSE_MS
             if pause_ms:
@@ -94,7 +94,7 @@
         """Make one call; return whether the store answered."""
         index = self._index
         self._missed.clear()
-        waits_long = self._way() is not Following.FROM_AGGREGATOR
+        waits_long = self._mode() is not Following.FROM_AGGREGATOR
         news = await self._reader.kv_events(
             index.address,
             since=index.next_event,
--- a/fireflyward/prefixes/_telling.py
+++ b/fireflyward/prefixes/_telling.py
@@ -44,7 +44,7 @@
         self._unsaid: list[tuple[str, KvUpdate]] = []
         self._last_by_address: dict[str, tuple[int, KvUpdate]] = {}
 
-    def way(self) -> Following:
+    def mode(self) -> Following:
         """Return how this node follows stores now."""
         if not self._aggregators.are_needed:
             return Following.BY_ITSELF
@@ -54,7 +54,7 @@
 
     def on_read(self, address: str, news: KvUpdate) -> None:
         """Keep what was read from a store until it is told."""
-        if self.way() is not Following.FOR_OTHERS:
+        if self.mode() is not Following.FOR_OTHERS:
             self._last_by_address.pop(address, None)
             return
         known = self._last_by_address.get(address)
@@ -71,7 +71,7 @@
         """Tell and listen until cancelled."""
         self.listen(link)
         while True:
-            tells = self.way() is Following.FOR_OTHERS
+            tells = self.mode() is Following.FOR_OTHERS
             await self._clock.sleep_ms(_PERIOD_MS if tells else _IDLE_PERIOD_MS)
             self.tell(link)
 
--- a/tests/prefixes/test_follow.py
+++ b/tests/prefixes/test_follow.py
@@ -58,15 +58,15 @@
 
 
 class _Node:
-    def __init__(self, store, way, clock):
+    def __init__(self, store, mode, clock):
         self.index = StoreIndex(ADDRESS, 100_000)
-        self.way = way
+        self.mode = mode
         self.read = []
         self.follower = StoreFollower(
             self.index,
             reader=store,
             clock=clock,
-            way=lambda: self.way,
+            mode=lambda: self.mode,
             on_read=lambda address, news: self.read.append(news),
         )
 
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -76,12 +76,12 @@
             index_of=lambda address: self.index if address == STORE else None,
         )
         self.events.register(self.link)
-        way = Following.FOR_OTHERS if self.is_first else Following.FROM_AGGREGATOR
+        mode = Following.FOR_OTHERS if self.is_first else Following.FROM_AGGREGATOR
         self.follower = StoreFollower(
             self.index,
             reader=self.events,
             clock=clock,
-            way=lambda: way,
+            mode=lambda: mode,
             on_read=self.events.on_read,
         )
 
--- a/tests/prefixes/test_telling.py
+++ b/tests/prefixes/test_telling.py
@@ -59,16 +59,16 @@
         self.clock = ManualClock(now_ms=1_000)
         nodes = [_Node(f"n{i}", self.clock) for i in range(14)]
         (self.first,) = [
-            node for node in nodes if node.telling.way() is Following.FOR_OTHERS
+            node for node in nodes if node.telling.mode() is Following.FOR_OTHERS
         ]
         self.other = next(node for node in nodes if node is not self.first)
 
     def test_one_of_many_nodes_follows_for_all(self):
-        self.assertIs(self.other.telling.way(), Following.FROM_AGGREGATOR)
+        self.assertIs(self.other.telling.mode(), Following.FROM_AGGREGATOR)
 
     def test_a_few_nodes_follow_by_themselves(self):
         self.other.aggregators.set_members(members("n0")[:5])
-        self.assertIs(self.other.telling.way(), Following.BY_ITSELF)
+        self.assertIs(self.other.telling.mode(), Following.BY_ITSELF)
 
     async def test_what_was_read_arrives_as_it_was(self):
         read = news(10, 5)
