--- a/fireflyward/forwarding/_late_lane.py
+++ b/fireflyward/forwarding/_late_lane.py
@@ -18,10 +18,10 @@
 
     >>> lane = LateLane()
     >>> lane.set_nodes(4)
-    >>> [lane.enter("s", 16) for _ in range(3)]
+    >>> [lane.try_acquire("s", 16) for _ in range(3)]
     [True, True, False]
-    >>> lane.leave("s")
-    >>> lane.enter("s", 16)
+    >>> lane.release("s")
+    >>> lane.try_acquire("s", 16)
     True
     """
 
@@ -35,7 +35,7 @@
         """Take the number of nodes that send to the same replicas."""
         self._nodes = max(1, nodes)
 
-    def enter(self, service: str, slots: int) -> bool:
+    def try_acquire(self, service: str, slots: int) -> bool:
         """Count one more, unless this node's part of ``slots`` is taken."""
         waiting = self._waiting_by_service.get(service, 0)
         if waiting >= max(1, int(_SLOTS_SHARE * slots / self._nodes)):
@@ -43,6 +43,6 @@
         self._waiting_by_service[service] = waiting + 1
         return True
 
-    def leave(self, service: str) -> None:
+    def release(self, service: str) -> None:
         """Count one less: it has its first token, or its end."""
         self._waiting_by_service[service] -= 1
--- a/fireflyward/forwarding/_request_run.py
+++ b/fireflyward/forwarding/_request_run.py
@@ -209,7 +209,9 @@
         refusal = admission.refusal(prospect)
         if refusal is None or not admission.may_wait(prospect):
             return refusal
-        self._waits_late = self._deps.late_limit.enter(self._service, choice.slots)
+        self._waits_late = self._deps.late_limit.try_acquire(
+            self._service, choice.slots
+        )
         self._trace.waits_late = self._waits_late
         return None if self._waits_late else refusal
 
@@ -218,7 +220,7 @@
         if not self._waits_late:
             return
         self._waits_late = False
-        self._deps.late_limit.leave(self._service)
+        self._deps.late_limit.release(self._service)
         if replica is not None:
             replica.waiting_late -= 1
             replica.in_flight += 1
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -258,7 +258,9 @@
         await self.until(lambda: len(self.node._peers.names()) == 4)
         lane = self.node._forwarder._deps.late_limit
         await self.until(lambda: lane._nodes == 4)
-        self.assertEqual([lane.enter("s", 16) for _ in range(3)], [True, True, False])
+        self.assertEqual(
+            [lane.try_acquire("s", 16) for _ in range(3)], [True, True, False]
+        )
 
     async def test_the_lease_is_looked_at_as_its_duty_asks(self):
         look_ms = self.node._lease._look_ms
--- a/tests/forwarding/test_late_lane.py
+++ b/tests/forwarding/test_late_lane.py
@@ -63,14 +63,14 @@
     def _may_wait(self, prospect):
         if self.lane is None or not self.admission.may_wait(prospect):
             return False
-        return self.lane.enter("s", SLOTS)
+        return self.lane.try_acquire("s", SLOTS)
 
     def _begun(self, took_ms):
         self.on_time += took_ms <= OBJECTIVE_MS
         self.late += took_ms > OBJECTIVE_MS
 
     def _begun_late(self, took_ms):
-        self.lane.leave("s")
+        self.lane.release("s")
         self.in_flight += 1
         self._begun(took_ms)
 
--- a/tests/forwarding/test_late_run.py
+++ b/tests/forwarding/test_late_run.py
@@ -83,7 +83,7 @@
 
     def lane_is_free(self):
         """Tell whether all of the lane's places are free, taking them."""
-        places = [self.lane.enter("s", SLOTS) for _ in range(SLOTS // 2 + 1)]
+        places = [self.lane.try_acquire("s", SLOTS) for _ in range(SLOTS // 2 + 1)]
         return places == [True] * (SLOTS // 2) + [False]
 
     async def leave(self, serving):
