--- a/fireflyward/forwarding/__init__.py
+++ b/fireflyward/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Carrying one request to replicas and one whole answer back."""
+"""Forwards each request to replicas and returns one complete answer to its caller."""
 
 from ._events import EventSplitter
 from ._exchange import Reply
@@ -9,7 +9,7 @@
     Finish,
     NoReplica,
     Rejected,
-    RejectedBecause,
+    RejectionReason,
     TryAgain,
     Unsent,
     WholeAnswer,
@@ -27,7 +27,7 @@
     "Forwarder",
     "NoReplica",
     "Rejected",
-    "RejectedBecause",
+    "RejectionReason",
     "Reply",
     "Trace",
     "TryAgain",
--- a/fireflyward/forwarding/_admission.py
+++ b/fireflyward/forwarding/_admission.py
@@ -1,36 +1,38 @@
-"""Whether a request to a model goes to a replica now or is turned away."""
+"""Decides whether a request to a model goes to a replica now or is rejected."""
 
 import random
 from dataclasses import dataclass
 
 from fireflyward.outcomes import NotRun, Reason
 
-# A first token that is expected later than this part of its objective counts as
-# late. More than one would let a lasting overload hold every answer just above it.
+# A request counts as late if its first token is estimated to take longer than this
+# share of its latency objective. With a share above one, a lasting overload would keep
+# every answer just above its objective.
 _ON_TIME_SHARE = 1.0
-# What is late already runs only where it delays nobody: behind a queue of prompts that
-# is shorter than the tightest objectives leave, since replicas read prompts in the
-# order in which they came. For a slot it may wait longer, for slots go by rank, but not
-# so long that its own deadline comes near.
+# A request that is late already runs only where it delays no other. Replicas prefill
+# prompts in the order of arrival, so it may only join a prefill queue that is shorter
+# than the tightest objectives allow. It may wait longer for a slot, because slots are
+# assigned by priority, but only while its estimated first token takes at most this
+# share of the time until its deadline.
 _LATE_QUEUE_MS = 250.0
-_LATE_SHARE = 0.3
-_LEAST_RETRY_MS = 200.0
-# Callers that were refused together must not come back together. They are late
-# whenever they come, so they are spread over a part of the time that they have,
-# and leave the first of it to those that can still be on time. A caller waits for
-# a third of its time at the most.
-_WAITED_SHARE = 1 / 3
+_LATE_DEADLINE_SHARE = 0.3
+_MIN_RETRY_AFTER_MS = 200.0
+# Callers that were rejected together must not retry together. They will be late
+# whenever they retry, so their retries are spread at random over a part of the time
+# that they have left, after a first part that is reserved for requests which can still
+# be on time. A caller is asked to wait for at most a third of the time it has left.
+_MAX_WAIT_SHARE = 1 / 3
 _SPREAD_SHARE = 0.7
 
 
 @dataclass(frozen=True, slots=True)
-class Prospect:
-    """What is expected of a request at its best replica.
+class LatencyEstimate:
+    """Estimated times of a request at the replica that suits it best.
 
-    ``queue_ms`` is the time until the replica turns to it, of which ``slot_ms`` is for
-    a free slot, and ``first_token_ms`` until its first token;
-    ``objective_left_ms`` and ``left_ms`` are what is left of the latency objective and
-    of the deadline.
+    ``queue_ms`` is the time until the replica begins on the request, of which
+    ``slot_ms`` is the wait for a free slot. ``first_token_ms`` is the time until its
+    first token. ``objective_left_ms`` and ``left_ms`` are the time left until its
+    latency objective and until its deadline.
     """
 
     queue_ms: float
@@ -41,12 +43,13 @@
 
 
 class Admission:
-    """Turns away at once what would be late or make others late; no I/O.
+    """Rejects at once requests that would be late or make others late; no I/O.
 
-    The load that it answers: prompts come faster than the replicas read them.
-    Without a limit the queue in the replicas grows, every request is late, and the
-    replicas read prompts whose callers have left. With it, those that are admitted
-    stay within their objective, and the others learn at once when to come back.
+    It limits the damage of an overload in which prompts arrive faster than the
+    replicas prefill them. Without a limit the queues in the replicas grow, every
+    request is late, and the replicas prefill prompts whose callers have gone. With the
+    limit, admitted requests meet their objective, and the other callers learn at once
+    when to retry.
     """
 
     __slots__ = ("_random",)
@@ -54,32 +57,34 @@
     def __init__(self, *, seed: int | None = None) -> None:
         self._random = random.Random(seed)
 
-    def is_late(self, prospect: Prospect) -> bool:
-        """Tell whether the objective cannot be met any more."""
-        limit_ms = _ON_TIME_SHARE * prospect.objective_left_ms
-        return prospect.first_token_ms > limit_ms
+    def is_late(self, estimate: LatencyEstimate) -> bool:
+        """Return whether the objective can no longer be met."""
+        limit_ms = _ON_TIME_SHARE * estimate.objective_left_ms
+        return estimate.first_token_ms > limit_ms
 
-    def refusal(self, prospect: Prospect) -> NotRun | None:
-        """Return why a request is turned away, None if it may go."""
-        if prospect.first_token_ms < prospect.left_ms:
-            if not self.is_late(prospect) or prospect.queue_ms <= _LATE_QUEUE_MS:
+    def check(self, estimate: LatencyEstimate) -> NotRun | None:
+        """Return why a request is rejected, None if it is admitted."""
+        if estimate.first_token_ms < estimate.left_ms:
+            if not self.is_late(estimate) or estimate.queue_ms <= _LATE_QUEUE_MS:
                 return None
-        return self.refused(prospect)
-
-    def may_wait(self, prospect: Prospect) -> bool:
-        """Tell whether a late request may wait for a slot behind all others."""
-        reading_ms = prospect.queue_ms - prospect.slot_ms
-        soon = prospect.first_token_ms <= _LATE_SHARE * prospect.left_ms
-        return soon and reading_ms <= _LATE_QUEUE_MS
-
-    def refused(self, prospect: Prospect) -> NotRun:
-        """Return the refusal of a request, with when to come back."""
-        detail = f"first token in {prospect.first_token_ms:.0f} ms"
-        return NotRun(Reason.OVERLOADED, detail, self._retry_ms(prospect))
-
-    def _retry_ms(self, prospect: Prospect) -> int:
-        """Return when the queue will be short again, spread over what is left."""
-        longest_ms = _WAITED_SHARE * prospect.left_ms
-        clear_ms = max(_LEAST_RETRY_MS, prospect.queue_ms - _LATE_QUEUE_MS)
-        spread_ms = _SPREAD_SHARE * longest_ms * self._random.random()
-        return int(max(_LEAST_RETRY_MS, min(clear_ms + spread_ms, longest_ms)))
+        return self.reject(estimate)
+
+    def may_wait(self, estimate: LatencyEstimate) -> bool:
+        """Return whether a late request may wait for a slot at the lowest priority."""
+        prefill_queue_ms = estimate.queue_ms - estimate.slot_ms
+        in_time = estimate.first_token_ms <= _LATE_DEADLINE_SHARE * estimate.left_ms
+        return in_time and prefill_queue_ms <= _LATE_QUEUE_MS
+
+    def reject(self, estimate: LatencyEstimate) -> NotRun:
+        """Return the rejection of a request, with the time after which to retry."""
+        detail = f"first token in {estimate.first_token_ms:.0f} ms"
+        return NotRun(Reason.OVERLOADED, detail, self._retry_after_ms(estimate))
+
+    def _retry_after_ms(self, estimate: LatencyEstimate) -> int:
+        """Return when the queue will be short again, plus a random part to spread."""
+        max_wait_ms = _MAX_WAIT_SHARE * estimate.left_ms
+        queue_short_ms = max(_MIN_RETRY_AFTER_MS, estimate.queue_ms - _LATE_QUEUE_MS)
+        spread_ms = _SPREAD_SHARE * max_wait_ms * self._random.random()
+        return int(
+            max(_MIN_RETRY_AFTER_MS, min(queue_short_ms + spread_ms, max_wait_ms))
+        )
--- a/fireflyward/forwarding/_caller_times.py
+++ b/fireflyward/forwarding/_caller_times.py
@@ -1,8 +1,8 @@
-"""How much of their time callers have spent before they come here."""
+"""Estimates how much of its deadline a caller has used up before its request."""
 
 
 class CallerTimes:
-    """Learns how much time callers of each route begin with; no I/O.
+    """Records the initial deadline that callers of each route use; no I/O.
 
     >>> times = CallerTimes()
     >>> times.spent_ms("r", 3_000.0), times.spent_ms("r", 2_200.0)
@@ -15,10 +15,11 @@
         self._longest_ms_by_route: dict[str, float] = {}
 
     def spent_ms(self, route: str, deadline_ms: float | None) -> float:
-        """Return how much of its time a caller had spent before it came here.
+        """Return how much of its deadline a caller had used up before this request.
 
-        Callers of a route begin with the same deadline; one that was refused and
-        comes back has less. The longest one seen is taken for the first.
+        All callers of a route start with the same deadline, and a caller that retries
+        after a rejection has less of it left. The longest deadline received for a
+        route is therefore taken as its initial deadline.
         """
         if deadline_ms is None:
             return 0.0
--- a/fireflyward/forwarding/_deps.py
+++ b/fireflyward/forwarding/_dependencies.py
@@ -1,4 +1,4 @@
-"""The parts that every request of a node goes through."""
+"""The components that all requests of a node share."""
 
 from contextlib import AbstractContextManager
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 
 from ._admission import Admission
 from ._caller_times import CallerTimes
-from ._late_lane import LateLane
+from ._late_limit import LateRequestLimit
 from ._weights import WeightVersions
 
 
-class SendGate(Protocol):
-    """What a run needs of the quarantine; see ``quarantine.Quarantine``."""
+class QuarantineGate(Protocol):
+    """What a request needs of the quarantine; see ``quarantine.Quarantine``."""
 
     async def admit(self, fingerprint: str) -> Free | Held | Trial: ...
 
@@ -37,7 +37,7 @@
 
 
 class Reach(Protocol):
-    """What a run tells of silent replicas; see ``reach.ReachTask``."""
+    """Receives reports of unreachable replicas; see ``reach.ReachTask``."""
 
     def on_silent(self, replica: ReplicaState) -> None: ...
 
@@ -47,7 +47,7 @@
 
 
 class Notices(Protocol):
-    """What a run tells of replicas' answers; see ``notices.NoticeTask``."""
+    """Receives what responses report about replicas; see ``notices.NoticeTask``."""
 
     def on_response(
         self, replica: ReplicaState, facts: ResponseFacts, *, sent_ms: int
@@ -55,8 +55,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
-    """What every run of a node works with."""
+class Dependencies:
+    """The components that all requests of a node share."""
 
     clock: Clock
     pool: ConnectionPool
@@ -66,7 +66,7 @@
     planner: PartPlanner
     admission: Admission
     callers: CallerTimes
-    late_limit: LateLane
-    gate: SendGate
+    late_limit: LateRequestLimit
+    gate: QuarantineGate
     reach: Reach
     notices: Notices
--- a/fireflyward/forwarding/_exchange.py
+++ b/fireflyward/forwarding/_exchange.py
@@ -1,4 +1,4 @@
-"""One send to one replica: what comes back, and what of it the caller gets."""
+"""Reads the response of one replica to one send and passes it to the caller."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -15,17 +15,17 @@
 from fireflyward.platform import ResponseFacts, decode_response
 from fireflyward.replicas import ReplicaState
 
-from ._deps import Notices
+from ._dependencies import Notices
 from ._events import EventSplitter, StreamEvent
 from ._messages import Failed, NotRunThere, SendResult, Streamed, WholeAnswer
 
-# Larger answers than this are not read into memory; these services answer a few
+# Larger responses are not read into memory. The services' usual responses have a few
 # kilobytes.
-_LARGEST_ANSWER = 16 * 1_024 * 1_024
+_MAX_RESPONSE_BYTES = 16 * 1_024 * 1_024
 
 
 class Reply(Protocol):
-    """The way back to the caller."""
+    """Writes the response to the caller."""
 
     async def send_response(self, head: Head, body: bytes) -> None: ...
 
@@ -37,7 +37,7 @@
 
 
 class StreamProgress:
-    """How much of a stream the caller has had, over all replicas."""
+    """How much of a stream the caller has received, from all replicas together."""
 
     __slots__ = ("has_begun", "last_number")
 
@@ -47,11 +47,11 @@
 
 
 class Exchange:
-    """Reads one response; a whole answer is returned, a stream passed on as it comes.
+    """Reads one response: returns a complete answer or forwards a stream to the caller.
 
-    What the response says of the replica goes into its state. The connection is
-    given back only after a whole response; else it is closed, which tells the
-    replica to stop.
+    What the response reports about the replica updates the replica's state. The
+    connection returns to the pool only after a complete response. Otherwise it is
+    closed, and the replica stops working on the request.
     """
 
     __slots__ = (
@@ -60,7 +60,7 @@
         "_due_ms",
         "_is_stream",
         "_notices",
-        "_on_first",
+        "_on_first_data",
         "_pool",
         "_progress",
         "_replica",
@@ -82,7 +82,7 @@
         is_stream: bool,
         progress: StreamProgress,
         reply: Reply,
-        on_first: Callable[[], None],
+        on_first_data: Callable[[], None],
     ) -> None:
         self._connection = connection
         self._clock = clock
@@ -94,96 +94,100 @@
         self._is_stream = is_stream
         self._progress = progress
         self._reply = reply
-        self._on_first = on_first
+        self._on_first_data = on_first_data
         self._sent_ms = clock.now_ms()
 
     async def read(self) -> SendResult | NotRunThere:
-        """Read the response to its end."""
-        event = await self._next()
+        """Read the response until it is complete or has failed."""
+        event = await self._next_event()
         if not isinstance(event, Head):
-            return self._no_answer(event)
+            return self._on_incomplete(event)
         facts = decode_response(event)
-        problem = self._problem(event, facts)
+        problem = self._find_problem(event, facts)
         if problem:
-            return self._broken(problem)
+            return self._fail(problem)
         self._notices.on_response(self._replica, facts, sent_ms=self._sent_ms)
         if facts.load is not None:
             total = facts.load.running + facts.load.waiting
             self._replica.on_load(self._clock.now_ms(), total)
         if self._is_stream and event.status == 200:
-            return await self._pass_stream(event)
-        return await self._read_whole(event, facts)
+            return await self._forward_stream(event)
+        return await self._read_answer(event, facts)
 
-    async def _next(self) -> object:
+    async def _next_event(self) -> object:
         return await self._connection.next_event_within(
             self._due_ms - self._clock.now_ms()
         )
 
-    def _problem(self, head: Head, facts: ResponseFacts) -> str:
-        """Say what is wrong with a response that is not this request's answer."""
+    def _find_problem(self, head: Head, facts: ResponseFacts) -> str:
+        """Describe what is wrong with a response; empty if it may be used."""
         if facts.request_id not in (None, self._request_id):
-            return f"answer of another request, {facts.request_id}"
+            return f"response to another request, {facts.request_id}"
         if facts.was_not_run:
             return ""
         if facts.request_id is None:
-            return "answer without a request id"
+            return "response without a request id"
         if head.status < 300 and not facts.is_signed:
-            return "answer without a signature"
+            return "response without a signature"
         if facts.is_encoded:
-            return "answer in an encoding that nobody asked for"
+            return "response in an encoding that was not requested"
         return ""
 
-    def _no_answer(self, event: object) -> Failed:
+    def _on_incomplete(self, event: object) -> Failed:
         if event is None:
             self._connection.close()
             return Failed("no answer until the deadline", is_late=True)
-        return self._broken(event.detail if isinstance(event, Broken) else "no head")
+        return self._fail(
+            event.detail
+            if isinstance(event, Broken)
+            else "response is malformed or too large"
+        )
 
-    def _broken(self, detail: str) -> Failed:
+    def _fail(self, detail: str) -> Failed:
         self._connection.close()
         self._replica.on_trouble(self._clock.now_ms())
         return Failed(detail)
 
-    def _finished(self, *, failed: bool) -> None:
-        """Note a whole response, and keep its connection."""
+    def _complete(self, *, failed: bool) -> None:
+        """Record a complete response and return its connection to the pool."""
         self._pool.give_back(self._connection)
         self._replica.on_answer(failed=failed)
         self._replica.on_run(self._clock.now_ms() - self._sent_ms)
 
-    async def _read_whole(
+    async def _read_answer(
         self, head: Head, facts: ResponseFacts
     ) -> WholeAnswer | Failed | NotRunThere:
         parts, size = [], 0
-        while not isinstance(event := await self._next(), End):
-            if not isinstance(event, BodyPart) or size > _LARGEST_ANSWER:
-                return self._no_answer(event)
+        while not isinstance(event := await self._next_event(), End):
+            if not isinstance(event, BodyPart) or size > _MAX_RESPONSE_BYTES:
+                return self._on_incomplete(event)
             parts.append(event.data)
             size += len(event.data)
         if facts.was_not_run:
             self._pool.give_back(self._connection)
             return NotRunThere(facts)
-        self._finished(failed=head.status >= 500)
+        self._complete(failed=head.status >= 500)
         return WholeAnswer(head, b"".join(parts))
 
-    async def _pass_stream(self, head: Head) -> Streamed | Failed:
+    async def _forward_stream(self, head: Head) -> Streamed | Failed:
         splitter = EventSplitter()
         is_first = True
-        while not isinstance(event := await self._next(), End):
+        while not isinstance(event := await self._next_event(), End):
             if not isinstance(event, BodyPart):
-                return self._no_answer(event)
+                return self._on_incomplete(event)
             if is_first:
                 is_first = False
-                self._on_first()
-            await self._pass_events(head, splitter.feed(event.data))
-        if splitter.rest:
-            return self._broken("stream ends within an event")
-        self._finished(failed=False)
+                self._on_first_data()
+            await self._forward_events(head, splitter.feed(event.data))
+        if splitter.incomplete:
+            return self._fail("stream ended within an event")
+        self._complete(failed=False)
         if not self._progress.has_begun:
             await self._reply.begin_stream(head)
         await self._reply.end_stream()
         return Streamed()
 
-    async def _pass_events(self, head: Head, events: list[StreamEvent]) -> None:
+    async def _forward_events(self, head: Head, events: list[StreamEvent]) -> None:
         progress = self._progress
         for event in events:
             if event.number is not None and progress.last_number is not None:
--- a/fireflyward/forwarding/_forwarder.py
+++ b/fireflyward/forwarding/_forwarder.py
@@ -1,4 +1,4 @@
-"""Serves requests by the decisions of its parts."""
+"""Forwards the requests of one node to replicas."""
 
 from fireflyward.clock import Clock
 from fireflyward.http1 import ConnectionPool
@@ -11,20 +11,21 @@
 
 from ._admission import Admission
 from ._caller_times import CallerTimes
-from ._deps import Notices, Reach, SendGate, Tools
+from ._dependencies import Dependencies, Notices, QuarantineGate, Reach
 from ._exchange import Reply
-from ._late_lane import LateLane
-from ._request_run import Run
+from ._late_limit import LateRequestLimit
+from ._request_run import RequestRun
 from ._trace import Trace
 from ._weights import WeightVersions
 
 
 class Forwarder:
-    """Carries each request to replicas, as often as its plan allows.
+    """Sends each request to replicas, as often as its attempt plan allows.
 
-    ``serve`` returns ``Answered`` once the caller has a whole answer. Any other
-    outcome is still to be told to the caller, unless the stream has begun: then
-    the caller's connection must be closed without the end of the response.
+    ``serve`` returns ``Answered`` once the caller has received a complete answer. For
+    any other outcome the node must still send a response to the caller, unless a
+    stream has begun: then it must close the caller's connection without completing
+    the response.
     """
 
     __slots__ = ("_deps",)
@@ -38,12 +39,12 @@
         budget: RetryBudget,
         weights: WeightVersions,
         planner: PartPlanner,
-        gate: SendGate,
+        gate: QuarantineGate,
         reach: Reach,
         notices: Notices,
         admission: Admission | None = None,
     ) -> None:
-        self._deps = Tools(
+        self._deps = Dependencies(
             clock=clock,
             pool=pool,
             chooser=chooser,
@@ -52,14 +53,14 @@
             planner=planner,
             admission=admission or Admission(),
             callers=CallerTimes(),
-            late_limit=LateLane(),
+            late_limit=LateRequestLimit(),
             gate=gate,
             reach=reach,
             notices=notices,
         )
 
     def set_nodes(self, nodes: int) -> None:
-        """Take the number of nodes that send to the same replicas."""
+        """Set the number of nodes that send to the same replicas."""
         self._deps.late_limit.set_nodes(nodes)
 
     async def serve(
@@ -72,6 +73,6 @@
         reply: Reply,
         trace: Trace,
     ) -> Outcome:
-        """Carry one request to its end; ``trace`` is filled on the way."""
-        run = Run(self._deps, caller, body, allowed, arrived_ms, reply, trace)
-        return await run.to_end()
+        """Forward one request until it has an outcome, and fill in its ``trace``."""
+        run = RequestRun(self._deps, caller, body, allowed, arrived_ms, reply, trace)
+        return await run.run()
--- a/fireflyward/forwarding/_messages.py
+++ b/fireflyward/forwarding/_messages.py
@@ -1,4 +1,4 @@
-"""What becomes of one send to a replica, and what to do then."""
+"""The results of one send to a replica, and the decisions that follow."""
 
 import enum
 from dataclasses import dataclass
@@ -9,8 +9,8 @@
 from fireflyward.quarantine import Held
 
 
-class RejectedBecause(enum.Enum):
-    """Why a replica says that it has not run a request."""
+class RejectionReason(enum.Enum):
+    """Why a replica reports that it has not run a request."""
 
     FULL = "full"
     OTHER_REPLICA = "other replica"
@@ -19,28 +19,28 @@
 
 @dataclass(frozen=True, slots=True)
 class NoReplica:
-    """No replica may take the request now; ``wait_ms`` is until one may, if known."""
+    """No replica may take the request now; one may in ``wait_ms``, if that is known."""
 
     wait_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Unsent:
-    """No connection came about; the replica never saw the request."""
+    """The connection could not be opened; the replica never received the request."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The replica says that it has not run the request and will not."""
+    """The replica reports that it has not run the request and will not run it."""
 
-    because: RejectedBecause
+    reason: RejectionReason
 
 
 @dataclass(frozen=True, slots=True)
 class NotRunThere:
-    """A response that says that the request was not run, with what it says."""
+    """A response which reports that the request was not run."""
 
     facts: ResponseFacts
 
@@ -49,7 +49,7 @@
 class Failed:
     """No usable answer came; the request may have run.
 
-    ``is_late`` tells that the deadline came first; the replica may be sound.
+    With ``is_late`` the deadline passed first; the replica may be healthy.
     """
 
     detail: str
@@ -58,25 +58,25 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """A whole answer that the caller has not had yet."""
+    """A complete answer that has not been sent to the caller yet."""
 
     head: Head
     body: bytes
 
     @property
     def is_failure(self) -> bool:
-        """Tell whether the replica itself failed."""
+        """Return whether the replica itself failed."""
         return self.head.status >= 500
 
     @property
     def is_success(self) -> bool:
-        """Tell whether the replica did what was asked."""
+        """Return whether the replica did what was requested."""
         return 200 <= self.head.status < 300
 
 
 @dataclass(frozen=True, slots=True)
 class Streamed:
-    """The caller has the whole stream, its end included."""
+    """The caller has received the complete stream, including its end."""
 
 
 SendResult = Held | NoReplica | Unsent | Rejected | Failed | WholeAnswer | Streamed
@@ -91,14 +91,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Give the caller this answer."""
+    """Send this answer to the caller."""
 
     answer: WholeAnswer
 
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Give the caller this system's own answer."""
+    """Answer the caller with an outcome that the node determined itself."""
 
     outcome: NotRun | Unknown
 
--- a/fireflyward/forwarding/_unread.py
+++ b/fireflyward/forwarding/_pending_prefill.py
@@ -1,10 +1,10 @@
-"""A prompt that a replica has still to read."""
+"""Tracks prompt tokens that a replica has not prefilled yet."""
 
 from fireflyward.replicas import ReplicaState
 
 
-class UnreadPrompt:
-    """Counts a prompt as unread at a replica until its first token or its end."""
+class PendingPrefill:
+    """Counts a prompt as unprefilled until its first token or the request's end."""
 
     __slots__ = ("_replica", "_tokens")
 
@@ -13,6 +13,6 @@
         self._tokens = tokens
         replica.unread_tokens += tokens
 
-    def end(self) -> None:
+    def release(self) -> None:
         self._replica.unread_tokens -= self._tokens
         self._tokens = 0
--- a/fireflyward/forwarding/_plan.py
+++ b/fireflyward/forwarding/_plan.py
@@ -13,34 +13,36 @@
     Finish,
     NoReplica,
     Rejected,
-    RejectedBecause,
+    RejectionReason,
     SendResult,
     TryAgain,
     Unsent,
     WholeAnswer,
 )
 
-# Sends that no replica ran cost little, but each is an arrival at the service.
-_MOST_REJECTIONS = 3
-_MOST_UNSENT = 4
-# A replica that listens under another incarnation shows that the list is behind.
-_MOST_MISDIRECTED = 3
-# With less than this left a second replica could not answer in time.
-_LEAST_LEFT_MS = 40
-# A refused caller comes back about when a place is free again.
+# Sends that were not run cost a replica little, but each counts as an arrival at the
+# service.
+_MAX_REJECTIONS = 3
+_MAX_UNSENT = 4
+# A replica that answers with another incarnation shows that the list of replicas is out
+# of date.
+_MAX_MISDIRECTED = 3
+# With less time left than this, another replica could not answer before the deadline.
+_MIN_RETRY_WINDOW_MS = 40
+# About the time after which a rejected caller finds a free slot again.
 _RETRY_AFTER_MS = 300
-_PAUSE_MS = 15
+_RETRY_PAUSE_MS = 15
 
 
 class AttemptPlan:
-    """The state of one request across replicas; no I/O.
+    """Decides on the attempts of one request across replicas; no I/O.
 
-    A request that may run only once ends with the first send that may have run.
-    Others go on to another replica while the route's limit, the shared budget and
-    the time allow. What surely did not run is refused as such, so that the caller
-    may ask again.
+    A non-idempotent request is finished after the first send that may have run. Any
+    other request is sent to another replica as long as the route's limit, the shared
+    retry budget and the deadline allow it. A request that certainly did not run is
+    reported as not run, so that the caller may retry it.
 
-    >>> plan = AttemptPlan(max_attempts=2, may_repeat=False, take=lambda: True)
+    >>> plan = AttemptPlan(max_attempts=2, may_repeat=False, take_budget=lambda: True)
     >>> plan.decide(1_000, Failed("connection closed"))
     Finish(outcome=Unknown(reason=<Reason.UPSTREAM_FAILED: 'upstream_failed'>, \
 detail='connection closed', retry_after_ms=0))
@@ -52,106 +54,106 @@
         "_may_repeat",
         "_misdirected",
         "_rejections",
-        "_runs",
-        "_take",
+        "_possible_runs",
+        "_take_budget",
         "_unsent",
     )
 
     def __init__(
-        self, *, max_attempts: int, may_repeat: bool, take: Callable[[], bool]
+        self, *, max_attempts: int, may_repeat: bool, take_budget: Callable[[], bool]
     ) -> None:
         self._max_attempts = max_attempts
         self._may_repeat = may_repeat
-        self._take = take
+        self._take_budget = take_budget
         self._fallback: WholeAnswer | None = None
-        self._runs = 0
+        self._possible_runs = 0
         self._rejections = 0
         self._misdirected = 0
         self._unsent = 0
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether some replica may have begun on the request."""
-        return self._runs > 0
+        """Return whether a replica may have begun on the request."""
+        return self._possible_runs > 0
 
     def decide(self, left_ms: float, result: SendResult) -> Decision:
-        """Take what became of a send, with ``left_ms`` until the deadline."""
-        return self._on(result, left_ms)
+        """Decide how to go on after a send, with ``left_ms`` until the deadline."""
+        return self._decide(result, left_ms)
 
-    def give_up(
+    def abort(
         self, reason: Reason, detail: str, *, retry_after_ms: int = _RETRY_AFTER_MS
     ) -> Finish | Deliver:
-        """End the request now, truthfully as to whether it may have run."""
+        """Finish the request now; the outcome says whether it may have run."""
         if self._fallback is not None:
             return Deliver(self._fallback)
-        if self._runs:
+        if self._possible_runs:
             return Finish(Unknown(reason, detail))
         return Finish(NotRun(reason, detail, retry_after_ms))
 
     @singledispatchmethod
-    def _on(self, result: SendResult, left_ms: float) -> Decision:
+    def _decide(self, result: SendResult, left_ms: float) -> Decision:
         raise TypeError(f"no decision for {result!r}")
 
-    @_on.register
+    @_decide.register
     def _(self, result: Held, left_ms: float) -> Decision:
-        return self.give_up(
+        return self.abort(
             Reason.CRASHES_UPSTREAMS,
             result.detail,
             retry_after_ms=result.retry_after_ms,
         )
 
-    @_on.register
+    @_decide.register
     def _(self, result: NoReplica, left_ms: float) -> Decision:
-        return self.give_up(
+        return self.abort(
             Reason.NO_UPSTREAM,
-            "no replica may take it",
+            "no replica may take the request",
             retry_after_ms=max(_RETRY_AFTER_MS, result.wait_ms),
         )
 
-    @_on.register
+    @_decide.register
     def _(self, result: Unsent, left_ms: float) -> Decision:
         self._unsent += 1
-        if self._unsent < _MOST_UNSENT and left_ms > _LEAST_LEFT_MS:
+        if self._unsent < _MAX_UNSENT and left_ms > _MIN_RETRY_WINDOW_MS:
             return TryAgain()
-        return self.give_up(Reason.NO_UPSTREAM, result.detail)
+        return self.abort(Reason.NO_UPSTREAM, result.detail)
 
-    @_on.register
+    @_decide.register
     def _(self, result: Rejected, left_ms: float) -> Decision:
-        if result.because is RejectedBecause.FULL:
+        if result.reason is RejectionReason.FULL:
             self._rejections += 1
         else:
             self._misdirected += 1
-        within = (
-            self._rejections < _MOST_REJECTIONS
-            and self._misdirected < _MOST_MISDIRECTED
-            and left_ms > _LEAST_LEFT_MS
+        may_retry = (
+            self._rejections < _MAX_REJECTIONS
+            and self._misdirected < _MAX_MISDIRECTED
+            and left_ms > _MIN_RETRY_WINDOW_MS
         )
-        if within and self._take():
-            return TryAgain(_PAUSE_MS if self._rejections > 1 else 0)
-        return self.give_up(Reason.OVERLOADED, f"replicas say {result.because.value}")
+        if may_retry and self._take_budget():
+            return TryAgain(_RETRY_PAUSE_MS if self._rejections > 1 else 0)
+        return self.abort(Reason.OVERLOADED, f"replicas say {result.reason.value}")
 
-    @_on.register
+    @_decide.register
     def _(self, result: Failed, left_ms: float) -> Decision:
-        self._runs += 1
-        if self._may_run_again(left_ms):
+        self._possible_runs += 1
+        if self._may_rerun(left_ms):
             return TryAgain()
         reason = Reason.DEADLINE if result.is_late else Reason.UPSTREAM_FAILED
-        return self.give_up(reason, result.detail)
+        return self.abort(reason, result.detail)
 
-    @_on.register
+    @_decide.register
     def _(self, result: WholeAnswer, left_ms: float) -> Decision:
-        self._runs += 1
+        self._possible_runs += 1
         if not result.is_failure:
             return Deliver(result)
         self._fallback = result
-        if self._may_run_again(left_ms):
+        if self._may_rerun(left_ms):
             return TryAgain()
         return Deliver(result)
 
-    def _may_run_again(self, left_ms: float) -> bool:
+    def _may_rerun(self, left_ms: float) -> bool:
         return (
             self._may_repeat
-            and self._runs < self._max_attempts
-            and left_ms > _LEAST_LEFT_MS
-            and self._take()
+            and self._possible_runs < self._max_attempts
+            and left_ms > _MIN_RETRY_WINDOW_MS
+            and self._take_budget()
         )
--- a/fireflyward/forwarding/_prompt.py
+++ b/fireflyward/forwarding/_prompt_requirements.py
@@ -1,4 +1,4 @@
-"""What a request asks of a replica: place, memory, KV cache."""
+"""What a request requires of a replica: weights, memory and KV cache."""
 
 from fireflyward.platform import CallerRequest
 from fireflyward.prefixes import KvPlan, PartPlanner, cache_salt
@@ -8,8 +8,8 @@
 from ._weights import WeightVersions
 
 
-class PromptNeeds:
-    """Works out what one request needs from its prompt's parts; no I/O."""
+class PromptRequirements:
+    """Derives the requirements of one request from its prompt's parts; no I/O."""
 
     __slots__ = ("_allowed", "_caller", "_planner", "_weights")
 
@@ -27,12 +27,12 @@
         self._weights = weights
 
     @property
-    def held_tokens(self) -> int:
-        """Return what the request takes of a replica's memory at its end."""
+    def peak_tokens(self) -> int:
+        """Return the tokens in a replica's KV memory at the end of the request."""
         return self._caller.prompt_tokens + self._caller.most_output_tokens
 
     def wanted(self, now_ms: int) -> Wanted:
-        """Return what the choice of a replica goes by."""
+        """Return the criteria by which a replica is chosen."""
         caller = self._caller
         if not caller.model:
             return Wanted(self._allowed.service)
@@ -44,15 +44,15 @@
             prefix_key=shared[-1].part_id if shared else "",
             prefix_tokens=prefix_tokens - self._stored_tokens(version),
             new_tokens=caller.prompt_tokens - prefix_tokens,
-            tokens=self.held_tokens,
+            tokens=self.peak_tokens,
             kv_tokens=self._allowed.kv_tokens,
             model=caller.model,
             version=version,
             least_version=self._weights.min_version(now_ms, caller.model),
         )
 
-    def kv(self, now_ms: int, choice: Choice) -> tuple[str | None, KvPlan]:
-        """Return the salt at a replica, and what to fetch and save under it."""
+    def plan_kv(self, now_ms: int, choice: Choice) -> tuple[str | None, KvPlan]:
+        """Return the cache salt for the chosen replica, and what to fetch and save."""
         if choice.weights is None:
             return None, KvPlan((), ())
         salt = self._salt(choice.weights)
@@ -61,7 +61,7 @@
         return salt, plan
 
     def _stored_tokens(self, version: int | None) -> int:
-        """Return how much of the prompt the stores have for the newest weights."""
+        """Return how many of the shared tokens the stores have for a version."""
         if version is None:
             return 0
         parts = ((part.part_id, part.tokens) for part in self._caller.parts[:-1])
@@ -69,5 +69,5 @@
 
     def _salt(self, version: int) -> str:
         account = self._allowed.account
-        isolated = account.name if account and account.is_isolated else None
-        return cache_salt(self._caller.model, version, isolated)
+        isolated_account = account.name if account and account.is_isolated else None
+        return cache_salt(self._caller.model, version, isolated_account)
--- a/fireflyward/forwarding/_send_check.py
+++ b/fireflyward/forwarding/_quarantine_check.py
@@ -1,34 +1,34 @@
-"""Whether a request may be sent, and what its sends tell of it."""
+"""Asks the quarantine before each send of a request, and reports the results to it."""
 
 from fireflyward.quarantine import TRIAL_IS_OVER, Held, Trial
 from fireflyward.replicas import Choice, ReplicaState
 
-from ._deps import SendGate
+from ._dependencies import QuarantineGate
 from ._messages import Failed, SendResult, Streamed, WholeAnswer
 
-# A replica whose queue is shorter than this begins on a request about as soon as it
-# has it: a step of its batch takes 3 ms and more.
-_BEGINS_AT_ONCE_MS = 10.0
+# A replica with a shorter queue than this begins on a request about as soon as it
+# receives it: one step of its batch takes 3 ms or more.
+_IMMEDIATE_START_QUEUE_MS = 10.0
 
 
-class SendCheck:
-    """Asks the gate before each send, and tells it what each came to.
+class QuarantineCheck:
+    """Asks the quarantine gate before each send and reports the result of each send.
 
-    An earlier send of the same request may have been at the third replica that ended
-    under it, and a trial is the right to one send; so no leave lasts for a second.
+    Each send needs a permission of its own: the previous send of the same request may
+    have crashed the third replica, and a trial permits only one send.
     """
 
     __slots__ = ("_begun_at", "_fingerprint", "_gate", "_is_sent", "_trial")
 
-    def __init__(self, gate: SendGate, fingerprint: str) -> None:
+    def __init__(self, gate: QuarantineGate, fingerprint: str) -> None:
         self._gate = gate
         self._fingerprint = fingerprint
         self._trial: Trial | None = None
         self._is_sent = False
         self._begun_at: ReplicaState | None = None
 
-    async def held_back(self) -> Held | None:
-        """Return why no replica may get the request now, None if one may."""
+    async def admit(self) -> Held | None:
+        """Return why the request must not be sent now, None if it may be."""
         if self._trial is not None:
             return TRIAL_IS_OVER if self._is_sent else None
         admitted = await self._gate.admit(self._fingerprint)
@@ -37,19 +37,19 @@
             self._is_sent = False
         return admitted if isinstance(admitted, Held) else None
 
-    def on_unreached(self, replica: ReplicaState, *, is_refused: bool) -> None:
-        """Take a connection that did not come about."""
+    def on_connect_failed(self, replica: ReplicaState, *, is_refused: bool) -> None:
+        """Handle a connection that could not be opened."""
         if is_refused:
             self._gate.on_refused(replica)
 
-    def on_sending(self, choice: Choice) -> None:
-        """Note that the request goes to a replica."""
+    def on_send(self, choice: Choice) -> None:
+        """Record that the request is sent to a replica."""
         self._is_sent = True
-        begins_at_once = choice.queue_ms < _BEGINS_AT_ONCE_MS
+        begins_at_once = choice.queue_ms < _IMMEDIATE_START_QUEUE_MS
         self._begun_at = choice.replica if begins_at_once else None
 
     def on_result(self, replica: ReplicaState, result: SendResult) -> None:
-        """Tell the gate whether the replica survived the request."""
+        """Report to the gate whether the replica survived the request."""
         match result:
             case Failed():
                 self._gate.on_cut(self._fingerprint, replica, is_late=result.is_late)
@@ -58,8 +58,8 @@
             case WholeAnswer(is_success=True):
                 self._gate.on_answered(self._fingerprint)
 
-    def end(self) -> None:
-        """Give back what the request holds of the gate."""
+    def close(self) -> None:
+        """Return the request's trial to the gate, if it has one."""
         if self._trial is not None:
             self._gate.end_trial(
                 self._trial, was_sent=self._is_sent, begun_at=self._begun_at
--- a/fireflyward/forwarding/_request_run.py
+++ b/fireflyward/forwarding/_request_run.py
@@ -1,4 +1,4 @@
-"""One request on its way: sends, what they came to, and the end."""
+"""Runs one request: sends it to replicas until it has an outcome."""
 
 from fireflyward.deployment import RouteKind
 from fireflyward.http1 import HttpConnection, NotConnected
@@ -13,8 +13,8 @@
 from fireflyward.replicas import Choice, ReplicaState
 from fireflyward.routes import Allowed
 
-from ._admission import Prospect
-from ._deps import Tools
+from ._admission import LatencyEstimate
+from ._dependencies import Dependencies
 from ._exchange import Exchange, Reply, StreamProgress
 from ._messages import (
     Deliver,
@@ -22,27 +22,27 @@
     NoReplica,
     NotRunThere,
     Rejected,
-    RejectedBecause,
+    RejectionReason,
     SendResult,
     Streamed,
     Unsent,
     WholeAnswer,
 )
+from ._pending_prefill import PendingPrefill
 from ._plan import AttemptPlan
-from ._prompt import PromptNeeds
-from ._send_check import SendCheck
+from ._prompt_requirements import PromptRequirements
+from ._quarantine_check import QuarantineCheck
 from ._trace import Trace
-from ._unread import UnreadPrompt
 
-# A replica is a few ms away; one lost packet takes 200 ms to be sent again.
+# A replica is a few ms away, and TCP resends a lost packet after 200 ms.
 _CONNECT_TIMEOUT_MS = 350
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 _LOWEST_PRIORITY = 9
-_LATE_STEP = 5
+_LATE_PRIORITY_STEP = 5
 
 
-class Run:
-    """One request; lives as long as its caller waits."""
+class RequestRun:
+    """One request, from its arrival until its caller has an outcome or has gone."""
 
     __slots__ = (
         "_allowed",
@@ -53,8 +53,8 @@
         "_is_late",
         "_objective_ms",
         "_deps",
-        "_needs",
-        "_send_check",
+        "_requirements",
+        "_quarantine_check",
         "_plan",
         "_progress",
         "_reply",
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        tools: Tools,
+        deps: Dependencies,
         caller: CallerRequest,
         body: bytes,
         allowed: Allowed,
@@ -81,8 +81,8 @@
         trace.fingerprint = fingerprint_of(trace.account, caller.target, body)
         trace.service = allowed.service
         trace.configuration = allowed.configuration_version
-        self._deps = tools
-        self._clock = tools.clock
+        self._deps = deps
+        self._clock = deps.clock
         self._caller = caller
         self._body = body
         self._allowed = allowed
@@ -92,33 +92,33 @@
         if caller.deadline_ms is not None:
             limit_ms = min(limit_ms, caller.deadline_ms)
         self._due_ms = arrived_ms + limit_ms
-        spent_ms = tools.callers.spent_ms(allowed.route.name, caller.deadline_ms)
+        spent_ms = deps.callers.spent_ms(allowed.route.name, caller.deadline_ms)
         self._objective_ms = arrived_ms + allowed.route.objective_ms - spent_ms
         self._is_late = False
         self._waits_late = False
         self._progress = StreamProgress()
-        self._needs = PromptNeeds(
-            caller, allowed, planner=tools.planner, weights=tools.weights
+        self._requirements = PromptRequirements(
+            caller, allowed, planner=deps.planner, weights=deps.weights
         )
         self._sent_ms = arrived_ms
         self._tried: set[int] = set()
-        self._send_check = SendCheck(tools.gate, trace.fingerprint)
+        self._quarantine_check = QuarantineCheck(deps.gate, trace.fingerprint)
         self._plan = AttemptPlan(
             max_attempts=allowed.route.max_attempts,
             may_repeat=allowed.route.may_repeat,
-            take=self._take_budget,
+            take_budget=self._take_retry_budget,
         )
 
-    async def to_end(self) -> Outcome:
-        """Send until the plan ends the request; see ``Forwarder.serve``."""
+    async def run(self) -> Outcome:
+        """Send the request until its plan finishes it; see ``Forwarder.serve``."""
         try:
-            return await self._send_to_end()
+            return await self._send_until_done()
         finally:
-            # A caller may leave before its request was sent.
-            self._end_late_wait(None)
-            self._send_check.end()
+            # The caller may close its connection before its request was sent.
+            self._stop_late_wait(None)
+            self._quarantine_check.close()
 
-    async def _send_to_end(self) -> Outcome:
+    async def _send_until_done(self) -> Outcome:
         self._deps.budget.on_request(self._clock.now_ms(), self._service)
         while True:
             result = await self._send_once()
@@ -131,21 +131,22 @@
                 return await self._deliver(decision.answer)
             if isinstance(decision, Finish):
                 return decision.outcome
-            self._trace.on_again(self._caller.request_id, result, self._left_ms())
+            self._trace.on_retry(self._caller.request_id, result, self._left_ms())
             if decision.pause_ms:
                 await self._clock.sleep_ms(decision.pause_ms)
 
     async def _deliver(self, answer: WholeAnswer) -> Outcome:
         if self._progress.has_begun:
-            return Unknown(Reason.UPSTREAM_FAILED, "failed on going on")
-        if _says_not_run(answer):
-            # Passed on, this status would promise the caller that nothing ran.
-            return Unknown(Reason.UPSTREAM_FAILED, "replica failed after it began")
+            return Unknown(Reason.UPSTREAM_FAILED, "no replica continued the stream")
+        if _has_not_run_status(answer):
+            # Passed on to the caller, this status would mean that the request has not
+            # run.
+            return Unknown(Reason.UPSTREAM_FAILED, "replica failed after it had begun")
         await self._reply.send_response(answer.head, answer.body)
         return Answered()
 
     async def _send_once(self) -> SendResult | NotRun:
-        held = await self._send_check.held_back()
+        held = await self._quarantine_check.admit()
         if held is not None:
             return held
         while True:
@@ -156,20 +157,21 @@
             if choice is None:
                 return self._no_replica()
             self._trace.on_choice(choice)
-            refusal = self._admitted(choice, left_ms)
-            if refusal is not None:
-                return refusal
+            rejection = self._admit(choice, left_ms)
+            if rejection is not None:
+                return rejection
             backpressure = choice.replica.backpressure
             changes = backpressure.changes
             connection = await self._connect(choice.replica, left_ms)
             if isinstance(connection, NotConnected):
-                return self._unsent(choice.replica, connection)
+                return self._on_unsent(choice.replica, connection)
             if backpressure.changes == changes:
-                self._send_check.on_sending(choice)
-                return await self._send_on(connection, choice)
-            # It asked for something else meanwhile, so the choice does not hold.
+                self._quarantine_check.on_send(choice)
+                return await self._send_over(connection, choice)
+            # The replica's limit, backoff or leaving state changed while the connection
+            # was opened, so the choice is no longer valid.
             self._deps.pool.give_back(connection)
-            self._end_late_wait(None)
+            self._stop_late_wait(None)
 
     def _no_replica(self) -> NoReplica:
         now_ms = self._clock.now_ms()
@@ -184,20 +186,23 @@
             fresh=replica.is_suspect(self._clock.now_ms()),
         )
 
-    def _unsent(self, replica: ReplicaState, failure: NotConnected) -> Unsent:
+    def _on_unsent(self, replica: ReplicaState, failure: NotConnected) -> Unsent:
         replica.on_trouble(self._clock.now_ms())
         if not failure.is_refused:
             self._deps.reach.on_silent(replica)
-        self._send_check.on_unreached(replica, is_refused=failure.is_refused)
+        self._quarantine_check.on_connect_failed(replica, is_refused=failure.is_refused)
         self._tried.add(replica.number)
-        self._end_late_wait(None)
+        self._stop_late_wait(None)
         return Unsent(failure.detail)
 
-    def _admitted(self, choice: Choice, left_ms: float) -> NotRun | None:
-        """Turn a first send away if it would be late; note if it will be."""
+    def _admit(self, choice: Choice, left_ms: float) -> NotRun | None:
+        """Reject a first send that would be late, unless it may wait for a slot.
+
+        It also records whether the request is late and whether it waits.
+        """
         if not self._caller.model or self._plan.may_have_run:
             return None
-        prospect = Prospect(
+        estimate = LatencyEstimate(
             choice.queue_ms,
             choice.first_token_ms,
             self._objective_ms - self._clock.now_ms(),
@@ -205,18 +210,18 @@
             choice.slot_ms,
         )
         admission = self._deps.admission
-        self._is_late = admission.is_late(prospect)
-        refusal = admission.refusal(prospect)
-        if refusal is None or not admission.may_wait(prospect):
-            return refusal
+        self._is_late = admission.is_late(estimate)
+        rejection = admission.check(estimate)
+        if rejection is None or not admission.may_wait(estimate):
+            return rejection
         self._waits_late = self._deps.late_limit.try_acquire(
             self._service, choice.slots
         )
         self._trace.waits_late = self._waits_late
-        return None if self._waits_late else refusal
+        return None if self._waits_late else rejection
 
-    def _end_late_wait(self, replica: ReplicaState | None) -> None:
-        """Count a late request as any other, once it has its slot or its end."""
+    def _stop_late_wait(self, replica: ReplicaState | None) -> None:
+        """Stop counting a late request as waiting: it got its slot, or it is over."""
         if not self._waits_late:
             return
         self._waits_late = False
@@ -225,17 +230,19 @@
             replica.waiting_late -= 1
             replica.in_flight += 1
 
-    async def _send_on(self, connection: HttpConnection, choice: Choice) -> SendResult:
+    async def _send_over(
+        self, connection: HttpConnection, choice: Choice
+    ) -> SendResult:
         replica = choice.replica
         headers = self._headers(choice)
-        unread = UnreadPrompt(
+        prefill = PendingPrefill(
             replica, self._caller.prompt_tokens - headers.stored_tokens
         )
         if self._waits_late:
             replica.waiting_late += 1
         else:
             replica.in_flight += 1
-        replica.held_tokens += self._needs.held_tokens
+        replica.held_tokens += self._requirements.peak_tokens
         self._sent_ms = self._clock.now_ms()
         replica.on_cold_sent(self._sent_ms)
         self._trace.sends += 1
@@ -248,37 +255,38 @@
                 encode_request(self._caller, headers),
                 self._body,
             )
-            result = await self._read(connection, choice, unread)
+            result = await self._read(connection, choice, prefill)
         except BaseException:
-            # The caller went away: closing tells the replica to stop the work.
+            # The caller has gone. The replica stops its work once the connection is
+            # closed.
             connection.close()
             raise
         finally:
-            self._end_late_wait(replica)
+            self._stop_late_wait(replica)
             replica.in_flight -= 1
-            replica.held_tokens -= self._needs.held_tokens
-            unread.end()
+            replica.held_tokens -= self._requirements.peak_tokens
+            prefill.release()
         if isinstance(result, NotRunThere):
-            return self._rejected(choice, result.facts)
-        self._send_check.on_result(replica, result)
+            return self._on_rejected(choice, result.facts)
+        self._quarantine_check.on_result(replica, result)
         return result
 
     async def _read(
-        self, connection: HttpConnection, choice: Choice, unread: UnreadPrompt
+        self, connection: HttpConnection, choice: Choice, prefill: PendingPrefill
     ) -> SendResult | NotRunThere:
-        exchange = self._exchange(connection, choice, unread)
+        exchange = self._exchange(connection, choice, prefill)
         if not self._allowed.route.may_repeat:
             return await exchange.read()
         with self._deps.reach.awaiting(choice.replica, connection):
             return await exchange.read()
 
     def _exchange(
-        self, connection: HttpConnection, choice: Choice, unread: UnreadPrompt
+        self, connection: HttpConnection, choice: Choice, prefill: PendingPrefill
     ) -> Exchange:
-        def on_first() -> None:
-            unread.end()
-            self._end_late_wait(choice.replica)
-            self._learn_first_token(choice)
+        def on_first_data() -> None:
+            prefill.release()
+            self._stop_late_wait(choice.replica)
+            self._record_first_token(choice)
 
         return Exchange(
             connection,
@@ -291,10 +299,10 @@
             is_stream=self._allowed.route.kind is RouteKind.STREAM,
             progress=self._progress,
             reply=self._reply,
-            on_first=on_first,
+            on_first_data=on_first_data,
         )
 
-    def _rejected(self, choice: Choice, facts: ResponseFacts) -> Rejected:
+    def _on_rejected(self, choice: Choice, facts: ResponseFacts) -> Rejected:
         replica, now_ms = choice.replica, self._clock.now_ms()
         replica.refusals += 1
         if not facts.is_other_replica:
@@ -303,19 +311,19 @@
                 replica.on_loading(now_ms)
             else:
                 replica.on_full(now_ms)
-            return Rejected(RejectedBecause.FULL)
+            return Rejected(RejectionReason.FULL)
         is_same = facts.incarnation == replica.entry.incarnation
         if is_same and choice.weights is not None:
             self._tried.discard(replica.number)
             self._correct_weights(replica, choice, facts)
-            return Rejected(RejectedBecause.OTHER_WEIGHTS)
+            return Rejected(RejectionReason.OTHER_WEIGHTS)
         replica.on_trouble(now_ms)
-        return Rejected(RejectedBecause.OTHER_REPLICA)
+        return Rejected(RejectionReason.OTHER_REPLICA)
 
     def _correct_weights(
         self, replica: ReplicaState, choice: Choice, facts: ResponseFacts
     ) -> None:
-        """Believe the replica over the list, which lags by a heartbeat."""
+        """Prefer the replica's own report to the list, which lags by a heartbeat."""
         model = self._caller.model
         other = self._deps.weights.newest(model)
         if other is None or other == choice.weights:
@@ -324,7 +332,7 @@
 
     def _choose(self) -> Choice | None:
         now_ms = self._clock.now_ms()
-        wanted = self._needs.wanted(now_ms)
+        wanted = self._requirements.wanted(now_ms)
         choice = self._deps.chooser.choose(
             now_ms, wanted, without=frozenset(self._tried)
         )
@@ -333,8 +341,10 @@
         return choice
 
     def _priority(self) -> int:
-        """Return the rank at the replica; what is late goes behind all else."""
-        priority = self._allowed.priority + (_LATE_STEP if self._is_late else 0)
+        """Return the priority at the replica; late requests come after all others."""
+        priority = self._allowed.priority + (
+            _LATE_PRIORITY_STEP if self._is_late else 0
+        )
         return min(priority, _LOWEST_PRIORITY)
 
     def _headers(self, choice: Choice) -> ReplicaHeaders:
@@ -343,7 +353,7 @@
         last_event_id = self._caller.last_event_id
         if last_number is not None:
             last_event_id = str(last_number)
-        salt, kv = self._needs.kv(self._clock.now_ms(), choice)
+        salt, kv = self._requirements.plan_kv(self._clock.now_ms(), choice)
         return ReplicaHeaders(
             incarnation=choice.replica.entry.incarnation,
             left_ms=int(self._left_ms()),
@@ -357,7 +367,7 @@
             last_event_id=last_event_id,
         )
 
-    def _learn_first_token(self, choice: Choice) -> None:
+    def _record_first_token(self, choice: Choice) -> None:
         if self._caller.model:
             took_ms = self._clock.now_ms() - self._sent_ms
             self._trace.first_token_ms = took_ms
@@ -368,9 +378,9 @@
     def _left_ms(self) -> float:
         return self._due_ms - self._clock.now_ms()
 
-    def _take_budget(self) -> bool:
+    def _take_retry_budget(self) -> bool:
         return self._deps.budget.take(self._clock.now_ms(), self._service)
 
 
-def _says_not_run(answer: WholeAnswer) -> bool:
+def _has_not_run_status(answer: WholeAnswer) -> bool:
     return answer.head.status in _NOT_RUN_STATUSES
--- a/fireflyward/forwarding/_trace.py
+++ b/fireflyward/forwarding/_trace.py
@@ -1,4 +1,4 @@
-"""What was decided for one request, for its line in the log."""
+"""Collects what a node decided for one request, for its log line."""
 
 import logging
 
@@ -10,13 +10,14 @@
 
 
 class Trace:
-    """What was decided for one request, for its line in the log.
+    """What a node decided for one request, for its log line.
 
-    ``queue_ms`` and ``expected_ms`` are of the last send: the wait and the time to
-    the first token that were expected of its replica, and ``first_token_ms`` what it
-    came to from that send. ``earlier`` tells what became of each send before it,
-    and ``waits_late`` that it goes for a slot behind all others. ``fingerprint`` is
-    alike for requests that ask the same.
+    Three fields belong to the last send: ``queue_ms`` is the estimated wait at its
+    replica, ``expected_ms`` the estimated time to its first token, and
+    ``first_token_ms`` the measured time from the send to the first token. ``earlier``
+    lists the results of the sends before it. ``waits_late`` is set if the request is
+    late and waits for a slot at the lowest priority. ``fingerprint`` is the same for
+    requests with the same content.
     """
 
     __slots__ = (
@@ -53,18 +54,18 @@
         self.stored_tokens = 0
 
     def on_choice(self, choice: Choice) -> None:
-        """Note which replica a send goes to, and what is expected of it."""
+        """Record which replica was chosen for a send, and its estimated times."""
         self.replica = choice.replica.entry.incarnation
         self.weights = choice.weights
         self.queue_ms = int(choice.queue_ms)
         self.expected_ms = int(choice.first_token_ms)
 
-    def on_again(self, request_id: str, result: SendResult, left_ms: float) -> None:
-        """Note that another send follows, and write a line of it."""
+    def on_retry(self, request_id: str, result: SendResult, left_ms: float) -> None:
+        """Record the result of a send that is followed by another, and log it."""
         name, detail = type(result).__name__, _detail(result)
         self.earlier.append(f"{self.replica}: {name} {detail}")
         log.info(
-            "forwarding: again after %s",
+            "forwarding: retrying after %s",
             name,
             extra={
                 "request": request_id,
@@ -76,7 +77,7 @@
         )
 
     def fields(self) -> dict[str, object]:
-        """Return what is known, by name."""
+        """Return the fields that are set, by name."""
         return {
             name: value
             for name in self.__slots__
@@ -85,9 +86,9 @@
 
 
 def _detail(result: SendResult) -> str:
-    """Say in short what a send came to."""
+    """Describe the result of a send in a few words."""
     if isinstance(result, WholeAnswer):
         return f"status {result.head.status}"
     if isinstance(result, Rejected):
-        return result.because.value
+        return result.reason.value
     return getattr(result, "detail", "")
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -1,10 +1,10 @@
-"""Connections that take a request and never answer, for tests of what happens then."""
+"""A connection that never answers, for tests of replicas that do not respond."""
 
 import asyncio
 
 
 class SilentConnection:
-    """Tells by ``sent`` that a request went out on it."""
+    """Accepts a request, which sets ``sent``, and never returns a response."""
 
     def __init__(self, address=""):
         self.address = address
--- a/tests/forwarding/open_gate.py
+++ b/tests/forwarding/open_gate.py
@@ -1,16 +1,16 @@
-"""A gate that holds nothing back, for tests of other things."""
+"""A quarantine gate that admits everything, for tests of other parts."""
 
 from fireflyward.quarantine import Free
 
 
 class OpenGate:
-    """Lets every request through and learns nothing."""
+    """Admits every request and ignores all results."""
 
     async def admit(self, fingerprint):
         return Free()
 
     def end_trial(self, trial, *, was_sent, begun_at):
-        raise AssertionError("nothing is on trial")
+        raise AssertionError("no request is on trial")
 
     def on_cut(self, fingerprint, replica, *, is_late):
         pass
--- a/tests/forwarding/test_events.py
+++ b/tests/forwarding/test_events.py
@@ -1,4 +1,4 @@
-"""Streams are cut into whole events, however the bytes arrive."""
+"""Streams are split into complete events, however the bytes arrive."""
 
 import unittest
 
@@ -9,21 +9,21 @@
 
 class EventTests(unittest.TestCase):
     @given(st.integers(1, 8), st.lists(st.integers(1, 20), max_size=40))
-    def test_any_cut_gives_the_same_events(self, count, sizes):
+    def test_any_split_of_the_bytes_gives_the_same_events(self, count, sizes):
         data = b"".join(b"id: %d\ndata: x\n\n" % n for n in range(1, count + 1))
-        splitter, events, at = EventSplitter(), [], 0
+        splitter, events, position = EventSplitter(), [], 0
         for size in [*sizes, len(data)]:
-            events += splitter.feed(data[at : at + size])
-            at += size
+            events += splitter.feed(data[position : position + size])
+            position += size
         self.assertEqual(b"".join(event.data for event in events), data)
         self.assertEqual([e.number for e in events], list(range(1, count + 1)))
-        self.assertEqual(splitter.rest, b"")
+        self.assertEqual(splitter.incomplete, b"")
 
-    def test_half_an_event_is_kept_back(self):
+    def test_an_incomplete_event_is_not_returned(self):
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata: ha"), [])
-        self.assertEqual(splitter.rest, b"id: 1\ndata: ha")
+        self.assertEqual(splitter.incomplete, b"id: 1\ndata: ha")
 
-    def test_events_without_a_number(self):
+    def test_an_event_without_an_id_has_no_number(self):
         (event,) = EventSplitter().feed(b"data: x\n\n")
         self.assertIsNone(event.number)
--- a/tests/forwarding/test_late_run.py
+++ b/tests/forwarding/test_late_requests.py
@@ -1,4 +1,4 @@
-"""A late request on its way: counted once, wherever it ends."""
+"""A late request that waits for a slot is counted once, however it ends."""
 
 import asyncio
 import unittest
@@ -31,20 +31,20 @@
 
 
 class _Pool:
-    """Gives what it is told to; with ``None`` connecting takes for ever."""
+    """Returns a fixed connection; with ``None`` opening one never finishes."""
 
     def __init__(self, connection):
         self.connection = connection
-        self.asked = asyncio.Event()
+        self.was_asked = asyncio.Event()
 
     async def take(self, address, *, connect_ms, fresh=False):
-        self.asked.set()
+        self.was_asked.set()
         if self.connection is None:
             await asyncio.Event().wait()
         return self.connection
 
 
-class LateRunTests(unittest.IsolatedAsyncioTestCase):
+class LateRequestTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         entry = ReplicaEntry(
             "r1", "s", "r1:80", "a", SLOTS, False, weights=(ModelWeights("m", 1),)
@@ -52,7 +52,7 @@
         self.directory = ReplicaDirectory()
         self.directory.on_whole(0, [entry], after_outage=False)
         self.state = self.directory.find("r1")
-        # The next one waits 400 ms for a slot, and has 200 ms.
+        # The next request has to wait 400 ms for a slot; its objective is 200 ms.
         self.state.in_flight = SLOTS + 15
 
     def serve(self, connection):
@@ -68,7 +68,7 @@
             reach=MagicMock(),
             notices=MagicMock(),
         )
-        self.lane = forwarder._deps.late_limit
+        self.limit = forwarder._deps.late_limit
         self.trace = Trace()
         return asyncio.create_task(
             forwarder.serve(
@@ -81,43 +81,44 @@
             )
         )
 
-    def lane_is_free(self):
-        """Tell whether all of the lane's places are free, taking them."""
-        places = [self.lane.try_acquire("s", SLOTS) for _ in range(SLOTS // 2 + 1)]
-        return places == [True] * (SLOTS // 2) + [False]
+    def is_limit_free(self):
+        """Return whether no request waits, and use up the limit for that."""
+        acquired = [self.limit.try_acquire("s", SLOTS) for _ in range(SLOTS // 2 + 1)]
+        return acquired == [True] * (SLOTS // 2) + [False]
 
-    async def leave(self, serving):
+    async def disconnect(self, serving):
         serving.cancel()
         await asyncio.gather(serving, return_exceptions=True)
 
-    async def test_while_it_waits_others_do_not_count_it(self):
-        """Symptom: in a burst everything becomes late, and goes behind all else.
+    async def test_a_waiting_late_request_does_not_count_as_in_flight(self):
+        """Symptom: in a burst all requests become late and get the lowest priority.
 
-        Late requests were counted among those that wait for a slot, though whoever
-        is on time goes before them.
+        Late requests were counted among the requests that wait for a slot, although
+        requests that are on time get a slot before them.
         """
         connection = SilentConnection()
         serving = self.serve(connection)
         await connection.sent.wait()
         self.assertTrue(self.trace.waits_late)
         self.assertEqual((self.state.in_flight, self.state.waiting_late), (19, 1))
-        await self.leave(serving)
+        await self.disconnect(serving)
         self.assertEqual((self.state.in_flight, self.state.waiting_late), (19, 0))
         self.assertTrue(connection.is_closed)
-        self.assertTrue(self.lane_is_free())
+        self.assertTrue(self.is_limit_free())
 
-    async def test_a_caller_that_leaves_while_connecting_gives_its_place_back(self):
-        """Symptom: after some hours every late request is refused.
+    async def test_a_caller_that_disconnects_while_connecting_frees_its_place(self):
+        """Symptom: after some hours every late request is rejected.
 
-        Callers left before their requests were sent, and each kept its place.
+        Callers disconnected before their requests were sent, and their requests stayed
+        counted as waiting.
         """
         serving = self.serve(None)
-        await self.pool.asked.wait()
-        await self.leave(serving)
-        self.assertTrue(self.lane_is_free())
+        await self.pool.was_asked.wait()
+        await self.disconnect(serving)
+        self.assertTrue(self.is_limit_free())
 
-    async def test_a_replica_that_cannot_be_reached_gives_it_back_too(self):
+    async def test_a_failed_connection_frees_the_place(self):
         outcome = await self.serve(NotConnected("refused"))
         self.assertEqual(outcome.tag, "not_run")
         self.assertEqual((self.state.in_flight, self.state.waiting_late), (19, 0))
-        self.assertTrue(self.lane_is_free())
+        self.assertTrue(self.is_limit_free())
--- a/tests/forwarding/test_plan.py
+++ b/tests/forwarding/test_plan.py
@@ -1,4 +1,4 @@
-"""What is done after each way in which a send can end."""
+"""The decision after each possible result of a send."""
 
 import unittest
 
@@ -9,7 +9,7 @@
     Finish,
     NoReplica,
     Rejected,
-    RejectedBecause,
+    RejectionReason,
     TryAgain,
     Unsent,
     WholeAnswer,
@@ -17,7 +17,7 @@
 from fireflyward.http1 import Head
 from fireflyward.outcomes import NotRun, Reason, Unknown
 
-FULL = Rejected(RejectedBecause.FULL)
+FULL = Rejected(RejectionReason.FULL)
 FAILURE = WholeAnswer(Head(500, "", ()), b"")
 GOOD = WholeAnswer(Head(200, "", ()), b"x")
 
@@ -27,7 +27,7 @@
     return AttemptPlan(
         max_attempts=max_attempts,
         may_repeat=may_repeat,
-        take=lambda: bool(left and left.pop()),
+        take_budget=lambda: bool(left and left.pop()),
     )
 
 
@@ -38,21 +38,23 @@
         if reason:
             self.assertIs(decision.outcome.reason, reason)
 
-    def test_a_request_that_may_run_once_is_not_sent_after_it_may_have_run(self):
+    def test_a_non_idempotent_request_is_not_sent_again_after_it_may_have_run(self):
         """Symptom: a revision record is written twice.
 
-        The connection breaks after the request was sent; whether it ran is
-        unknown, and a second replica would run it again.
+        The connection breaks after the request was sent. It is unknown whether the
+        request ran, and a second replica would run it again.
         """
         decision = plan(may_repeat=False, max_attempts=3).decide(900, Failed("reset"))
         self.assert_finish(decision, Unknown, Reason.UPSTREAM_FAILED)
 
-    def test_what_did_not_run_goes_to_another_replica_whatever_its_kind(self):
+    def test_a_request_that_did_not_run_goes_to_another_replica_even_if_non_idempotent(
+        self,
+    ):
         self.assertEqual(plan(may_repeat=False).decide(900, FULL), TryAgain())
         self.assertEqual(plan(may_repeat=False).decide(900, Unsent("x")), TryAgain())
 
-    def test_a_refusal_never_follows_a_send_that_may_have_run(self):
-        """Symptom: a caller repeats a request that has run, told that it had not."""
+    def test_a_request_that_may_have_run_is_never_reported_as_not_run(self):
+        """Symptom: a caller repeats a request that ran but was reported as not run."""
         for then in (FULL, FULL, FULL, NoReplica()):
             attempt = plan(max_attempts=9)
             attempt.decide(900, Failed("reset"))
@@ -61,23 +63,23 @@
                 decision = attempt.decide(900, then)
             self.assert_finish(decision, Unknown)
 
-    def test_the_routes_limit_counts_runs(self):
+    def test_the_route_limits_the_sends_that_may_have_run(self):
         attempt = plan(max_attempts=2)
         self.assertEqual(attempt.decide(900, Failed("a")), TryAgain())
         self.assert_finish(attempt.decide(900, Failed("b")), Unknown)
 
-    def test_without_budget_nothing_is_repeated(self):
+    def test_without_retry_budget_nothing_is_repeated(self):
         self.assert_finish(plan(budget=0).decide(900, Failed("a")), Unknown)
         self.assert_finish(plan(budget=0).decide(900, FULL), NotRun, Reason.OVERLOADED)
 
-    def test_without_time_nothing_is_repeated(self):
+    def test_shortly_before_the_deadline_nothing_is_repeated(self):
         self.assert_finish(plan().decide(10, Failed("a")), Unknown)
 
-    def test_a_failure_of_the_replica_is_repeated_where_allowed(self):
+    def test_a_failure_of_the_replica_is_repeated_only_if_idempotent(self):
         self.assertEqual(plan().decide(900, FAILURE), TryAgain())
         self.assertEqual(plan(may_repeat=False).decide(900, FAILURE), Deliver(FAILURE))
 
-    def test_a_failure_is_delivered_when_the_repeat_brought_nothing(self):
+    def test_a_failure_is_delivered_if_no_replica_may_repeat_the_request(self):
         attempt = plan()
         attempt.decide(900, FAILURE)
         self.assertEqual(attempt.decide(900, NoReplica()), Deliver(FAILURE))
@@ -85,12 +87,12 @@
     def test_a_good_answer_is_delivered(self):
         self.assertEqual(plan().decide(900, GOOD), Deliver(GOOD))
 
-    def test_sends_that_did_not_run_end_too(self):
+    def test_the_number_of_rejected_sends_is_limited(self):
         attempt, count = plan(), 0
         while isinstance(attempt.decide(900, FULL), TryAgain):
             count += 1
         self.assertLess(count, 4)
 
-    def test_refusals_tell_when_to_come_back(self):
+    def test_a_rejection_says_when_to_retry(self):
         decision = plan().decide(900, NoReplica())
         self.assertGreater(decision.outcome.retry_after_ms, 0)
--- a/tests/forwarding/test_silent_replicas.py
+++ b/tests/forwarding/test_unresponsive_replicas.py
@@ -1,4 +1,4 @@
-"""What a request tells of replicas that do not answer, or are cold."""
+"""What a request reports about replicas that do not answer, or are cold."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 
 class _Reach:
-    """Notes what it hears."""
+    """Records the reports that it receives."""
 
     def __init__(self):
         self.silent = []
@@ -54,7 +54,7 @@
         return self._connection
 
 
-class SilentReplicaTests(unittest.IsolatedAsyncioTestCase):
+class UnresponsiveReplicaTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.directory = ReplicaDirectory()
         self.directory.set_services({"s": Service("s", 0, None, None, 3_000, 11.0)})
@@ -89,8 +89,8 @@
             )
         )
 
-    async def hangs(self, kind):
-        """Send a request without an answer; return how many would leave the domain."""
+    async def count_awaiting(self, kind):
+        """Send a request without a response; return how many ``Reach`` would abort."""
         connection = SilentConnection()
         serving = self.serve(connection, kind)
         await connection.sent.wait()
@@ -100,31 +100,31 @@
         await asyncio.gather(serving, return_exceptions=True)
         return awaiting
 
-    async def test_a_connection_without_an_answer_is_told_of(self):
-        """Symptom: a failure domain that was cut off was met replica by replica."""
+    async def test_a_connection_timeout_is_reported(self):
+        """Symptom: requests find each replica of an unreachable domain by a timeout."""
         await self.serve(NotConnected("no connection in 350 ms"), RouteKind.IDEMPOTENT)
         self.assertIn("r1", self.reach.silent)
 
-    async def test_a_refusal_is_an_answer(self):
+    async def test_a_refused_connection_is_not_reported_as_silent(self):
         refused = NotConnected("refused", is_refused=True)
         await self.serve(refused, RouteKind.IDEMPOTENT)
         self.assertEqual(self.reach.silent, [])
 
-    async def test_only_what_may_be_repeated_leaves_a_lost_domain(self):
-        """Symptom: in a cut records failed that their replicas were still writing.
+    async def test_only_idempotent_requests_are_aborted_in_an_unreachable_domain(self):
+        """Symptom: a network cut failed records that replicas were still writing.
 
-        A request that runs once at most is given up with its connection, though its
-        answer may still come.
+        A non-idempotent request fails if its connection is closed, although its
+        response may still arrive.
         """
-        self.assertEqual(await self.hangs(RouteKind.IDEMPOTENT), 1)
-        self.assertEqual(await self.hangs(RouteKind.NON_IDEMPOTENT), 0)
+        self.assertEqual(await self.count_awaiting(RouteKind.IDEMPOTENT), 1)
+        self.assertEqual(await self.count_awaiting(RouteKind.NON_IDEMPOTENT), 0)
         self.assertEqual(self.reach.awaiting_now, 0)
 
-    async def test_a_send_to_a_cold_replica_counts_from_when_it_leaves(self):
-        """Symptom: a cold replica got half of what it bears.
+    async def test_a_send_to_a_cold_replica_counts_from_the_moment_it_is_sent(self):
+        """Symptom: a cold replica got half of the requests that it can handle.
 
-        Each request counted as long as its connection might have taken to open.
+        Each request was counted for as long as its connection could have taken to open.
         """
-        await self.hangs(RouteKind.IDEMPOTENT)
+        await self.count_awaiting(RouteKind.IDEMPOTENT)
         self.assertEqual(self.state.cold_sends_since(-1), 1)
         self.assertEqual(self.state.cold_sends_since(0), 0)
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -1,4 +1,4 @@
-"""What a replica asks for while a request waits for its connection."""
+"""State changes of a replica while a request waits for its connection."""
 
 import asyncio
 import unittest
@@ -35,7 +35,7 @@
 
 
 class _Pool:
-    """The first connection opens only when it is let; idle ones come back here."""
+    """Opens connections once ``may_open`` is set; records those given back."""
 
     def __init__(self):
         self.may_open = asyncio.Event()
@@ -85,7 +85,7 @@
         )
 
     async def begin(self):
-        """Have a request wait for its connection; return the replica it waits for."""
+        """Let a request wait for a connection; return the replica it waits for."""
         self.serving = asyncio.create_task(self.serve())
         await asyncio.sleep(0)
         name = self.pool.taken[0].address.partition(":")[0]
@@ -104,22 +104,22 @@
         self.serving.cancel()
         await asyncio.gather(self.serving, return_exceptions=True)
 
-    async def test_a_limit_that_is_named_meanwhile_holds(self):
-        """Guards against all that wait for connections when a limit is named."""
+    async def test_a_limit_set_meanwhile_applies(self):
+        """Guards against sending all requests that waited when the limit was set."""
         replica = await self.begin()
         replica.backpressure.limit.on_named(0, 0.5)
         replica.backpressure.changes += 1
         await self.assert_sent_elsewhere(replica)
 
-    async def test_a_replica_that_leaves_meanwhile_gets_nothing(self):
-        """Guards against requests that waited while their replica said it leaves."""
+    async def test_a_replica_that_starts_leaving_meanwhile_gets_no_request(self):
+        """Guards against sending requests that waited as the replica began to leave."""
         replica = await self.begin()
         self.directory.on_leaving(replica)
         replica.backpressure.changes += 1
         await self.assert_sent_elsewhere(replica)
 
-    async def test_a_replica_that_asks_for_rest_meanwhile_gets_nothing(self):
-        """Guards against requests that waited while their replica asked for rest."""
+    async def test_a_replica_that_asks_for_backoff_meanwhile_gets_no_request(self):
+        """Guards against sending requests that waited when backoff was requested."""
         replica = await self.begin()
         replica.backpressure.on_rest(0, 3_000)
         replica.backpressure.changes += 1
@@ -127,7 +127,7 @@
 
 
 class _TrialGate(OpenGate):
-    """Lets a request through as a trial, and notes how that ends."""
+    """Admits a request as a trial, and records how the trial ends."""
 
     def __init__(self):
         self.ended = []
@@ -140,14 +140,14 @@
 
 
 class TrialTests(WaitingSendTests):
-    """The same for a request that is on trial; its one send is then still due."""
+    """The same for a request on trial, which has not used its one send yet."""
 
     def setUp(self):
         super().setUp()
         self.gate = _TrialGate()
         self.forwarder._deps = replace(self.forwarder._deps, gate=self.gate)
 
-    async def test_with_all_replicas_resting_it_is_refused_unsent(self):
+    async def test_with_all_replicas_in_backoff_it_is_rejected_unsent(self):
         for state in self.directory.all():
             state.backpressure.on_rest(0, 3_000)
         outcome = await self.serve()
--- a/tests/forwarding/test_weights.py
+++ b/tests/forwarding/test_weights.py
@@ -1,4 +1,4 @@
-"""Until when older weights may begin on a request."""
+"""How long older weights may still begin to run requests."""
 
 import unittest
 
@@ -8,39 +8,39 @@
 
 class WeightTests(unittest.TestCase):
     def setUp(self):
-        self.book = WeightVersions(version_ms=12_000)
+        self.versions = WeightVersions(version_ms=12_000)
 
-    def test_a_version_named_meanwhile_gives_the_first_no_more_time(self):
+    def test_a_newer_version_does_not_extend_the_limit_of_the_first(self):
         """Symptom: a request begins on weights that were replaced 12 s ago.
 
-        A second version is named before the first is in place everywhere, and
-        the time since the first is forgotten.
+        A second version is named before all replicas have loaded the first, and the
+        node forgets when the first was named.
         """
-        self.book.set_target(0, WeightTarget("m", 2))
-        self.book.set_target(4_000, WeightTarget("m", 3))
-        self.assertEqual(self.book.min_version(8_499, "m"), 0)
-        self.assertEqual(self.book.min_version(8_500, "m"), 2)
-        self.assertEqual(self.book.min_version(12_500, "m"), 3)
+        self.versions.set_target(0, WeightTarget("m", 2))
+        self.versions.set_target(4_000, WeightTarget("m", 3))
+        self.assertEqual(self.versions.min_version(8_499, "m"), 0)
+        self.assertEqual(self.versions.min_version(8_500, "m"), 2)
+        self.assertEqual(self.versions.min_version(12_500, "m"), 3)
 
-    def test_requests_that_wait_in_a_queue_begin_in_time(self):
-        """Symptom: as above, though the request was sent in time.
+    def test_the_limit_includes_the_wait_in_a_replicas_queue(self):
+        """Symptom: as above, although the request was sent in time.
 
-        It waited more than two seconds in the replica's queue.
+        The request waited more than two seconds in the replica's queue.
         """
-        self.book.set_target(0, WeightTarget("m", 2))
+        self.versions.set_target(0, WeightTarget("m", 2))
         self.assertLessEqual(12_000 - 8_500, 3_500)
-        self.assertEqual(self.book.min_version(9_000, "m"), 2)
+        self.assertEqual(self.versions.min_version(9_000, "m"), 2)
 
-    def test_an_older_name_changes_nothing(self):
-        self.assertTrue(self.book.set_target(0, WeightTarget("m", 3)))
-        self.assertFalse(self.book.set_target(0, WeightTarget("m", 2)))
-        self.assertEqual(self.book.newest("m"), 3)
+    def test_an_older_version_changes_nothing(self):
+        self.assertTrue(self.versions.set_target(0, WeightTarget("m", 3)))
+        self.assertFalse(self.versions.set_target(0, WeightTarget("m", 2)))
+        self.assertEqual(self.versions.newest("m"), 3)
 
-    def test_what_a_node_finds_at_its_start_may_be_long_named(self):
-        self.book.set_target(0, WeightTarget("m", 2), at_start=True)
-        self.assertEqual(self.book.min_version(2_500, "m"), 2)
+    def test_a_version_found_at_startup_may_have_been_named_long_ago(self):
+        self.versions.set_target(0, WeightTarget("m", 2), at_start=True)
+        self.assertEqual(self.versions.min_version(2_500, "m"), 2)
 
-    def test_a_model_that_nobody_named(self):
+    def test_a_model_without_a_named_version(self):
         self.assertEqual(
-            (self.book.newest("m"), self.book.min_version(0, "m")), (None, 0)
+            (self.versions.newest("m"), self.versions.min_version(0, "m")), (None, 0)
         )
