--- a/fireflyward/forwarding/_prompt_requirements.py
+++ b/fireflyward/forwarding/_prompt_requirements.py
@@ -57,7 +57,7 @@
             return None, KvPlan((), ())
         salt = self._salt(choice.weights)
         parts = ((part.part_id, part.tokens) for part in self._caller.parts)
-        plan = self._planner.plan(now_ms, salt, parts, elsewhere=choice.kv_source)
+        plan = self._planner.plan(now_ms, salt, parts, fallback_source=choice.kv_source)
         return salt, plan
 
     def _stored_tokens(self, version: int | None) -> int:
--- a/fireflyward/prefixes/__init__.py
+++ b/fireflyward/prefixes/__init__.py
@@ -1,15 +1,15 @@
-"""Where the KV cache of shared prompt parts is kept, and who saves it."""
+"""Tracks which stores hold the KV cache of shared prompt parts, and plans its use."""
 
-from ._follow import Following, StoreFollower
+from ._follow import FollowMode, StoreFollower
+from ._garbage import GarbageCollector
 from ._index import KvEvent, KvUpdate, PartKey, StoreIndex
-from ._janitor import GarbageCollector
 from ._planner import KvPlan, PartPlanner
+from ._publisher import StorePublisher
 from ._salt import cache_salt, salt_version
 from ._sharing import SharedStoreReader
-from ._telling import StorePublisher
 
 __all__ = [
-    "Following",
+    "FollowMode",
     "GarbageCollector",
     "KvEvent",
     "KvUpdate",
--- a/fireflyward/prefixes/_encoding.py
+++ b/fireflyward/prefixes/_encoding.py
@@ -1,4 +1,4 @@
-"""Events of a store as the structs that go between nodes."""
+"""Converts the events of a store to and from the structs that nodes exchange."""
 
 from typing import Any
 
@@ -6,35 +6,37 @@
 from ._prefixes_structs import StoreEvents
 
 
-def encoded(address: str, news: KvUpdate) -> Any:
-    """Return news of a store as a struct; each salt is written once."""
-    salts = list({event.key.salt: None for event in news.events})
+def encode(address: str, update: KvUpdate) -> Any:
+    """Return an update of a store as a struct, which contains each salt once."""
+    salts = list({event.key.salt: None for event in update.events})
     number_by_salt = {salt: number for number, salt in enumerate(salts)}
     return StoreEvents(
         address=address,
-        epoch=news.epoch,
-        since=news.since,
-        next_event=news.next_event,
+        epoch=update.epoch,
+        since=update.since,
+        next_event=update.next_event,
         salts=salts,
-        salt_of=[number_by_salt[event.key.salt] for event in news.events],
-        part_ids=[event.key.part_id for event in news.events],
-        tokens=[event.tokens for event in news.events],
+        salt_of=[number_by_salt[event.key.salt] for event in update.events],
+        part_ids=[event.key.part_id for event in update.events],
+        tokens=[event.tokens for event in update.events],
     )
 
 
-def decoded(told: Any, *, is_snapshot: bool = False, has_gap: bool = False) -> KvUpdate:
-    """Return the news of a struct."""
+def decode(
+    struct: Any, *, is_snapshot: bool = False, has_gap: bool = False
+) -> KvUpdate:
+    """Return the update that a struct contains."""
     events = tuple(
-        KvEvent(PartKey(told.salts[salt], part_id), tokens)
+        KvEvent(PartKey(struct.salts[salt], part_id), tokens)
         for salt, part_id, tokens in zip(
-            told.salt_of, told.part_ids, told.tokens, strict=True
+            struct.salt_of, struct.part_ids, struct.tokens, strict=True
         )
     )
     return KvUpdate(
-        told.epoch,
+        struct.epoch,
         events,
-        told.next_event,
-        since=told.since,
+        struct.next_event,
+        since=struct.since,
         is_snapshot=is_snapshot,
         has_gap=has_gap,
     )
--- a/fireflyward/prefixes/_follow.py
+++ b/fireflyward/prefixes/_follow.py
@@ -1,4 +1,4 @@
-"""The task that follows the events of one store of KV cache."""
+"""The task that follows the events of one KV store."""
 
 import asyncio
 import enum
@@ -12,37 +12,47 @@
 
 log = logging.getLogger("fireflyward.prefixes")
 
-# A call of events ends after its wait; one that lasts this much longer is lost.
+# The store answers a call for events when its wait time is over. A call that takes
+# longer than its wait time plus this limit has failed.
 _LIMIT_MS = 700
-_PAUSE_MS = 500
+_RETRY_PAUSE_MS = 500
 _WAIT_MS = 1_000
-# Between the calls of an aggregator, which follows every store for its domain: with
-# twenty stores it makes some 130 calls a second, each of which costs 0.3 ms.
+# The pause between an aggregator's calls to one store. An aggregator follows every
+# store for its failure domain: with twenty stores it makes some 130 calls a second,
+# each of which costs 0.3 ms.
 _AGGREGATOR_PAUSE_MS = 150
-# A listener asks the store by itself after this long without word of it. Calls that
-# wait less than 200 ms are charged as probes.
-_UNHEARD_MS = 1_600
-_SHORT_WAIT_MS = 250
-# The way to the aggregator and back with one lost packet; a whole list is some 150 KB.
-NEIGHBOUR_LIMIT_MS = 600
-# After a restart of a store saves wait until every node knows of it: the aggregator
-# by its own call, a listener that misses its word by a call of the aggregator after
-# that, and of the store where this fails.
-_UNSEEN_MS = (
-    _WAIT_MS + _LIMIT_MS + _UNHEARD_MS + NEIGHBOUR_LIMIT_MS + _SHORT_WAIT_MS + _LIMIT_MS
+# A listener (a node that follows a store through its aggregator) makes a call of its
+# own after this long without an update of the store. Calls with a wait time below
+# 200 ms are charged as probes.
+_AGGREGATOR_TIMEOUT_MS = 1_600
+_LISTENER_WAIT_MS = 250
+# A call to the aggregator and its answer, with one lost packet. The complete list of a
+# store has some 150 KB.
+AGGREGATOR_CALL_LIMIT_MS = 600
+# After a store has restarted, nodes save nothing to it until every node has learned of
+# the restart. The aggregator learns of it by its own call. A listener that misses the
+# aggregator's update calls the aggregator after its timeout, and the store if that call
+# fails.
+_SAVE_BLOCK_MS = (
+    _WAIT_MS
+    + _LIMIT_MS
+    + _AGGREGATOR_TIMEOUT_MS
+    + AGGREGATOR_CALL_LIMIT_MS
+    + _LISTENER_WAIT_MS
+    + _LIMIT_MS
 )
 
 
-class Following(enum.Enum):
+class FollowMode(enum.Enum):
     """How a node learns of a store's events."""
 
-    BY_ITSELF = "by itself"
-    FOR_OTHERS = "for others"
+    INDEPENDENT = "by itself"
+    AS_AGGREGATOR = "for others"
     FROM_AGGREGATOR = "from the aggregator"
 
 
 class KvReader(Protocol):
-    """What a follower needs of a store; None stands for no answer."""
+    """What a follower needs of a store; None means that there was no answer."""
 
     async def kv_events(
         self, address: str, *, since: int, wait_ms: int, limit_ms: float
@@ -54,10 +64,11 @@
 class StoreFollower:
     """Keeps one ``StoreIndex`` up to date.
 
-    A few nodes each wait at the store. A store lets about a dozen callers wait, so
-    of many nodes only the aggregators do, and tell the others what they read. A
-    listener that hears nothing, or misses something, asks once; its reader passes the
-    question to the aggregator (``SharedStoreReader``).
+    In a small cluster each node makes long calls that wait at the store for events. A
+    store lets only about a dozen callers wait, so in a large cluster only the
+    aggregators make such calls, and publish what they read to the other nodes. A
+    listener that receives no update, or detects a gap, makes one call through its
+    reader, which forwards it to the aggregator (``SharedStoreReader``).
     """
 
     def __init__(
@@ -66,85 +77,91 @@
         *,
         reader: KvReader,
         clock: Clock,
-        mode: Callable[[], Following],
-        on_read: Callable[[str, KvUpdate], None] = lambda address, news: None,
+        mode: Callable[[], FollowMode],
+        on_read: Callable[[str, KvUpdate], None] = lambda address, update: None,
     ) -> None:
         self._index = index
         self._reader = reader
         self._clock = clock
         self._mode = mode
         self._on_read = on_read
-        self._missed = asyncio.Event()
-        self._heard_ms = -_UNHEARD_MS
+        self._gap_detected = asyncio.Event()
+        self._last_update_ms = -_AGGREGATOR_TIMEOUT_MS
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the store until cancelled."""
         while True:
             mode = self._mode()
-            if mode is Following.FROM_AGGREGATOR and not self._must_ask():
-                await within_ms(self._clock, _UNHEARD_MS, self._missed.wait())
+            if mode is FollowMode.FROM_AGGREGATOR and not self._must_query_store():
+                await within_ms(
+                    self._clock, _AGGREGATOR_TIMEOUT_MS, self._gap_detected.wait()
+                )
                 continue
-            pause_ms = _AGGREGATOR_PAUSE_MS if mode is Following.FOR_OTHERS else 0
+            pause_ms = _AGGREGATOR_PAUSE_MS if mode is FollowMode.AS_AGGREGATOR else 0
             if not await self.step():
-                pause_ms = _PAUSE_MS
+                pause_ms = _RETRY_PAUSE_MS
             if pause_ms:
                 await self._clock.sleep_ms(pause_ms)
 
     async def step(self) -> bool:
         """Make one call; return whether the store answered."""
         index = self._index
-        self._missed.clear()
-        waits_long = self._mode() is not Following.FROM_AGGREGATOR
-        news = await self._reader.kv_events(
+        self._gap_detected.clear()
+        waits_long = self._mode() is not FollowMode.FROM_AGGREGATOR
+        update = await self._reader.kv_events(
             index.address,
             since=index.next_event,
-            wait_ms=_WAIT_MS if waits_long else _SHORT_WAIT_MS,
+            wait_ms=_WAIT_MS if waits_long else _LISTENER_WAIT_MS,
             limit_ms=_LIMIT_MS,
         )
-        if news is None:
-            return self._silent()
-        if news.epoch != index.epoch:
-            self._begin(news.epoch)
-            if news.since != 0:
+        if update is None:
+            return self._on_unreachable()
+        if update.epoch != index.epoch:
+            self._begin_epoch(update.epoch)
+            if update.since != 0:
                 return True
-        if not index.take(news):
-            whole = await self._reader.kv_list(index.address, limit_ms=_LIMIT_MS)
-            if whole is None:
-                return self._silent()
-            news = index.difference(whole)
-            index.take(whole)
-        self._on_read(index.address, news)
-        self._heard_ms = self._clock.now_ms()
+        if not index.apply(update):
+            snapshot = await self._reader.kv_list(index.address, limit_ms=_LIMIT_MS)
+            if snapshot is None:
+                return self._on_unreachable()
+            update = index.difference(snapshot)
+            index.apply(snapshot)
+        self._on_read(index.address, update)
+        self._last_update_ms = self._clock.now_ms()
         return True
 
-    def hear(self, news: KvUpdate) -> None:
-        """Take what an aggregator read, if it follows on what is known here."""
+    def on_update(self, update: KvUpdate) -> None:
+        """Apply what an aggregator read, if it continues this node's own state."""
         index = self._index
-        if news.epoch != index.epoch and news.since == 0:
-            self._begin(news.epoch)
-        if news.epoch != index.epoch or news.since > index.next_event:
-            self._missed.set()
+        if update.epoch != index.epoch and update.since == 0:
+            self._begin_epoch(update.epoch)
+        if update.epoch != index.epoch or update.since > index.next_event:
+            self._gap_detected.set()
             return
-        self._heard_ms = self._clock.now_ms()
-        if index.next_event < news.next_event:
-            # What is known already is taken once more, up to where the news leads.
-            index.take(news)
+        self._last_update_ms = self._clock.now_ms()
+        if index.next_event < update.next_event:
+            # The update may begin with events that this node already has. Applying them
+            # again is harmless, because the update also contains all later ones.
+            index.apply(update)
 
-    def _must_ask(self) -> bool:
-        silent_ms = self._clock.now_ms() - self._heard_ms
-        return self._missed.is_set() or silent_ms >= _UNHEARD_MS
+    def _must_query_store(self) -> bool:
+        since_update_ms = self._clock.now_ms() - self._last_update_ms
+        return self._gap_detected.is_set() or since_update_ms >= _AGGREGATOR_TIMEOUT_MS
 
-    def _begin(self, epoch: int) -> None:
-        """Begin with a life of the store, in which it was empty at first.
+    def _begin_epoch(self, epoch: int) -> None:
+        """Start over with a new epoch of the store, at whose beginning it was empty.
 
-        A node that starts cannot know whether that life is new to the others.
+        A node that has just started cannot know whether the other nodes have already
+        learned of this epoch.
         """
         if self._index.epoch is not None:
             log.info("prefixes: store %s restarted and is empty", self._index.address)
-        self._index.restart(epoch, no_saves_until_ms=self._clock.now_ms() + _UNSEEN_MS)
+        self._index.restart(
+            epoch, no_saves_until_ms=self._clock.now_ms() + _SAVE_BLOCK_MS
+        )
 
-    def _silent(self) -> bool:
+    def _on_unreachable(self) -> bool:
         if self._index.is_up:
             log.warning("prefixes: store %s does not answer", self._index.address)
-        self._index.on_silence()
+        self._index.on_unreachable()
         return False
--- a/fireflyward/prefixes/_planner.py
+++ b/fireflyward/prefixes/_planner.py
@@ -1,4 +1,4 @@
-"""Decides for each request which parts to fetch from where and which to save."""
+"""Decides for each request which parts to fetch, from where, and which to save."""
 
 import math
 from collections.abc import Iterable
@@ -9,16 +9,17 @@
 
 from ._index import PartKey, StoreIndex
 
-# Reading a shorter part again is quicker than the first byte from a store.
-_LEAST_TOKENS = 200
+# Prefilling a shorter part again takes less time than the first byte from a store.
+_MIN_PART_TOKENS = 200
 _RANKS = float(1 << 64)
 
 
 @dataclass(frozen=True, slots=True)
 class KvPlan:
-    """Per part of the prompt: the address to fetch from and the one to save to.
+    """For each part of a prompt, where to fetch it from and where to save it.
 
-    ``stored_tokens`` of the prompt come from stores, which surely have them.
+    ``stored_tokens`` is the number of tokens that come from stores, which report the
+    parts as complete.
     """
 
     sources: tuple[str | None, ...]
@@ -27,18 +28,18 @@
 
     @property
     def fetches(self) -> bool:
-        """Tell whether anything is fetched."""
+        """Return whether anything is fetched."""
         return any(self.sources)
 
 
 class PartPlanner:
-    """Knows all stores; no I/O.
+    """Plans fetches and saves over all stores; no I/O.
 
-    Every node ranks the stores for a part alike, in proportion to their room, and
-    saves it to the first that has room for it. Parts differ in size by a factor of
-    ten, so that some stores fill up while others have room for a tenth more; what
-    has no place would be read again at every request. Where a part is the stores'
-    own events tell.
+    Every node ranks the stores for a part in the same way, in proportion to their
+    capacity, and saves the part to the first store with enough free memory. Parts
+    differ in size by a factor of ten, so some stores fill up while others still have a
+    tenth of their capacity free; a part that is saved nowhere would be prefilled again
+    by every request. The events of the stores show which store holds a part.
     """
 
     __slots__ = ("_capacity_by_address", "_index_by_address")
@@ -48,8 +49,8 @@
         self._capacity_by_address: dict[str, int] = {}
 
     def set_stores(self, stores: Iterable[KvStore]) -> None:
-        """Take the stores of a configuration, keeping what is known of old ones."""
-        # An empty index is false, so whether one is known is asked of the mapping.
+        """Set the stores of a configuration; known stores keep their index."""
+        # An empty index is falsy, so the mapping is checked for the address instead.
         known = self._index_by_address
         self._capacity_by_address = {
             store.address: store.kv_tokens for store in stores if store.drops_nothing
@@ -71,12 +72,13 @@
         salt: str,
         parts: Iterable[tuple[str, int]],
         *,
-        elsewhere: str | None,
+        fallback_source: str | None,
     ) -> KvPlan:
         """Return what to fetch and save of a prompt's (id, tokens) parts.
 
-        The last part is the request's own and is neither. ``elsewhere`` is a
-        replica that probably has the parts which no store holds.
+        The last part belongs to this request only and is neither fetched nor saved.
+        ``fallback_source`` is a replica that probably has the parts that no store
+        holds.
         """
         parts = tuple(parts)
         sources: list[str | None] = []
@@ -84,53 +86,53 @@
         stored_tokens = 0
         for part_id, tokens in parts[:-1]:
             key = PartKey(salt, part_id)
-            holder = self._holder(key)
-            if holder is not None:
-                sources.append(holder.address)
+            index = self._find_store(key)
+            if index is not None:
+                sources.append(index.address)
                 saves.append(None)
                 stored_tokens += tokens
             else:
-                sources.append(elsewhere)
-                saves.append(self._save_to(now_ms, key, tokens))
+                sources.append(fallback_source)
+                saves.append(self._choose_save_store(now_ms, key, tokens))
         return KvPlan((*sources, None), (*saves, None), stored_tokens)
 
     def stored_tokens(self, salt: str, parts: Iterable[tuple[str, int]]) -> int:
-        """Return how much of a prompt the stores have."""
+        """Return how many tokens of a prompt the stores have."""
         return sum(
             tokens
             for part_id, tokens in parts
-            if self._holder(PartKey(salt, part_id)) is not None
+            if self._find_store(PartKey(salt, part_id)) is not None
         )
 
-    def _holder(self, key: PartKey) -> StoreIndex | None:
-        """Return a store that has a part whole."""
+    def _find_store(self, key: PartKey) -> StoreIndex | None:
+        """Return a store that has the complete part."""
         for index in self._index_by_address.values():
             if index.has(key):
                 return index
         return None
 
-    def _save_to(self, now_ms: int, key: PartKey, tokens: int) -> str | None:
-        """Return where to save a part, and note that it will be."""
-        if tokens < _LEAST_TOKENS:
+    def _choose_save_store(self, now_ms: int, key: PartKey, tokens: int) -> str | None:
+        """Return where to save a part, and record it there as being saved."""
+        if tokens < _MIN_PART_TOKENS:
             return None
         indexes = self._index_by_address.values()
         if any(index.is_saving(now_ms, key) for index in indexes):
             return None
-        for address in self._ranked(key):
+        for address in self._rank_stores(key):
             index = self._index_by_address[address]
-            if index.may_save(now_ms, key, tokens):
+            if index.reserve_save(now_ms, key, tokens):
                 return address
         return None
 
-    def _ranked(self, key: PartKey) -> list[str]:
-        """Return all stores for a part: rendezvous hashing weighted by room."""
+    def _rank_stores(self, key: PartKey) -> list[str]:
+        """Return all stores ranked for a part, by hashing weighted with capacity."""
         return sorted(
             self._index_by_address,
-            key=lambda item: _weighted(key, item, self._capacity_by_address[item]),
+            key=lambda item: _weighted_rank(key, item, self._capacity_by_address[item]),
             reverse=True,
         )
 
 
-def _weighted(key: PartKey, address: str, weight: int) -> float:
+def _weighted_rank(key: PartKey, address: str, weight: int) -> float:
     rank = rendezvous_rank(key.part_id, address)
     return -weight / math.log((rank + 0.5) / _RANKS)
--- a/fireflyward/prefixes/_salt.py
+++ b/fireflyward/prefixes/_salt.py
@@ -1,14 +1,14 @@
-"""The text under which KV cache is kept apart."""
+"""Cache salts, which separate KV cache by model version and isolated account."""
 
 _SEPARATOR = "~"
 
 
 def cache_salt(model: str, version: int, account: str | None = None) -> str:
-    """Return the salt of one version of a model, and of one isolated account.
+    """Return the salt for one version of a model and, if given, one isolated account.
 
-    KV cache made by other weights gives wrong answers without any error, and
-    replicas check neither version nor account; under another salt they find
-    nothing. ``account`` is given for isolated accounts only.
+    KV cache computed with other weights gives wrong answers without any error, and
+    replicas check neither the version nor the account. With another salt they find no
+    cache. ``account`` is given only for isolated accounts.
 
     >>> cache_salt("m", 2)
     'm~2'
@@ -20,7 +20,7 @@
 
 
 def salt_version(salt: str) -> tuple[str, int] | None:
-    """Return model and version of a salt, None if it is not one of ours.
+    """Return model and version of a salt, None if ``cache_salt`` did not create it.
 
     >>> salt_version("m~2~account")
     ('m', 2)
--- a/fireflyward/prefixes/prefixes.thrift
+++ b/fireflyward/prefixes/prefixes.thrift
@@ -1,8 +1,9 @@
-/* What the aggregator of a failure domain read of the events of stores of KV cache. */
+/* Messages by which the aggregator of a failure domain shares the events of KV stores. */
 namespace py fireflyward.prefixes
 
-/* Events of one store after `since` up to `next_event`, in its life `epoch`. The event i is of
-   the part `part_ids[i]` under `salts[salt_of[i]]`; `tokens[i]` is 0 if it was freed. */
+/* Events of one store after `since` up to `next_event`. `epoch` changes when the store
+   restarts. Event i concerns the part `part_ids[i]` under the salt `salts[salt_of[i]]`;
+   `tokens[i]` is 0 if the part was freed. */
 struct StoreEvents {
   1: required string address,
   2: required i64 epoch,
@@ -18,16 +19,16 @@
   1: required list<StoreEvents> stores,
 }
 
-/* What a node that misses events asks its aggregator in place of the store: those after
-   `since`, or with `is_whole` all that the store holds. */
+/* A node that misses events sends this request to its aggregator instead of the store. It
+   requests the events after `since`, or with `is_whole` all parts that the store holds. */
 struct StoreAsk {
   1: required string address,
   2: required i64 since,
   3: required bool is_whole,
 }
 
-/* `outcome` is "events", "lost" (older events than are kept were asked for), "whole" or
-   "unable" (the store does not answer the aggregator either). */
+/* `outcome` is "events", "lost" (the aggregator no longer keeps some of the requested
+   events), "whole" or "unable" (the store does not answer the aggregator either). */
 struct StoreAnswer {
   1: required string outcome,
   2: optional StoreEvents events,
--- a/tests/prefixes/test_follow.py
+++ b/tests/prefixes/test_follow.py
@@ -1,11 +1,11 @@
-"""Following a store's events, alone or by an aggregator."""
+"""Followers read a store's events themselves or receive them from an aggregator."""
 
 import asyncio
 import unittest
 
 from fireflyward.clock import ManualClock
 from fireflyward.prefixes import (
-    Following,
+    FollowMode,
     KvEvent,
     KvUpdate,
     PartKey,
@@ -21,7 +21,7 @@
 
 
 class _Store:
-    """Holds parts and numbers its events from 1 in each life."""
+    """Holds parts; its event numbers start again at 1 after each restart."""
 
     def __init__(self):
         self.epoch = 1
@@ -29,7 +29,7 @@
         self.is_down = False
         self.calls = 0
         self.lists = 0
-        self.keeps = 1_000
+        self.max_events = 1_000
 
     def save(self, i, tokens=100):
         self.events.append(KvEvent(key(i), tokens))
@@ -42,7 +42,7 @@
         self.calls += 1
         if self.is_down:
             return None
-        has_gap = len(self.events) - since > self.keeps
+        has_gap = len(self.events) - since > self.max_events
         found = tuple(self.events[since:])
         return KvUpdate(
             self.epoch, found, len(self.events), since=since, has_gap=has_gap
@@ -53,8 +53,8 @@
         if self.is_down:
             return None
         held = {event.key: event for event in self.events}
-        whole = tuple(event for event in held.values() if event.tokens)
-        return KvUpdate(self.epoch, whole, len(self.events), is_snapshot=True)
+        snapshot = tuple(event for event in held.values() if event.tokens)
+        return KvUpdate(self.epoch, snapshot, len(self.events), is_snapshot=True)
 
 
 class _Node:
@@ -67,7 +67,7 @@
             reader=store,
             clock=clock,
             mode=lambda: self.mode,
-            on_read=lambda address, news: self.read.append(news),
+            on_read=lambda address, update: self.read.append(update),
         )
 
 
@@ -75,51 +75,52 @@
     def setUp(self):
         self.clock = ManualClock()
         self.store = _Store()
-        self.aggregator = _Node(self.store, Following.FOR_OTHERS, self.clock)
-        self.listener = _Node(self.store, Following.FROM_AGGREGATOR, self.clock)
+        self.aggregator = _Node(self.store, FollowMode.AS_AGGREGATOR, self.clock)
+        self.listener = _Node(self.store, FollowMode.FROM_AGGREGATOR, self.clock)
 
-    async def pass_on(self):
+    async def publish_step(self):
         await self.aggregator.follower.step()
-        for news in self.aggregator.read:
-            self.listener.follower.hear(news)
+        for update in self.aggregator.read:
+            self.listener.follower.on_update(update)
         self.aggregator.read.clear()
 
-    async def test_a_listener_knows_parts_without_asking(self):
-        """Symptom: on 87 nodes a sixth of the shared parts are read again at once.
+    async def test_a_listener_learns_of_parts_without_a_call(self):
+        """Symptom: with 87 nodes a sixth of the shared parts are soon prefilled again.
 
-        Each node asked each of 19 stores only every 2.5 s, since a store lets a
-        dozen callers wait, and did not know of parts that were whole by then.
+        A store lets only a dozen callers wait, so each node called each of 19 stores
+        only every 2.5 s, and did not know of parts that had become complete meanwhile.
         """
         await self.listener.follower.step()
         calls = self.store.calls
         self.store.save(1)
-        await self.pass_on()
+        await self.publish_step()
         self.assertTrue(self.listener.index.has(key(1)))
         self.assertEqual(self.store.calls, calls + 1)
 
-    async def test_a_listener_that_missed_something_asks_once(self):
-        """Symptom: a freed part's room counts as taken for ever on one node.
+    async def test_a_listener_that_missed_an_event_makes_one_call(self):
+        """Symptom: on one node the memory of a freed part counts as used for ever.
 
-        A datagram with events was lost, and the next ones do not repeat them.
+        A datagram with events was lost, and the next datagrams do not repeat them.
         """
         await self.listener.follower.step()
         self.store.save(1)
         await self.aggregator.follower.step()
         self.aggregator.read.clear()
         self.store.save(2)
-        await self.pass_on()
+        await self.publish_step()
         self.assertFalse(self.listener.index.has(key(2)))
-        self.assertTrue(self.listener.follower._must_ask())
+        self.assertTrue(self.listener.follower._must_query_store())
         await self.listener.follower.step()
         self.assertTrue(self.listener.index.has(key(1)))
         self.assertTrue(self.listener.index.has(key(2)))
-        self.assertFalse(self.listener.follower._must_ask())
+        self.assertFalse(self.listener.follower._must_query_store())
 
-    async def test_whoever_asked_goes_on_with_the_aggregator_s_news(self):
-        """Symptom: one domain's nodes ask every store several times a second.
+    async def test_after_a_call_a_listener_continues_with_the_aggregators_updates(self):
+        """Symptom: the nodes of one domain call every store several times a second.
 
-        A listener that had asked by itself was a few events ahead of its aggregator.
-        The news that overlapped was left out, and the next one seemed to have a gap.
+        A listener that had called the store itself was a few events ahead of its
+        aggregator. It dropped the overlapping update, and so detected a gap before the
+        next one.
         """
         await self.listener.follower.step()
         await self.aggregator.follower.step()
@@ -127,69 +128,72 @@
         await self.listener.follower.step()
         self.store.save(1, tokens=0)
         self.store.save(2)
-        await self.pass_on()
+        await self.publish_step()
         self.store.save(3)
-        await self.pass_on()
-        self.assertFalse(self.listener.follower._must_ask())
+        await self.publish_step()
+        self.assertFalse(self.listener.follower._must_query_store())
         held = [i for i in range(1, 4) if self.listener.index.has(key(i))]
         self.assertEqual(held, [2, 3])
 
-    async def test_listeners_miss_nothing_when_the_aggregator_reads_all(self):
-        """Symptom: every node asks every store several times a second.
+    async def test_listeners_miss_nothing_when_the_aggregator_reads_a_snapshot(self):
+        """Symptom: every node calls every store several times a second.
 
-        A hundredth of a store's events never arrive. The aggregator then reads the
-        whole list, of which its neighbours heard nothing, so all of them asked too.
+        A hundredth of a store's events never arrive. The aggregator then read the
+        complete list, but published nothing of it, so all its neighbours called the
+        store too.
         """
         self.store.save(1)
         await self.aggregator.follower.step()
         await self.listener.follower.step()
         self.aggregator.read.clear()
-        self.store.keeps = 1
+        self.store.max_events = 1
         self.store.save(1, tokens=0)
         self.store.save(2)
         self.store.save(3)
-        await self.pass_on()
+        await self.publish_step()
         self.assertEqual(self.store.lists, 1)
-        self.assertFalse(self.listener.follower._must_ask())
+        self.assertFalse(self.listener.follower._must_query_store())
         held = [i for i in range(1, 4) if self.listener.index.has(key(i))]
         self.assertEqual(held, [2, 3])
 
-    async def test_news_that_comes_twice_changes_nothing(self):
+    async def test_an_update_that_arrives_twice_changes_nothing(self):
         await self.listener.follower.step()
         self.store.save(1)
         await self.aggregator.follower.step()
         (first,) = self.aggregator.read
-        self.listener.follower.hear(first)
+        self.listener.follower.on_update(first)
         self.store.save(1, tokens=0)
-        await self.pass_on()
-        self.listener.follower.hear(first)
+        await self.publish_step()
+        self.listener.follower.on_update(first)
         self.assertFalse(self.listener.index.has(key(1)))
-        self.assertFalse(self.listener.follower._must_ask())
+        self.assertFalse(self.listener.follower._must_query_store())
 
-    async def test_a_listener_hears_of_a_restart(self):
+    async def test_a_listener_learns_of_a_restart(self):
         """Symptom: a prompt is answered from memory that is only half written.
 
-        A store restarted empty; a node that did not know fetched a part that
-        another was saving anew.
+        A store restarted empty. A node that had not learned of it fetched a part that
+        another node was saving again.
         """
         self.store.save(1)
         await self.listener.follower.step()
-        await self.pass_on()
+        await self.publish_step()
         self.store.restart()
-        await self.pass_on()
+        await self.publish_step()
         self.store.save(2)
-        await self.pass_on()
+        await self.publish_step()
         self.assertFalse(self.listener.index.has(key(1)))
         self.assertTrue(self.listener.index.has(key(2)))
-        self.assertFalse(self.listener.index.may_save(4_199, key(3), 400))
-        self.assertTrue(self.listener.index.may_save(4_850, key(3), 400))
+        self.assertFalse(self.listener.index.reserve_save(4_199, key(3), 400))
+        self.assertTrue(self.listener.index.reserve_save(4_850, key(3), 400))
 
-    async def test_saves_wait_longer_than_any_listener_can_be_behind(self):
+    async def test_saves_are_blocked_until_every_listener_has_learned_of_a_restart(
+        self,
+    ):
         """Symptom: a prompt is answered from memory that is only half written.
 
-        The aggregator died with the store, and the next one has just started. A
-        listener asks by itself after 1.6 s, and until then believes in parts that
-        the others save anew.
+        The aggregator crashed together with the store, and the next aggregator has just
+        started. A listener makes a call of its own after 1.6 s. Until then it assumes
+        that the store holds parts, which other nodes are saving again.
         """
         self.store.save(1)
         await self.listener.follower.step()
@@ -198,25 +202,25 @@
         await self.enterAsyncContext(_Running(self.listener.follower))
         await self.clock.advance_ms(1_650)
         self.assertFalse(self.listener.index.has(key(1)))
-        self.assertFalse(self.aggregator.index.may_save(1_650, key(1), 400))
+        self.assertFalse(self.aggregator.index.reserve_save(1_650, key(1), 400))
 
-    async def test_a_listener_without_an_aggregator_asks_by_itself(self):
+    async def test_a_listener_without_an_aggregator_calls_the_store(self):
         await self.enterAsyncContext(_Running(self.listener.follower))
         await self.clock.advance_ms(10)
         calls = self.store.calls
         await self.clock.advance_ms(3_300)
         self.assertEqual(self.store.calls, calls + 2)
 
-    async def test_a_store_that_does_not_answer_is_not_fetched_from(self):
+    async def test_nothing_is_fetched_from_a_store_that_does_not_answer(self):
         self.store.save(1)
         await self.listener.follower.step()
         self.store.is_down = True
         await self.listener.follower.step()
         self.assertFalse(self.listener.index.has(key(1)))
 
-    async def test_a_gap_in_the_store_s_own_events_reads_all(self):
+    async def test_after_a_gap_in_the_stores_events_a_snapshot_is_read(self):
         await self.aggregator.follower.step()
-        self.store.keeps = 1
+        self.store.max_events = 1
         self.store.save(1)
         self.store.save(2)
         await self.aggregator.follower.step()
@@ -225,7 +229,7 @@
 
 
 class _Running:
-    """Runs a follower as a task for as long as a test lasts."""
+    """Runs a follower as a task until the end of a test."""
 
     def __init__(self, follower):
         self.follower = follower
--- a/tests/prefixes/test_index.py
+++ b/tests/prefixes/test_index.py
@@ -1,4 +1,4 @@
-"""What may be fetched from a store, by its events."""
+"""Which parts may be fetched from a store and saved to it, by its events."""
 
 import unittest
 
@@ -7,68 +7,68 @@
 KEY = PartKey("m~1", "p")
 
 
-def news(*events, epoch=1, next_event=1, **options):
+def update(*events, epoch=1, next_event=1, **options):
     return KvUpdate(epoch, events, next_event, **options)
 
 
 class IndexTests(unittest.TestCase):
     def setUp(self):
         self.index = StoreIndex("a:1", 1_000)
-        self.index.take(news())
+        self.index.apply(update())
 
-    def test_only_whole_parts_are_fetched(self):
-        """Symptom: an answer made from memory that was still being written.
+    def test_only_complete_parts_are_fetched(self):
+        """Symptom: an answer is computed from memory that was still being written.
 
-        A part is asked for right after its save began; the store checks nothing.
+        A part is fetched right after its save began; the store does not check for this.
         """
-        self.assertTrue(self.index.may_save(0, KEY, 100))
+        self.assertTrue(self.index.reserve_save(0, KEY, 100))
         self.assertFalse(self.index.has(KEY))
-        self.index.take(news(KvEvent(KEY, 100)))
+        self.index.apply(update(KvEvent(KEY, 100)))
         self.assertTrue(self.index.has(KEY))
 
     def test_a_part_is_saved_once(self):
-        self.assertTrue(self.index.may_save(0, KEY, 100))
-        self.assertFalse(self.index.may_save(1_000, KEY, 100))
-        self.assertTrue(self.index.may_save(4_000, KEY, 100))
+        self.assertTrue(self.index.reserve_save(0, KEY, 100))
+        self.assertFalse(self.index.reserve_save(1_000, KEY, 100))
+        self.assertTrue(self.index.reserve_save(4_000, KEY, 100))
 
     def test_a_store_that_restarted_is_empty(self):
-        self.index.take(news(KvEvent(KEY, 100)))
-        self.index.take(news(epoch=2))
+        self.index.apply(update(KvEvent(KEY, 100)))
+        self.index.apply(update(epoch=2))
         self.assertFalse(self.index.has(KEY))
 
-    def test_a_silent_store_is_not_fetched_from(self):
-        self.index.take(news(KvEvent(KEY, 100)))
-        self.index.on_silence()
+    def test_nothing_is_fetched_from_an_unreachable_store(self):
+        self.index.apply(update(KvEvent(KEY, 100)))
+        self.index.on_unreachable()
         self.assertFalse(self.index.has(KEY))
-        self.index.take(news())
+        self.index.apply(update())
         self.assertTrue(self.index.has(KEY))
 
-    def test_a_full_store_takes_no_saves(self):
-        self.index.take(news(KvEvent(KEY, 900)))
-        self.assertFalse(self.index.may_save(0, PartKey("m~1", "q"), 100))
-        self.index.take(news(KvEvent(KEY, 0)))
-        self.assertTrue(self.index.may_save(0, PartKey("m~1", "q"), 100))
+    def test_nothing_is_saved_to_a_full_store(self):
+        self.index.apply(update(KvEvent(KEY, 900)))
+        self.assertFalse(self.index.reserve_save(0, PartKey("m~1", "q"), 100))
+        self.index.apply(update(KvEvent(KEY, 0)))
+        self.assertTrue(self.index.reserve_save(0, PartKey("m~1", "q"), 100))
 
-    def test_a_gap_asks_for_the_whole_list(self):
-        self.assertFalse(self.index.take(news(has_gap=True)))
-        whole = news(KvEvent(KEY, 100), is_snapshot=True, next_event=9)
-        self.assertTrue(self.index.take(whole))
+    def test_a_gap_requires_a_snapshot(self):
+        self.assertFalse(self.index.apply(update(has_gap=True)))
+        snapshot = update(KvEvent(KEY, 100), is_snapshot=True, next_event=9)
+        self.assertTrue(self.index.apply(snapshot))
         self.assertTrue(self.index.has(KEY))
         self.assertEqual(self.index.next_event, 9)
 
-    def test_nothing_is_saved_until_all_nodes_know_of_a_restart(self):
-        """Symptom: an answer made from memory that was half written.
+    def test_nothing_is_saved_until_all_nodes_have_learned_of_a_restart(self):
+        """Symptom: an answer is computed from memory that was half written.
 
-        A store restarts empty. One node knows and saves a part anew, another still
-        believes that it is whole there and fetches it meanwhile.
+        A store restarts empty. One node has learned of it and saves a part again, while
+        another node still assumes that the store holds the part, and fetches it.
         """
         self.index.restart(2, no_saves_until_ms=3_000)
-        self.index.take(news(epoch=2, next_event=0))
-        self.assertFalse(self.index.may_save(2_999, KEY, 100))
-        self.assertTrue(self.index.may_save(3_000, KEY, 100))
+        self.index.apply(update(epoch=2, next_event=0))
+        self.assertFalse(self.index.reserve_save(2_999, KEY, 100))
+        self.assertTrue(self.index.reserve_save(3_000, KEY, 100))
 
-    def test_a_restarted_store_is_empty(self):
-        self.index.take(news(KvEvent(KEY, 100)))
+    def test_a_restart_clears_the_index(self):
+        self.index.apply(update(KvEvent(KEY, 100)))
         self.index.restart(2, no_saves_until_ms=0)
         self.assertFalse(self.index.has(KEY))
         self.assertEqual(self.index.next_event, 0)
--- a/tests/prefixes/test_planner.py
+++ b/tests/prefixes/test_planner.py
@@ -1,4 +1,4 @@
-"""What each request fetches and saves."""
+"""Which parts of a prompt each request fetches and saves."""
 
 import unittest
 from collections import Counter
@@ -25,100 +25,102 @@
         self.planner = PartPlanner()
         self.planner.set_stores([store("s1"), store("s2")])
         for index in self.planner.indexes():
-            index.take(KvUpdate(1, (), 0))
+            index.apply(KvUpdate(1, (), 0))
 
-    def plan(self, salt="m~1", now_ms=0, elsewhere="r1:80"):
-        return self.planner.plan(now_ms, salt, PARTS, elsewhere=elsewhere)
+    def plan(self, salt="m~1", now_ms=0, fallback_source="r1:80"):
+        return self.planner.plan(now_ms, salt, PARTS, fallback_source=fallback_source)
 
     def fill(self, salt):
         for index in self.planner.indexes():
             events = tuple(KvEvent(PartKey(salt, name), n) for name, n in PARTS)
-            index.take(KvUpdate(1, events, 0))
+            index.apply(KvUpdate(1, events, 0))
 
-    def test_first_a_replica_is_asked_and_shared_parts_are_saved(self):
+    def test_unstored_parts_are_fetched_from_a_replica_and_saved(self):
         plan = self.plan()
         self.assertEqual(plan.sources, ("r1:80", "r1:80", None))
         self.assertTrue(all(plan.saves[:2]))
         self.assertIsNone(plan.saves[2])
         self.assertEqual(plan.stored_tokens, 0)
 
-    def test_then_the_stores(self):
+    def test_stored_parts_are_fetched_from_the_stores(self):
         self.fill("m~1")
         plan = self.plan()
         self.assertNotIn("r1:80", plan.sources)
         self.assertEqual(plan.saves, (None, None, None))
         self.assertEqual(plan.stored_tokens, 8_500)
 
-    def test_other_weights_and_isolated_accounts_find_nothing(self):
-        """Symptom: an answer made on another account's prompt, or on old weights."""
+    def test_parts_of_other_weights_or_an_isolated_account_are_not_used(self):
+        """Symptom: an answer uses KV cache of another account, or of old weights."""
         self.fill(cache_salt("m", 1))
         for salt in (cache_salt("m", 2), cache_salt("m", 1, "acme")):
             self.assertEqual(self.plan(salt).stored_tokens, 0)
 
-    def test_all_nodes_look_for_a_part_at_the_same_store(self):
+    def test_all_nodes_save_a_part_to_the_same_store(self):
         other = PartPlanner()
         other.set_stores([store("s2"), store("s1")])
         for index in other.indexes():
-            index.take(KvUpdate(1, (), 0))
+            index.apply(KvUpdate(1, (), 0))
         mine = self.plan().saves
-        theirs = other.plan(0, "m~1", PARTS, elsewhere=None).saves
+        theirs = other.plan(0, "m~1", PARTS, fallback_source=None).saves
         self.assertEqual(mine, theirs)
 
-    def test_parts_are_spread_by_room(self):
+    def test_parts_are_distributed_by_capacity(self):
         planner = PartPlanner()
         planner.set_stores([store("s1", 100_000_000), store("s2", 300_000_000)])
         for index in planner.indexes():
-            index.take(KvUpdate(1, (), 0))
+            index.apply(KvUpdate(1, (), 0))
         counts = Counter(
-            planner.plan(0, "m~1", ((f"p{n}", 300), ("q", 1)), elsewhere=None).saves[0]
+            planner.plan(
+                0, "m~1", ((f"p{n}", 300), ("q", 1)), fallback_source=None
+            ).saves[0]
             for n in range(2_000)
         )
         self.assertAlmostEqual(counts["s2"] / 2_000, 0.75, delta=0.05)
 
-    def test_a_part_goes_where_there_is_room(self):
-        """Symptom: a tenth of the shared parts are read again at every request.
+    def test_a_part_is_saved_to_a_store_with_free_memory(self):
+        """Symptom: a tenth of the shared parts are prefilled again by every request.
 
-        Each part had one store by its name alone. Some stores were full while
-        others were not, and what belonged to a full one was never kept.
+        Each part had one store, chosen only by its name. Some stores were full while
+        others were not, and the parts of a full store were never saved.
         """
         planner = PartPlanner()
         planner.set_stores([store(f"s{i}", 20_000) for i in range(5)])
         for index in planner.indexes():
-            index.take(KvUpdate(1, (), 0))
+            index.apply(KvUpdate(1, (), 0))
         saved = 0
         for n in range(11):
             parts = ((f"p{n}", 8_000), ("q", 1))
-            plan = planner.plan(0, "m~1", parts, elsewhere=None)
+            plan = planner.plan(0, "m~1", parts, fallback_source=None)
             saved += plan.saves[0] is not None
         self.assertEqual(saved, 10)
 
-    def test_a_part_is_found_wherever_it_is(self):
+    def test_a_part_is_found_in_any_store(self):
         for address in ("s1", "s2"):
             planner = PartPlanner()
             planner.set_stores([store("s1"), store("s2")])
             for index in planner.indexes():
                 held = (KvEvent(PartKey("m~1", "own"), 8_000),)
-                index.take(KvUpdate(1, held if index.address == address else (), 0))
-            plan = planner.plan(0, "m~1", PARTS, elsewhere=None)
+                index.apply(KvUpdate(1, held if index.address == address else (), 0))
+            plan = planner.plan(0, "m~1", PARTS, fallback_source=None)
             self.assertEqual(plan.sources[1], address)
 
-    def test_a_part_that_is_being_saved_is_not_saved_elsewhere_too(self):
+    def test_a_part_that_is_being_saved_is_not_saved_to_a_second_store(self):
         first = self.plan().saves[1]
         for index in self.planner.indexes():
             if index.address == first:
-                index.on_silence()
+                index.on_unreachable()
         self.assertIsNone(self.plan(now_ms=100).saves[1])
 
-    def test_stores_of_a_new_configuration_keep_what_is_known(self):
+    def test_a_new_configuration_keeps_the_indexes_of_its_stores(self):
         self.fill("m~1")
         self.planner.set_stores([store("s1"), store("s2")])
         self.assertEqual(self.plan().stored_tokens, 8_500)
 
-    def test_an_empty_store_stays_the_same_over_a_new_configuration(self):
+    def test_a_new_configuration_keeps_an_empty_index(self):
         """Symptom: after an early change of the configuration most stores are not used.
 
-        An index that was still empty was false in a condition, so the planner made
-        a new one, while the store's events went on into the old one.
+        An empty index was falsy in a condition, so the planner created a new one, while
+        the follower kept applying the store's events to the old one.
         """
         before = self.planner.indexes()
         self.planner.set_stores([store("s1"), store("s2")])
@@ -127,7 +129,7 @@
 
     def test_without_stores(self):
         self.planner.set_stores([])
-        self.assertEqual(self.plan(elsewhere=None).sources, (None, None, None))
+        self.assertEqual(self.plan(fallback_source=None).sources, (None, None, None))
 
     def test_salts(self):
         self.assertEqual(salt_version(cache_salt("m", 7, "acme")), ("m", 7))
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -1,4 +1,4 @@
-"""Nodes that miss events of a KV store ask their aggregator for them."""
+"""Nodes that miss events of a KV store request them from their aggregator."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 from fireflyward.clock import ManualClock
 from fireflyward.peers import CallFailed, pack, unpack
 from fireflyward.prefixes import (
-    Following,
+    FollowMode,
     KvEvent,
     KvUpdate,
     PartKey,
@@ -24,7 +24,7 @@
 
 
 class _Store:
-    """Holds events by number; counts who calls it."""
+    """Holds numbered events, and counts the calls that it receives."""
 
     def __init__(self):
         self.epoch = 7
@@ -53,21 +53,21 @@
 
     async def call(self, address, kind, message, reply_type, *, limit_s):
         other = self.network[address[0]]
-        if other.is_dead:
+        if other.is_down:
             return CallFailed("no answer")
-        ask = unpack(other.link.struct_type, pack(message))
-        return unpack(reply_type, pack(await other.link.handle("", ask)))
+        request = unpack(other.link.struct_type, pack(message))
+        return unpack(reply_type, pack(await other.link.handle("", request)))
 
 
 class _Node:
     def __init__(self, name, network, store, clock):
-        self.is_dead = False
+        self.is_down = False
         self.link = _Link(network)
         aggregators = Aggregators(name, "a", link_mbps=100)
         aggregators.set_members(
             Member(other, "a", (other, 1), 100) for other in NAMES if other != name
         )
-        self.is_first = aggregators.own(0) is None
+        self.is_aggregator = aggregators.own(0) is None
         self.index = StoreIndex(STORE, 10_000)
         self.events = SharedStoreReader(
             store,
@@ -76,7 +76,11 @@
             index_of=lambda address: self.index if address == STORE else None,
         )
         self.events.register(self.link)
-        mode = Following.FOR_OTHERS if self.is_first else Following.FROM_AGGREGATOR
+        mode = (
+            FollowMode.AS_AGGREGATOR
+            if self.is_aggregator
+            else FollowMode.FROM_AGGREGATOR
+        )
         self.follower = StoreFollower(
             self.index,
             reader=self.events,
@@ -90,90 +94,94 @@
         return {key.part_id for key in self.index.keys()}
 
 
-class SharingTests(unittest.IsolatedAsyncioTestCase):
+class SharedStoreReaderTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.clock = ManualClock(10_000)
         self.store = _Store()
         network = {}
         for name in NAMES:
             network[name] = _Node(name, network, self.store, self.clock)
-        (self.first,) = [node for node in network.values() if node.is_first]
-        self.other = next(node for node in network.values() if not node.is_first)
+        (self.aggregator,) = [node for node in network.values() if node.is_aggregator]
+        self.listener = next(
+            node for node in network.values() if not node.is_aggregator
+        )
 
-    async def test_who_starts_or_misses_something_calls_no_store(self):
-        """Symptom: 195 nodes make 690 calls a second of KV stores, most refused.
+    async def test_a_node_that_starts_or_misses_events_calls_the_aggregator(self):
+        """Symptom: 195 nodes make 690 calls a second to KV stores; most are rejected.
 
-        One large answer did not fit a datagram. All neighbours asked the store, which
-        lets a dozen wait, and again every half second.
+        One large update did not fit into a datagram. All neighbours called the store,
+        which lets only a dozen callers wait, and again every half second.
         """
         self.store.events = [event(n) for n in range(3)]
-        await self.first.follower.step()
+        await self.aggregator.follower.step()
         calls = self.store.calls
-        await self.other.follower.step()
-        await self.other.follower.step()
-        self.assertEqual(self.other.held, {"p0", "p1", "p2"})
+        await self.listener.follower.step()
+        await self.listener.follower.step()
+        self.assertEqual(self.listener.held, {"p0", "p1", "p2"})
         self.store.events += [event(1, 0), event(9)]
-        await self.first.follower.step()
-        await self.other.follower.step()
-        self.assertEqual(self.other.held, {"p0", "p2", "p9"})
+        await self.aggregator.follower.step()
+        await self.listener.follower.step()
+        self.assertEqual(self.listener.held, {"p0", "p2", "p9"})
         self.assertEqual(self.store.calls, calls + 1)
 
-    async def test_who_is_far_behind_reads_the_aggregator_s_list(self):
-        await self.first.follower.step()
-        await self.other.follower.step()
+    async def test_a_node_that_is_far_behind_reads_the_aggregators_snapshot(self):
+        await self.aggregator.follower.step()
+        await self.listener.follower.step()
         for number in range(80):
             self.store.events.append(event(number))
-            await self.first.follower.step()
+            await self.aggregator.follower.step()
         self.store.events.append(event(3, 0))
-        await self.first.follower.step()
+        await self.aggregator.follower.step()
         calls = self.store.calls
-        await self.other.follower.step()
-        self.assertEqual(self.other.held, self.first.held)
+        await self.listener.follower.step()
+        self.assertEqual(self.listener.held, self.aggregator.held)
         self.assertEqual(self.store.calls, calls)
 
-    async def test_what_was_seen_freed_does_not_come_back(self):
-        """Symptom: a fetch gets memory that is being written.
+    async def test_a_freed_part_does_not_reappear(self):
+        """Symptom: a fetch reads memory that is being written.
 
-        A node knew more than its new aggregator, took that one's older list and
-        fetched a part that had been freed and was being saved anew.
+        A node had read further than its new aggregator. It applied the aggregator's
+        older snapshot and fetched a part that had been freed and was being saved again.
         """
         self.store.events = [event(0), event(1)]
-        await self.first.follower.step()
+        await self.aggregator.follower.step()
         self.store.events.append(event(0, 0))
-        news = await self.store.kv_events(STORE, since=0, wait_ms=0, limit_ms=0)
-        self.other.index.take(news)
-        await self.other.follower.step()
-        self.assertEqual(self.other.held, {"p1"})
-        self.assertEqual(self.other.index.next_event, 3)
+        update = await self.store.kv_events(STORE, since=0, wait_ms=0, limit_ms=0)
+        self.listener.index.apply(update)
+        await self.listener.follower.step()
+        self.assertEqual(self.listener.held, {"p1"})
+        self.assertEqual(self.listener.index.next_event, 3)
 
-    async def test_another_life_of_the_store_is_noticed(self):
+    async def test_a_restart_of_the_store_is_detected(self):
         self.store.events = [event(0), event(1)]
-        await self.first.follower.step()
-        await self.other.follower.step()
+        await self.aggregator.follower.step()
+        await self.listener.follower.step()
         self.store.epoch, self.store.events = 8, [event(5)]
         for _ in range(3):
-            await self.first.follower.step()
+            await self.aggregator.follower.step()
         for _ in range(3):
-            await self.other.follower.step()
-        self.assertEqual(self.other.held, {"p5"})
-        self.assertEqual(self.other.index.epoch, 8)
+            await self.listener.follower.step()
+        self.assertEqual(self.listener.held, {"p5"})
+        self.assertEqual(self.listener.index.epoch, 8)
 
-    async def test_an_aggregator_without_the_store_s_word_makes_it_silent(self):
+    async def test_a_store_that_does_not_answer_the_aggregator_counts_as_unreachable(
+        self,
+    ):
         """Symptom: requests wait for fetches from a store that is down.
 
-        The aggregator went on telling what the store had held before.
+        The aggregator continued to report what the store had held before.
         """
         self.store.events = [event(0)]
-        await self.first.follower.step()
-        await self.other.follower.step()
+        await self.aggregator.follower.step()
+        await self.listener.follower.step()
         calls = self.store.calls
-        self.first.index.on_silence()
-        self.assertFalse(await self.other.follower.step())
-        self.assertFalse(self.other.index.is_up)
+        self.aggregator.index.on_unreachable()
+        self.assertFalse(await self.listener.follower.step())
+        self.assertFalse(self.listener.index.is_up)
         self.assertEqual(self.store.calls, calls)
 
-    async def test_without_the_aggregator_the_store_is_asked(self):
+    async def test_without_the_aggregator_the_store_is_called(self):
         self.store.events = [event(0)]
-        self.first.is_dead = True
-        await self.other.follower.step()
-        self.assertEqual(self.other.held, {"p0"})
+        self.aggregator.is_down = True
+        await self.listener.follower.step()
+        self.assertEqual(self.listener.held, {"p0"})
