--- a/fireflyward/rendezvous/__init__.py
+++ b/fireflyward/rendezvous/__init__.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who of several gets a key, worked out alike everywhere."""
+"""Rendezvous hashing: every node assigns a key to the same one of several names."""
 
 from ._rank import rendezvous_rank
 
--- a/fireflyward/rendezvous/_rank.py
+++ b/fireflyward/rendezvous/_rank.py
@@ -1,4 +1,4 @@
-"""The rank of a name for a key."""
+"""Computes the rank of a name for a key."""
 
 import hashlib
 
@@ -6,10 +6,11 @@
 
 
 def rendezvous_rank(key: str, name: str) -> int:
-    """Return the rank of ``name`` for ``key``; callers take the first or the last.
+    """Return the rank of ``name`` for ``key``.
 
-    Every node computes the same, so nodes agree without a message, and one name
-    that comes or goes moves only the keys that it holds.
+    The caller ranks all names and uses the one with the lowest or the highest rank.
+    Every node computes the same ranks, so nodes agree without exchanging messages. When
+    a name is added or removed, only the keys assigned to this name move.
 
     >>> rendezvous_rank("key", "a") == rendezvous_rank("key", "a")
     True
--- a/fireflyward/routes/__init__.py
+++ b/fireflyward/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and for which client account."""
+"""Finds the route, the service and the client account of each request."""
 
 from ._table import Allowed, RouteTable
 
--- a/tests/rendezvous/test_rank.py
+++ b/tests/rendezvous/test_rank.py
@@ -6,11 +6,13 @@
 
 
 class RendezvousRankTests(unittest.TestCase):
-    def test_ranks_stay_what_nodes_of_other_versions_compute(self):
-        """Symptom: after an upgrade two nodes poll one replica and none another.
-        Sequence: nodes of two versions run side by side during the upgrade. Cause:
-        a rank that changed between them."""
+    def test_ranks_are_the_same_in_all_versions(self):
+        """Symptom: in an upgrade two nodes poll one replica, and no node polls another.
+
+        Nodes of two versions run at the same time, and the versions compute different
+        ranks.
+        """
         self.assertEqual(rendezvous_rank("key", "a"), RANK_OF_KEY_A)
 
-    def test_key_and_name_do_not_run_into_each_other(self):
+    def test_key_and_name_are_separated(self):
         self.assertNotEqual(rendezvous_rank("ab", "c"), rendezvous_rank("a", "bc"))
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -1,4 +1,4 @@
-"""Which requests may run, by a configuration and its age."""
+"""Which requests may run, depending on the configuration and its age."""
 
 import unittest
 
@@ -33,7 +33,7 @@
     return Configuration(version, routes or (route("/a/"),), {}, accounts=accounts)
 
 
-class TableTests(unittest.TestCase):
+class RouteTableTests(unittest.TestCase):
     def setUp(self):
         self.table = RouteTable(revoke_ms=5_000, closes_without_contact=True)
         self.table.apply(configuration())
@@ -44,39 +44,41 @@
             now_ms, host=host, path=path, key=key, request_id=request_id
         )
 
-    def test_the_longest_prefix_counts(self):
+    def test_the_longest_matching_prefix_is_used(self):
         self.table.apply(configuration(2, (route("/a/", "x"), route("/a/b/", "y"))))
         self.assertEqual(self.decide(path="/a/b/c").service, "y")
         self.assertEqual(self.decide(path="/a/bc").service, "x")
 
-    def test_before_the_first_configuration_nothing_is_refused_for_good(self):
+    def test_before_the_first_configuration_no_rejection_is_final(self):
         empty = RouteTable(revoke_ms=5_000, closes_without_contact=True)
-        refused = empty.decide(0, host="h", path="/", key="k", request_id="r")
-        self.assertEqual(refused.reason, Reason.NO_BUNDLE)
-        self.assertGreater(refused.retry_after_ms, 0)
+        rejected = empty.decide(0, host="h", path="/", key="k", request_id="r")
+        self.assertEqual(rejected.reason, Reason.NO_BUNDLE)
+        self.assertGreater(rejected.retry_after_ms, 0)
 
-    def test_unknown_route_and_key_are_refused_for_good_only_when_fresh(self):
+    def test_unknown_routes_and_keys_are_rejected_for_good_only_if_confirmed_recently(
+        self,
+    ):
         """Symptom: a caller of a route that was just added gets a final 404.
 
-        The node has been cut off from the store since before the route came.
+        The node has been unable to reach the store since before the route was added.
         """
         self.assertEqual(self.decide(path="/z/").reason, Reason.UNKNOWN_ROUTE)
         self.assertEqual(self.decide(key="no").reason, Reason.WRONG_KEY)
-        for refused in (self.decide(3_000, path="/z/"), self.decide(3_000, key="no")):
-            self.assertEqual(refused.reason, Reason.PLATFORM_AWAY)
-            self.assertGreater(refused.retry_after_ms, 0)
+        for rejected in (self.decide(3_000, path="/z/"), self.decide(3_000, key="no")):
+            self.assertEqual(rejected.reason, Reason.PLATFORM_AWAY)
+            self.assertGreater(rejected.retry_after_ms, 0)
 
-    def test_keys_are_not_accepted_by_a_node_without_contact(self):
-        """Symptom: a withdrawn key runs requests long after its withdrawal.
+    def test_a_node_that_cannot_reach_the_store_accepts_no_keys(self):
+        """Symptom: requests with a withchosen key run long after its withdrawal.
 
-        The node cannot hear of it, since the store does not answer this node.
+        The node does not learn of the withdrawal, because the store does not answer it.
         """
         self.assertIsInstance(self.decide(4_500), Allowed)
         self.assertEqual(self.decide(4_600).reason, Reason.PLATFORM_AWAY)
         self.table.confirm(4_600)
         self.assertIsInstance(self.decide(4_700), Allowed)
 
-    def test_open_routes_need_neither_key_nor_contact(self):
+    def test_open_routes_require_neither_a_key_nor_the_store(self):
         self.table.apply(configuration(2, (route("/a/", is_open=True),)))
         allowed = self.decide(60_000, key=None)
         self.assertIsNone(allowed.account)
@@ -86,21 +88,21 @@
         self.assertFalse(self.table.apply(configuration(4)))
         self.assertEqual(self.decide(key="k").reason, Reason.WRONG_KEY)
 
-    def test_the_accounts_priority_goes_before_the_routes(self):
+    def test_the_accounts_priority_overrides_the_routes(self):
         self.assertEqual(self.decide().priority, 3)
         self.table.apply(configuration(2, priority=1))
         self.assertEqual(self.decide().priority, 1)
 
-    def test_shares_are_drawn_by_weight_and_alike_for_one_request(self):
+    def test_services_are_chosen_by_weight_and_the_same_for_one_request(self):
         shares = (ServiceShare("x", 90), ServiceShare("y", 10))
         self.table.apply(configuration(2, (route("/a/", shares=shares),)))
-        drawn = [self.decide(request_id=f"r{n}").service for n in range(1_000)]
+        chosen = [self.decide(request_id=f"r{n}").service for n in range(1_000)]
         again = [self.decide(request_id=f"r{n}").service for n in range(1_000)]
-        self.assertEqual(drawn, again)
-        self.assertTrue(60 < drawn.count("y") < 140, drawn.count("y"))
+        self.assertEqual(chosen, again)
+        self.assertTrue(60 < chosen.count("y") < 140, chosen.count("y"))
 
-    def test_shares_below_one_are_drawn_like_others(self):
+    def test_weights_below_one_are_applied_like_others(self):
         shares = (ServiceShare("x", 0.45), ServiceShare("y", 0.05))
         self.table.apply(configuration(2, (route("/a/", shares=shares),)))
-        drawn = [self.decide(request_id=f"r{n}").service for n in range(1_000)]
-        self.assertTrue(60 < drawn.count("y") < 140, drawn.count("y"))
+        chosen = [self.decide(request_id=f"r{n}").service for n in range(1_000)]
+        self.assertTrue(60 < chosen.count("y") < 140, chosen.count("y"))
