--- a/fireflyward/forwarding/_messages.py
+++ b/fireflyward/forwarding/_messages.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """No usable answer came; the request may have run.
+    """No usable response arrived; the request may have run.
 
     With ``is_late`` the deadline passed first; the replica may be healthy.
     """
--- a/fireflyward/prefixes/_planner.py
+++ b/fireflyward/prefixes/_planner.py
@@ -51,13 +51,15 @@
     def set_stores(self, stores: Iterable[KvStore]) -> None:
         """Set the stores of a configuration; known stores keep their index."""
         # An empty index is falsy, so the mapping is checked for the address instead.
-        known = self._index_by_address
+        previous = self._index_by_address
         self._capacity_by_address = {
             store.address: store.kv_tokens for store in stores if store.drops_nothing
         }
         self._index_by_address = {
             address: (
-                known[address] if address in known else StoreIndex(address, capacity)
+                previous[address]
+                if address in previous
+                else StoreIndex(address, capacity)
             )
             for address, capacity in self._capacity_by_address.items()
         }
