--- a/fireflyward/fleet/_stores.py
+++ b/fireflyward/fleet/_stores.py
@@ -9,12 +9,12 @@
 from fireflyward.peers import PeerLink
 from fireflyward.platform import ReplicaApi
 from fireflyward.prefixes import (
-    KvNews,
+    KvUpdate,
     PartPlanner,
-    SharedEvents,
+    SharedStoreReader,
     StoreFollower,
     StoreIndex,
-    StoreTelling,
+    StorePublisher,
 )
 
 Run = Coroutine[None, None, None]
@@ -40,10 +40,10 @@
         self._guarded = guarded
         self._follower_by_address: dict[str, StoreFollower] = {}
         self._task_by_address: dict[str, asyncio.Task[None]] = {}
-        self._shared = SharedEvents(
+        self._shared = SharedStoreReader(
             api, clock=clock, aggregators=aggregators, index_of=self._index_of
         )
-        self._telling = StoreTelling(
+        self._telling = StorePublisher(
             clock=clock,
             aggregators=aggregators,
             followers=lambda: self._follower_by_address.items(),
@@ -56,7 +56,7 @@
 
     async def run(self, link: PeerLink) -> None:
         """Tell other nodes what followers read, and hear of theirs."""
-        self._shared.use(link)
+        self._shared.register(link)
         await self._telling.run(link)
 
     def take(self, configuration: Configuration) -> None:
@@ -72,7 +72,7 @@
         for address in wanted.keys() - self._follower_by_address.keys():
             self._follow(address, wanted[address])
 
-    def _on_read(self, address: str, news: KvNews) -> None:
+    def _on_read(self, address: str, news: KvUpdate) -> None:
         self._shared.on_read(address, news)
         self._telling.on_read(address, news)
 
@@ -85,7 +85,7 @@
             index,
             reader=self._shared,
             clock=self._clock,
-            way=self._telling.way,
+            mode=self._telling.mode,
             on_read=self._on_read,
         )
         self._follower_by_address[address] = follower
--- a/fireflyward/prefixes/__init__.py
+++ b/fireflyward/prefixes/__init__.py
@@ -1,25 +1,25 @@
-"""Where the KV cache of shared prompt parts is kept, and who saves it."""
+"""Tracks which stores hold the KV cache of shared prompt parts, and plans its use."""
 
-from ._follow import Following, StoreFollower
-from ._index import KvEvent, KvNews, PartKey, StoreIndex
-from ._janitor import Janitor
+from ._follow import FollowMode, StoreFollower
+from ._garbage import GarbageCollector
+from ._index import KvEvent, KvUpdate, PartKey, StoreIndex
 from ._planner import KvPlan, PartPlanner
+from ._publisher import StorePublisher
 from ._salt import cache_salt, salt_version
-from ._sharing import SharedEvents
-from ._telling import StoreTelling
+from ._sharing import SharedStoreReader
 
 __all__ = [
-    "Following",
-    "Janitor",
+    "FollowMode",
+    "GarbageCollector",
     "KvEvent",
-    "KvNews",
+    "KvUpdate",
     "KvPlan",
     "PartKey",
     "PartPlanner",
-    "SharedEvents",
+    "SharedStoreReader",
     "StoreFollower",
     "StoreIndex",
-    "StoreTelling",
+    "StorePublisher",
     "cache_salt",
     "salt_version",
 ]
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Coroutine
 
 from fireflyward.clock import Clock
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.leases import Gained, LeaseTask, Lost
 from fireflyward.platform import ReplicaApi, ReplicaReport
 from fireflyward.replicas import ReplicaDirectory, ReplicaState
@@ -63,7 +63,7 @@
         lease: LeaseTask,
         api: ReplicaApi,
         directory: ReplicaDirectory,
-        weights: WeightBook,
+        weights: WeightVersions,
         news: LoadNews,
         busy_ms: Callable[[int, ReplicaState], float],
         node: str,
@@ -175,7 +175,7 @@
 
     def _views(self, now_ms: int, model: str) -> list[RolloutView]:
         views = []
-        least = self._weights.least(now_ms, model)
+        least = self._weights.min_version(now_ms, model)
         evacuated = self._directory.evacuated
         for state in self._directory.all():
             version = state.version_by_model.get(model)
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -11,7 +11,7 @@
 from fireflyward.feeds import Changes, Followed, HistoryLost, Snapshot, TableRow
 from fireflyward.fleet._peers import PeerRegister
 from fireflyward.fleet._views import OperatorView, ReplicaView
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.http1 import ConnectionPool
 from fireflyward.peers import pack
 from fireflyward.platform import (
@@ -23,7 +23,7 @@
     decode_replica,
     decode_weight_target,
 )
-from fireflyward.prefixes import KvNews
+from fireflyward.prefixes import KvUpdate
 from fireflyward.quarantine import Free, Held, OnTrial, Suspects
 from fireflyward.quarantine._quarantine_structs import ClearNews
 from fireflyward.quarantine._rows import SuspectRows
@@ -114,9 +114,9 @@
         found = self.ask(api.report(address, "i", limit_ms=500), status, body)
         self.assertIsInstance(found, ReplicaReport | None)
         call = api.kv_events(address, since=0, wait_ms=0, limit_ms=500)
-        self.assertIsInstance(self.ask(call, status, body), KvNews | None)
+        self.assertIsInstance(self.ask(call, status, body), KvUpdate | None)
         call = api.kv_list(address, limit_ms=500)
-        self.assertIsInstance(self.ask(call, status, body), KvNews | None)
+        self.assertIsInstance(self.ask(call, status, body), KvUpdate | None)
 
 
 class RowTests(unittest.TestCase):
@@ -152,7 +152,7 @@
         OperatorView(
             clock=clock,
             routes=routes,
-            weights=WeightBook(version_ms=12_000),
+            weights=WeightVersions(version_ms=12_000),
             directory=directory,
             failure_domains=("a",),
             on_configuration=lambda configuration: None,
--- a/tests/weights/test_task.py
+++ b/tests/weights/test_task.py
@@ -4,7 +4,7 @@
 
 from fireflyward.clock import ManualClock
 from fireflyward.deployment import ModelWeights, ReplicaEntry, WeightTarget
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.leases import Claim, Gained, Lost
 from fireflyward.replicas import ReplicaDirectory
 from fireflyward.weights import WeightTask
@@ -32,7 +32,7 @@
         self.clock = ManualClock(10_000)
         self.lease = Lease()
         self.directory = ReplicaDirectory()
-        self.weights = WeightBook(version_ms=12_000)
+        self.weights = WeightVersions(version_ms=12_000)
         self.task = WeightTask(
             clock=self.clock,
             lease=self.lease,
@@ -68,7 +68,7 @@
         weights = (ModelWeights("m", 1),)
         entry = ReplicaEntry("r1", "s", "r1:80", "a", 4, False, weights=weights)
         self.directory.on_whole(0, [entry], after_outage=False)
-        self.weights.take(0, WeightTarget("m", 2), at_start=False)
+        self.weights.set_target(0, WeightTarget("m", 2), at_start=False)
         self.assertEqual(self.task._models_behind(), {"m"})
         self.directory.on_leaving(self.directory.find("r1"))
         self.assertEqual(self.task._models_behind(), set())
@@ -116,7 +116,7 @@
             "r1", "s", "r1:80", "a", 4, False, weights=(ModelWeights("m", 1),)
         )
         self.directory.on_whole(0, [entry], after_outage=False)
-        self.weights.take(0, WeightTarget("m", 2))
+        self.weights.set_target(0, WeightTarget("m", 2))
 
     def test_a_lease_is_renewed_for_an_order(self):
         """Symptom: a rollout stands still for four seconds after its holder was lost.
