--- a/fireflyward/membership/_task.py
+++ b/fireflyward/membership/_task.py
@@ -69,7 +69,9 @@
         self._vms = vms
         self._tasks: list[asyncio.Task[None]] = []
         link.register(KIND, PacketStruct, self._on_datagram)
-        link.on_incarnation = lambda number: self._tell(IncarnationRaised(number))
+        link.on_incarnation_raised = lambda number: self._tell(
+            IncarnationRaised(number)
+        )
 
     @property
     def members(self) -> Members:
--- a/fireflyward/peers/_link.py
+++ b/fireflyward/peers/_link.py
@@ -66,7 +66,7 @@
 
     ``incarnation`` tells this life of the node from earlier ones. When a peer
     knows a higher one, which happens when the wall clock was set back before a
-    restart, this node rises above it and ``on_incarnation`` is called.
+    restart, this node rises above it and ``on_incarnation_raised`` is called.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self.bytes_sent = 0
         self.bytes_received = 0
         self.dropped: Counter[str] = Counter()
-        self.on_incarnation: Callable[[int], None] = lambda incarnation: None
+        self.on_incarnation_raised: Callable[[int], None] = lambda incarnation: None
         self._guard = ReplayGuard()
         self._connections = 0
         self._codec = codec
@@ -299,7 +299,7 @@
             return
         self.incarnation = behind.incarnation + 1
         log.warning("peers: a later life of this node is known, rising above it")
-        self.on_incarnation(self.incarnation)
+        self.on_incarnation_raised(self.incarnation)
 
     def _drop(self, what: str) -> None:
         """Count what is dropped; log the 1st, 2nd, 4th, 8th … so none can flood."""
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -122,7 +122,7 @@
         await first.stop()
         second = await self.start("entry-2", incarnation=10)
         raised = []
-        second.on_incarnation = raised.append
+        second.on_incarnation_raised = raised.append
         self.assertEqual(await self.call(second), MESSAGE)
         self.assertEqual((second.incarnation, raised), (1_001, [1_001]))
 
