--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -235,7 +235,7 @@
             _KIND,
             FeedAsk(table=table, after=after.version, wait_ms=wait_ms, era=after.era),
             FeedAnswer,
-            limit_s=(wait_ms + _SLACK_MS) / _MS_PER_SECOND,
+            timeout_s=(wait_ms + _SLACK_MS) / _MS_PER_SECOND,
         )
 
     def _asked(self, now_ms: int) -> Member | None:
--- a/fireflyward/kept/_look_up.py
+++ b/fireflyward/kept/_look_up.py
@@ -22,7 +22,7 @@
     """Asks the holders of a shard, and answers others about the shards held here.
 
     In a failure domain of up to four nodes every node holds every shard and nothing
-    is asked. No answer within ``limit_s`` is an empty one: the prompt is computed as
+    is asked. No answer within ``timeout_s`` is an empty one: the prompt is computed as
     if nothing had been kept. The second holder is not asked after that, since the
     caller has waited long enough.
     """
@@ -33,10 +33,10 @@
         index: PrefixIndex,
         domain_members: Callable[[], tuple[Member, ...]],
         *,
-        limit_s: float = _LIMIT_S,
+        timeout_s: float = _LIMIT_S,
     ) -> None:
         self._link = link
-        self._limit_s = limit_s
+        self._limit_s = timeout_s
         self._index = index
         self._domain_members = domain_members
         self._runs_by_last_key: OrderedDict[str, tuple[HeldRun, ...]] = OrderedDict()
@@ -58,7 +58,7 @@
         entries = entries_of(block_keys)[:_MAX_ENTRIES]
         message = LookUp(shard=shard, entries=entries)
         found = await self._link.call(
-            holder.address, KIND, message, Found, limit_s=self._limit_s
+            holder.address, KIND, message, Found, timeout_s=self._limit_s
         )
         if isinstance(found, CallFailed):
             self.failed += 1
--- a/fireflyward/peers/_link.py
+++ b/fireflyward/peers/_link.py
@@ -156,7 +156,7 @@
         message: Any,
         reply_type: type,
         *,
-        limit_s: float = _CALL_LIMIT_S,
+        timeout_s: float = _CALL_LIMIT_S,
     ) -> Any | CallFailed:
         """Send a message over a new connection and return the decoded reply.
 
@@ -164,7 +164,7 @@
         been forgotten by something between the ends without either noticing.
         """
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 return await self._call(address, kind, message, reply_type)
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             is_refused = isinstance(error, ConnectionRefusedError)
--- a/fireflyward/prefixes/_sharing.py
+++ b/fireflyward/prefixes/_sharing.py
@@ -139,7 +139,7 @@
             _KIND,
             request,
             StoreAnswer,
-            limit_s=AGGREGATOR_CALL_LIMIT_MS / _MS_PER_SECOND,
+            timeout_s=AGGREGATOR_CALL_LIMIT_MS / _MS_PER_SECOND,
         )
         if isinstance(answer, CallFailed):
             log.info(
--- a/tests/daemon/test_bundle_duty.py
+++ b/tests/daemon/test_bundle_duty.py
@@ -59,7 +59,7 @@
                 pass
         return True
 
-    async def call(self, address, kind, message, reply_type, *, limit_s=2.0):
+    async def call(self, address, kind, message, reply_type, *, timeout_s=2.0):
         link = self.network.reach(self, address)
         if link is None:
             return CallFailed("cut off")
--- a/tests/faults/_network.py
+++ b/tests/faults/_network.py
@@ -166,7 +166,7 @@
         self._process.spawn(self.call(address, kind, message, type(message)))
         return True
 
-    async def call(self, address, kind, message, reply_type, *, limit_s=2.0):
+    async def call(self, address, kind, message, reply_type, *, timeout_s=2.0):
         peer = self._network.links.get(tuple(address))
         if peer is None:
             return CallFailed("refused")
--- a/tests/feeds/nodes.py
+++ b/tests/feeds/nodes.py
@@ -57,10 +57,10 @@
     def register(self, kind, struct_type, handle):
         self.handler = handle
 
-    async def call(self, address, kind, message, reply_type, *, limit_s):
+    async def call(self, address, kind, message, reply_type, *, timeout_s):
         other = self.network[address[0]]
         if other.is_dark:
-            await other.clock.sleep_ms(limit_s * 1_000)
+            await other.clock.sleep_ms(timeout_s * 1_000)
             return CallFailed("no answer", False)
         if other.is_dead:
             other.clock._now_ms += other.fails_after_ms
--- a/tests/kept/test_look_up.py
+++ b/tests/kept/test_look_up.py
@@ -35,7 +35,7 @@
                 link,
                 self.index_by_node[link.node_name],
                 lambda: self.members,
-                limit_s=5.0,
+                timeout_s=5.0,
             )
             for link in self.links
         }
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -191,7 +191,7 @@
         self.gate.clear()
         peer = await self.start("entry-2")
         result = await peer.call(
-            self.server.address, "k", MESSAGE, Envelope, limit_s=0.05
+            self.server.address, "k", MESSAGE, Envelope, timeout_s=0.05
         )
         self.assertIsInstance(result, CallFailed)
 
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -51,7 +51,7 @@
     def register(self, kind, struct_type, handle):
         self.struct_type, self.handle = struct_type, handle
 
-    async def call(self, address, kind, message, reply_type, *, limit_s):
+    async def call(self, address, kind, message, reply_type, *, timeout_s):
         other = self.network[address[0]]
         if other.is_down:
             return CallFailed("no answer")
