--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -110,7 +110,7 @@
             self._codec = PeerCodec((key,))
             await self._open_link(self._codec)
         else:
-            self._codec.use(key)
+            self._codec.rotate_key(key)
 
     async def _open_link(self, codec: PeerCodec) -> None:
         link = PeerLink(
--- a/fireflyward/peers/_codec.py
+++ b/fireflyward/peers/_codec.py
@@ -67,7 +67,7 @@
         """Tell whether no key was given, so that anybody can make a frame."""
         return self._keys == (_OPEN_KEY,)
 
-    def use(self, key: bytes) -> None:
+    def rotate_key(self, key: bytes) -> None:
         """Seal with another key from now on; frames of the last one still open."""
         if key != self._keys[0]:
             self._keys = (key, self._keys[0])
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -32,8 +32,8 @@
     def test_a_key_that_replaces_another_seals_and_both_open(self):
         """Guards against nodes that stop hearing each other while the key changes."""
         changed, before, after = (PeerCodec((key,)) for key in (OLD, OLD, NEW))
-        changed.use(NEW)
-        changed.use(NEW)
+        changed.rotate_key(NEW)
+        changed.rotate_key(NEW)
         self.assertIsNotNone(after.open(changed.seal(make_envelope())))
         for other in (before, after):
             self.assertIsNotNone(changed.open(other.seal(make_envelope())))
