--- a/fireflyward/peers/_link.py
+++ b/fireflyward/peers/_link.py
@@ -1,4 +1,4 @@
-"""The sockets between nodes: datagrams for small news, connections for calls."""
+"""The sockets between nodes: UDP for small messages, TCP for calls with a reply."""
 
 import asyncio
 import itertools
@@ -19,16 +19,17 @@
 
 Address = tuple[str, int]
 _LENGTH = struct.Struct("!I")
-_CALL_LIMIT_S = 2.0
+_CALL_TIMEOUT_S = 2.0
 _MAX_DATAGRAM_BYTES = 1_400
 _MAX_REQUEST_BYTES = 128 << 10
-# Calls that wait here at once: three from each neighbour of a failure domain, of which
-# the largest that is planned for has a hundred, and questions beside them.
+# Calls that this node serves at once. Each neighbour in the failure domain may have
+# three calls waiting here, and the largest planned failure domain has a hundred nodes;
+# the rest is for other requests.
 _MAX_CONNECTIONS = 512
-# Connections that may wait to be taken. All neighbours of an aggregator may ask in the
-# same moment, each for several stores; an opening packet that finds no room is sent
-# again only after a second, when the caller has given up: 1,437 timeouts in 40 s at 35
-# nodes with the usual hundred.
+# Connections that may wait to be accepted. All neighbours of an aggregator may send
+# requests at the same moment, each for several stores. The kernel drops a SYN that
+# finds the backlog full, and the caller's kernel resends it only after 1 s, when the
+# caller has timed out. The default of 100 caused 1,437 timeouts in 40 s at 35 nodes.
 _BACKLOG = 1_024
 _MAX_DATAGRAM_TASKS = 256
 _BEHIND = "peers.behind"
@@ -37,9 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """A call to a peer had no answer; the peer may still have acted on it.
+    """A call to a peer got no valid reply; the peer may still have handled it.
 
-    ``is_refused`` says that nothing listens there, so that it surely has not.
+    ``is_refused`` means that the connection was refused: nothing listens at the
+    address, so the call was certainly not handled.
     """
 
     detail: str
@@ -53,20 +55,22 @@
 
 
 class PeerLink:
-    """Sends and receives typed messages of all slices.
-
-    A slice registers a kind with its Thrift struct and a coroutine
-    ``handle(sender, message)``; what the coroutine returns is the reply to a
-    call, and is ignored for a datagram. ``bytes_sent`` and ``bytes_received``
-    count what control costs on the network.
-
-    What others may make this node hold is bounded: datagrams that are being
-    handled, connections, and the size of a request. What is over is dropped and
-    counted in ``dropped``, since every sender has to bear loss anyway.
-
-    ``incarnation`` tells this life of the node from earlier ones. When a peer
-    knows a higher one, which happens when the wall clock was set back before a
-    restart, this node rises above it and ``on_incarnation_raised`` is called.
+    """Sends and receives the typed messages of all packages.
+
+    A package registers a kind of message with its Thrift struct and a coroutine
+    ``handle(sender, message)``. The result of the coroutine is the reply to a call;
+    for a datagram it is ignored. ``bytes_sent`` and ``bytes_received`` count the
+    network traffic between nodes.
+
+    The resources that peers can occupy in this node are bounded: the number of
+    datagrams being handled, the number of connections, and the size of a request.
+    Anything above a bound is dropped and counted in ``dropped``; every sender has
+    to cope with lost messages anyway.
+
+    ``incarnation`` distinguishes the restarts of a node. When a peer has received
+    a higher one from this node, which happens when the wall clock was set back
+    before a restart, this node raises its own above it and calls
+    ``on_incarnation_raised``.
     """
 
     def __init__(
@@ -84,8 +88,8 @@
         self.bytes_received = 0
         self.dropped: Counter[str] = Counter()
         self.on_incarnation_raised: Callable[[int], None] = lambda incarnation: None
-        self._guard = ReplayGuard()
-        self._connections = 0
+        self._replay_guard = ReplayGuard()
+        self._connection_count = 0
         self._codec = codec
         self._host = host
         self._port = port
@@ -106,12 +110,12 @@
         struct_type: type,
         handle: Callable[[str, Any], Awaitable[Any]],
     ) -> None:
-        """Have ``handle`` called for each message of ``kind``."""
+        """Call ``handle`` for each message of ``kind``."""
         self._handler_by_kind[kind] = _Handler(struct_type, handle)
 
     async def start(self) -> None:
-        """Open the TCP and the UDP socket on the same port."""
-        if self._codec.is_open:
+        """Open a TCP and a UDP socket on the same port."""
+        if self._codec.is_unauthenticated:
             log.warning("peers: no key is set, any process may speak as a peer")
         self._server = await asyncio.start_server(
             self._serve_connection, self._host, self._port, backlog=_BACKLOG
@@ -119,14 +123,14 @@
         self._port = self._server.sockets[0].getsockname()[1]
         loop = asyncio.get_running_loop()
         self._datagrams, _ = await loop.create_datagram_endpoint(
-            lambda: _Datagrams(self), local_addr=(self._host, self._port)
+            lambda: _DatagramProtocol(self), local_addr=(self._host, self._port)
         )
 
     async def stop(self) -> None:
-        """Close both sockets and end the handlers that still run."""
+        """Close both sockets and cancel the handlers that still run."""
         if self._datagrams:
             self._datagrams.close()
-            # Whoever still has something to tell later must find no closed socket.
+            # A later send() checks this; sending on the closed socket would fail.
             self._datagrams = None
         if self._server:
             self._server.close()
@@ -136,12 +140,12 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def send(self, address: Address, kind: str, message: Any) -> bool:
-        """Send a datagram; it may be lost. Return whether it was small enough."""
+        """Send a datagram, which may be lost; return False if it could not be sent."""
         return self.send_all((address,), kind, message)
 
     def send_all(self, addresses: Iterable[Address], kind: str, message: Any) -> bool:
-        """Send one datagram to several peers, packed and sealed once."""
-        frame = self._frame(kind, message)
+        """Send one datagram to several peers; it is encoded and signed only once."""
+        frame = self._make_frame(kind, message)
         if len(frame) > _MAX_DATAGRAM_BYTES or self._datagrams is None:
             return False
         for address in addresses:
@@ -156,12 +160,12 @@
         message: Any,
         reply_type: type,
         *,
-        timeout_s: float = _CALL_LIMIT_S,
+        timeout_s: float = _CALL_TIMEOUT_S,
     ) -> Any | CallFailed:
         """Send a message over a new connection and return the decoded reply.
 
-        Every call has its own connection, since one that was kept could have
-        been forgotten by something between the ends without either noticing.
+        Every call opens its own connection: a device on the path can lose the state
+        of a connection that is kept open, and neither end notices.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -174,23 +178,27 @@
         self, address: Address, kind: str, message: Any, reply_type: type
     ) -> Any | CallFailed:
         with hop("peer", kind=kind):
-            envelope = await self._exchange(address, kind, message)
+            envelope = await self._send_request(address, kind, message)
         if envelope is not None and envelope.kind == _BEHIND:
-            self._rise_above(unpack(Behind, envelope.body))
-            envelope = await self._exchange(address, kind, message)
+            self._raise_incarnation(unpack(Behind, envelope.body))
+            envelope = await self._send_request(address, kind, message)
         if envelope is None or envelope.kind != _REPLY:
-            return CallFailed("reply could not be read")
+            return CallFailed("the reply is invalid")
         reply = unpack(reply_type, envelope.body)
-        return CallFailed("reply could not be read") if reply is None else reply
+        return CallFailed("the reply is invalid") if reply is None else reply
 
-    async def _exchange(self, address: Address, kind: str, message: Any) -> Any | None:
-        """Send a request and return the envelope that answers just this one."""
+    async def _send_request(
+        self, address: Address, kind: str, message: Any
+    ) -> Any | None:
+        """Send a request; return its reply's envelope, or None if it is invalid."""
         reader, writer = await asyncio.open_connection(*address)
         try:
             sequence = next(self._sequence)
-            self._write(writer, self._frame(kind, message, sequence=sequence))
+            self._write_frame(
+                writer, self._make_frame(kind, message, sequence=sequence)
+            )
             await writer.drain()
-            frame = await self._read(reader, MAX_FRAME_BYTES)
+            frame = await self._read_frame(reader, MAX_FRAME_BYTES)
         finally:
             writer.close()
         envelope = self._codec.open(frame)
@@ -201,88 +209,90 @@
     async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self._connections >= _MAX_CONNECTIONS:
-            self._drop("connections")
+        if self._connection_count >= _MAX_CONNECTIONS:
+            self._count_dropped("connections")
             writer.close()
             return
-        self._own_current_task()
-        self._connections += 1
+        self._track_current_task()
+        self._connection_count += 1
         try:
-            async with asyncio.timeout(_CALL_LIMIT_S):
-                await self._answer(await self._read(reader, _MAX_REQUEST_BYTES), writer)
+            async with asyncio.timeout(_CALL_TIMEOUT_S):
+                await self._serve_request(
+                    await self._read_frame(reader, _MAX_REQUEST_BYTES), writer
+                )
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
-            log.debug("peers: call dropped, %s", error)
+            log.debug("peers: incoming call aborted: %s", error)
         except asyncio.CancelledError:
-            # The link stops. asyncio would report the end of this task as an error.
-            log.debug("peers: call dropped, the link stops")
+            # The link is stopping. asyncio would log the cancelled task as an error.
+            log.debug("peers: incoming call aborted: the link is stopping")
         finally:
-            self._connections -= 1
+            self._connection_count -= 1
             writer.close()
 
-    async def _answer(self, frame: bytes, writer: asyncio.StreamWriter) -> None:
-        envelope = self._open(frame)
+    async def _serve_request(self, frame: bytes, writer: asyncio.StreamWriter) -> None:
+        envelope = self._open_frame(frame)
         if envelope is None:
             return
-        freshness = self._judge(envelope)
+        freshness = self._check_freshness(envelope)
         if freshness is Freshness.BEHIND:
-            reply, kind = self._behind(envelope), _BEHIND
+            reply, kind = self._make_behind(envelope), _BEHIND
         elif freshness is Freshness.REPEATED:
             return
         else:
-            reply, kind = await self._handle(envelope), _REPLY
+            reply, kind = await self._call_handler(envelope), _REPLY
         if reply is None:
             return
         sequence = envelope.sequence
-        self._write(writer, self._frame(kind, reply, reply_to=sequence))
+        self._write_frame(writer, self._make_frame(kind, reply, reply_to=sequence))
         await writer.drain()
 
     def _datagram_received(self, frame: bytes, source: Address) -> None:
         self.bytes_received += len(frame)
-        envelope = self._open(frame)
+        envelope = self._open_frame(frame)
         if envelope is None:
             return
-        freshness = self._judge(envelope)
+        freshness = self._check_freshness(envelope)
         if freshness is Freshness.BEHIND:
-            self.send(source, _BEHIND, self._behind(envelope))
+            self.send(source, _BEHIND, self._make_behind(envelope))
         elif freshness is Freshness.NEW and envelope.kind == _BEHIND:
-            self._rise_above(unpack(Behind, envelope.body))
+            self._raise_incarnation(unpack(Behind, envelope.body))
         elif freshness is Freshness.NEW:
-            self._spawn(envelope)
+            self._start_handler(envelope)
 
-    def _spawn(self, envelope: Any) -> None:
-        """Handle a datagram in a task of its own, unless too many run.
+    def _start_handler(self, envelope: Any) -> None:
+        """Handle a datagram in its own task, unless too many such tasks are running.
 
-        Handlers that wait (for the platform, say) would pile up without a bound
-        while datagrams keep coming, and take the node's memory with them.
+        Without this bound, handlers that wait, for example for the platform, would
+        accumulate while datagrams keep arriving and exhaust the node's memory.
         """
         if len(self._datagram_tasks) >= _MAX_DATAGRAM_TASKS:
-            self._drop("datagrams")
+            self._count_dropped("datagrams")
             return
-        task = asyncio.get_running_loop().create_task(self._handle(envelope))
+        task = asyncio.get_running_loop().create_task(self._call_handler(envelope))
         self._datagram_tasks.add(task)
         task.add_done_callback(self._datagram_tasks.discard)
 
-    def _open(self, frame: bytes) -> Any | None:
+    def _open_frame(self, frame: bytes) -> Any | None:
         envelope = self._codec.open(frame)
         if envelope is None:
-            self._drop("frames")
+            self._count_dropped("frames")
         return envelope
 
-    def _judge(self, envelope: Any) -> Freshness:
-        freshness = self._guard.check(
+    def _check_freshness(self, envelope: Any) -> Freshness:
+        freshness = self._replay_guard.check(
             envelope.sender, envelope.incarnation, envelope.sequence
         )
         if freshness is not Freshness.NEW:
-            self._drop(freshness.value)
+            self._count_dropped(freshness.value)
         return freshness
 
-    async def _handle(self, envelope: Any) -> Any | None:
+    async def _call_handler(self, envelope: Any) -> Any | None:
         handler = self._handler_by_kind.get(envelope.kind)
         if handler is None:
             return None
         message = unpack(handler.struct_type, envelope.body)
         if message is None:
-            self._drop("messages")
+            self._count_dropped("messages")
             return None
         try:
             return await handler.handle(envelope.sender, message)
@@ -290,25 +300,25 @@
             log.exception("peers: %s from %s failed", envelope.kind, envelope.sender)
             return None
 
-    def _behind(self, envelope: Any) -> Any:
-        known = self._guard.known_incarnation(envelope.sender)
-        return Behind(incarnation=known)
+    def _make_behind(self, envelope: Any) -> Any:
+        highest = self._replay_guard.highest_incarnation(envelope.sender)
+        return Behind(incarnation=highest)
 
-    def _rise_above(self, behind: Any | None) -> None:
+    def _raise_incarnation(self, behind: Any | None) -> None:
         if behind is None or behind.incarnation <= self.incarnation:
             return
         self.incarnation = behind.incarnation + 1
         log.warning("peers: a later life of this node is known, rising above it")
         self.on_incarnation_raised(self.incarnation)
 
-    def _drop(self, what: str) -> None:
-        """Count what is dropped; log the 1st, 2nd, 4th, 8th … so none can flood."""
-        self.dropped[what] += 1
-        count = self.dropped[what]
+    def _count_dropped(self, category: str) -> None:
+        """Count a drop; log only the 1st, 2nd, 4th, 8th … so the log is not flooded."""
+        self.dropped[category] += 1
+        count = self.dropped[category]
         if count & (count - 1) == 0:
-            log.warning("peers: %d %s dropped so far", count, what)
+            log.warning("peers: %d %s dropped so far", count, category)
 
-    def _frame(
+    def _make_frame(
         self, kind: str, message: Any, *, sequence: int = 0, reply_to: int = 0
     ) -> bytes:
         envelope = Envelope(
@@ -321,26 +331,26 @@
         )
         return self._codec.seal(envelope)
 
-    def _write(self, writer: asyncio.StreamWriter, frame: bytes) -> None:
+    def _write_frame(self, writer: asyncio.StreamWriter, frame: bytes) -> None:
         writer.write(_LENGTH.pack(len(frame)) + frame)
         self.bytes_sent += len(frame) + _LENGTH.size
 
-    async def _read(self, reader: asyncio.StreamReader, limit_bytes: int) -> bytes:
+    async def _read_frame(self, reader: asyncio.StreamReader, max_bytes: int) -> bytes:
         (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
-        if length > limit_bytes:
+        if length > max_bytes:
             raise OSError(f"frame of {length} bytes is too long")
         frame = await reader.readexactly(length)
         self.bytes_received += length + _LENGTH.size
         return frame
 
-    def _own_current_task(self) -> None:
+    def _track_current_task(self) -> None:
         task = asyncio.current_task()
         if task:
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramProtocol(asyncio.DatagramProtocol):
     def __init__(self, link: PeerLink) -> None:
         self._link = link
 
--- a/fireflyward/peers/_replay.py
+++ b/fireflyward/peers/_replay.py
@@ -1,16 +1,16 @@
-"""Tells frames that are new from frames that somebody sends again."""
+"""Detects frames that were received before and are replayed."""
 
 import enum
 from collections import OrderedDict
 from dataclasses import dataclass
 
-_WINDOW = 1_024
-_MASK = (1 << _WINDOW) - 1
+_WINDOW_FRAMES = 1_024
+_MASK = (1 << _WINDOW_FRAMES) - 1
 _MAX_SENDERS = 4_096
 
 
 class Freshness(enum.Enum):
-    """What a frame's incarnation and sequence say of it."""
+    """Whether a frame is new, judged by its incarnation and sequence number."""
 
     NEW = "new"
     REPEATED = "repeated"
@@ -21,17 +21,18 @@
 class _Window:
     incarnation: int
     highest: int
-    seen: int
+    received_bits: int
 
 
 class ReplayGuard:
     """Remembers the last sequence numbers of each sender.
 
-    A tag proves that a peer once made a frame, not that it sends it now: recorded
-    frames would be obeyed again. Within an incarnation each sequence number is
-    taken once, in any order within a window, since datagrams overtake each other.
-    Frames of an earlier incarnation are ``BEHIND``: either old, or of a node that
-    restarted after its wall clock was set back and has to be told.
+    The tag of a frame proves that a peer created it, not that the peer sends it
+    now: without this check a recorded frame could be replayed. Within an
+    incarnation each sequence number is accepted once. Datagrams may be reordered,
+    so numbers are accepted in any order within a window. Frames of an earlier
+    incarnation are ``BEHIND``: either they are old, or their sender restarted after
+    its wall clock was set back and must be notified.
 
     >>> guard = ReplayGuard()
     >>> [guard.check("entry-1", 7, number).name for number in (1, 3, 2, 3)]
@@ -44,35 +45,37 @@
         self._window_by_sender: OrderedDict[str, _Window] = OrderedDict()
 
     def check(self, sender: str, incarnation: int, sequence: int) -> Freshness:
-        """Judge a frame, and remember it if it is new."""
+        """Classify a frame, and remember it if it is new."""
         window = self._window_by_sender.get(sender)
         if window is None or incarnation > window.incarnation:
-            self._begin(sender, incarnation, sequence)
+            self._start_window(sender, incarnation, sequence)
             return Freshness.NEW
         self._window_by_sender.move_to_end(sender)
         if incarnation < window.incarnation:
             return Freshness.BEHIND
         return self._check_sequence(window, sequence)
 
-    def known_incarnation(self, sender: str) -> int:
-        """Return the highest incarnation heard of a sender, 0 if none was."""
+    def highest_incarnation(self, sender: str) -> int:
+        """Return the highest incarnation received from a sender, or 0 if none."""
         window = self._window_by_sender.get(sender)
         return window.incarnation if window else 0
 
-    def _begin(self, sender: str, incarnation: int, sequence: int) -> None:
+    def _start_window(self, sender: str, incarnation: int, sequence: int) -> None:
         self._window_by_sender[sender] = _Window(incarnation, sequence, 1)
         self._window_by_sender.move_to_end(sender)
         if len(self._window_by_sender) > _MAX_SENDERS:
             self._window_by_sender.popitem(last=False)
 
     def _check_sequence(self, window: _Window, sequence: int) -> Freshness:
-        ahead = sequence - window.highest
-        if ahead > 0:
-            window.seen = ((window.seen << min(ahead, _WINDOW)) | 1) & _MASK
+        distance = sequence - window.highest
+        if distance > 0:
+            window.received_bits = (
+                (window.received_bits << min(distance, _WINDOW_FRAMES)) | 1
+            ) & _MASK
             window.highest = sequence
             return Freshness.NEW
-        bit = 1 << -ahead
-        if -ahead >= _WINDOW or window.seen & bit:
+        bit = 1 << -distance
+        if -distance >= _WINDOW_FRAMES or window.received_bits & bit:
             return Freshness.REPEATED
-        window.seen |= bit
+        window.received_bits |= bit
         return Freshness.NEW
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -11,34 +11,36 @@
 
 
 class CodecTests(unittest.TestCase):
-    def test_frame_comes_back(self):
+    def test_opening_a_sealed_frame_returns_the_envelope(self):
         codec = PeerCodec((OLD,))
         self.assertEqual(codec.open(codec.seal(make_envelope())), make_envelope())
 
-    def test_both_keys_open_while_keys_are_rotated(self):
-        """Symptom: half of the nodes stop hearing the other half. Sequence: keys
-        are changed node by node. Cause: a node took only its own new key."""
+    def test_both_keys_are_accepted_during_rotation(self):
+        """Guards against two halves of the nodes that reject each other's messages.
+
+        Keys are rotated node by node, and a node accepted only its own new key.
+        """
         before, during, after = (
             PeerCodec((OLD,)),
             (PeerCodec((OLD, NEW)), PeerCodec((NEW, OLD))),
             PeerCodec((NEW,)),
         )
-        for one in during:
-            for other in (before, *during) if one is during[0] else (*during, after):
-                self.assertIsNotNone(other.open(one.seal(make_envelope())))
-                self.assertIsNotNone(one.open(other.seal(make_envelope())))
+        for node in during:
+            for peer in (before, *during) if node is during[0] else (*during, after):
+                self.assertIsNotNone(peer.open(node.seal(make_envelope())))
+                self.assertIsNotNone(node.open(peer.seal(make_envelope())))
         self.assertIsNone(after.open(before.seal(make_envelope())))
 
-    def test_a_key_that_replaces_another_seals_and_both_open(self):
-        """Guards against nodes that stop hearing each other while the key changes."""
+    def test_rotated_key_signs_and_both_keys_are_accepted(self):
+        """Guards against nodes that reject each other's messages during rotation."""
         changed, before, after = (PeerCodec((key,)) for key in (OLD, OLD, NEW))
         changed.rotate_key(NEW)
         changed.rotate_key(NEW)
         self.assertIsNotNone(after.open(changed.seal(make_envelope())))
-        for other in (before, after):
-            self.assertIsNotNone(changed.open(other.seal(make_envelope())))
+        for peer in (before, after):
+            self.assertIsNotNone(changed.open(peer.seal(make_envelope())))
 
-    def test_any_changed_byte_is_refused(self):
+    def test_any_changed_byte_is_rejected(self):
         codec = PeerCodec((OLD,))
         frame = codec.seal(make_envelope())
         for index in range(len(frame)):
@@ -46,20 +48,20 @@
             changed[index] ^= 1
             self.assertIsNone(codec.open(bytes(changed)), index)
 
-    def test_cut_long_and_foreign_frames_are_refused(self):
+    def test_truncated_oversize_and_wrongly_signed_frames_are_rejected(self):
         codec = PeerCodec((OLD,))
         frame = codec.seal(make_envelope())
-        for bad in (b"", frame[:16], frame[:-1], frame + b"x"):
-            self.assertIsNone(codec.open(bad))
+        for invalid in (b"", frame[:16], frame[:-1], frame + b"x"):
+            self.assertIsNone(codec.open(invalid))
         self.assertIsNone(codec.open(b"0" * (MAX_FRAME_BYTES + 1)))
         self.assertIsNone(codec.open(PeerCodec((OTHER,)).seal(make_envelope())))
 
-    def test_signed_bytes_that_are_no_envelope_are_refused(self):
+    def test_signed_bytes_that_are_no_envelope_are_rejected(self):
         from fireflyward.peers._codec import _tag
 
         for payload in (b"\xff" * 40, b"\x0b\x00\x01\x7f\xff\xff\xff", b"\x00"):
             self.assertIsNone(PeerCodec((OLD,)).open(_tag(OLD, payload) + payload))
 
-    def test_codec_without_keys_says_so(self):
-        self.assertTrue(PeerCodec(()).is_open)
-        self.assertFalse(PeerCodec((OLD,)).is_open)
+    def test_codec_without_keys_is_unauthenticated(self):
+        self.assertTrue(PeerCodec(()).is_unauthenticated)
+        self.assertFalse(PeerCodec((OLD,)).is_unauthenticated)
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -14,11 +14,11 @@
 class LinkCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.enterContext(mock.patch("fireflyward.peers._link.log"))
-        self.taken = []
+        self.received_senders = []
         self.gate = asyncio.Event()
         self.gate.set()
         self.server = await self.start("entry-1", incarnation=50)
-        self.server.register("k", Envelope, self.take)
+        self.server.register("k", Envelope, self.handle)
 
     async def start(self, name, *, incarnation=50, key=KEY):
         link = PeerLink(
@@ -28,14 +28,14 @@
         self.addAsyncCleanup(link.stop)
         return link
 
-    async def take(self, sender, message):
+    async def handle(self, sender, message):
         await self.gate.wait()
-        self.taken.append(sender)
+        self.received_senders.append(sender)
         return message
 
-    async def until(self, done):
+    async def wait_until(self, condition):
         async with asyncio.timeout(LIMIT_S):
-            while not done():
+            while not condition():
                 await asyncio.sleep(0.005)
 
     def send_raw(self, frame):
@@ -47,41 +47,45 @@
 
 
 class DatagramTests(LinkCase):
-    async def test_repeated_datagram_is_taken_once(self):
-        """Symptom: an order to leave is obeyed days later. Sequence: somebody on
-        the network recorded a datagram and sends it again. Cause: its tag is
-        right, and nothing told that it was taken before."""
+    async def test_repeated_datagram_is_handled_once(self):
+        """Guards against a recorded order to leave that is executed days later.
+
+        Somebody on the network records a datagram and sends it again. Its tag is
+        valid, and the node did not detect that it had handled the datagram before.
+        """
         envelope = Envelope(
             sender="entry-2", incarnation=1, sequence=9, kind="k", body=pack(MESSAGE)
         )
         frame = PeerCodec((KEY,)).seal(envelope)
         for _ in range(5):
             self.send_raw(frame)
-        await self.until(lambda: self.server.dropped["repeated"] == 4)
-        self.assertEqual(self.taken, ["entry-2"])
+        await self.wait_until(lambda: self.server.dropped["repeated"] == 4)
+        self.assertEqual(self.received_senders, ["entry-2"])
 
-    async def test_foreign_and_malformed_datagrams_are_dropped(self):
+    async def test_wrongly_signed_and_malformed_datagrams_are_dropped(self):
         stranger = await self.start("entry-2", key=b"x" * 16)
         stranger.send(self.server.address, "k", MESSAGE)
         self.send_raw(b"")
         self.send_raw(b"\xff" * 900)
-        await self.until(lambda: self.server.dropped["frames"] >= 2)
-        self.assertEqual(self.taken, [])
+        await self.wait_until(lambda: self.server.dropped["frames"] >= 2)
+        self.assertEqual(self.received_senders, [])
 
     async def test_waiting_handlers_are_bounded(self):
-        """Symptom: a node's memory grows until it is killed. Sequence: the
-        platform is silent, a handler waits for it, datagrams keep coming. Cause:
-        each datagram had a task, and nothing bounded them."""
+        """Guards against a node whose memory grows until the node is killed.
+
+        The platform does not answer, handlers wait for it, and datagrams keep
+        arriving. Each datagram had a task, and the number of tasks was unbounded.
+        """
         self.gate.clear()
         peer = await self.start("entry-2")
         for _ in range(40):
             for _ in range(10):
                 peer.send(self.server.address, "k", MESSAGE)
             await asyncio.sleep(0.001)
-        await self.until(lambda: self.server.dropped["datagrams"])
+        await self.wait_until(lambda: self.server.dropped["datagrams"])
         self.assertLessEqual(len(self.server._datagram_tasks), 256)
         self.gate.set()
-        await self.until(lambda: not self.server._datagram_tasks)
+        await self.wait_until(lambda: not self.server._datagram_tasks)
 
     async def test_datagram_that_is_too_long_is_not_sent(self):
         peer = await self.start("entry-2")
@@ -90,17 +94,17 @@
         )
         self.assertFalse(peer.send(self.server.address, "k", long))
 
-    async def test_nothing_is_sent_once_the_link_has_stopped(self):
-        """Symptom: a node that stops as planned logs a traceback.
+    async def test_nothing_is_sent_after_the_link_has_stopped(self):
+        """Guards against a traceback in the log of a node that stops as planned.
 
-        News is told again after a second, and its timer found a closed socket.
+        Messages are sent again after a second; the timer used the closed socket.
         """
         link = await self.start("entry-2")
         await link.stop()
         await asyncio.sleep(0)
         self.assertFalse(link.send(self.server.address, "k", MESSAGE))
 
-    async def test_failing_handler_hurts_nothing_else(self):
+    async def test_failing_handler_does_not_affect_other_handlers(self):
         async def fail(sender, message):
             raise ValueError("wrong")
 
@@ -114,9 +118,12 @@
 
 class IncarnationTests(LinkCase):
     async def test_call_after_the_wall_clock_was_set_back(self):
-        """Symptom: a restarted node learns nothing from its peers. Sequence: its
-        wall clock is set back, it restarts, all its frames count as old. Cause:
-        its incarnation, taken from the wall clock, is lower than before."""
+        """Guards against a restarted node that gets no reply from its peers.
+
+        The wall clock of the node is set back and the node restarts. Its incarnation,
+        which it reads from the wall clock, is lower than before, so its peers
+        consider all its frames old.
+        """
         first = await self.start("entry-2", incarnation=1_000)
         self.assertEqual(await self.call(first), MESSAGE)
         await first.stop()
@@ -131,13 +138,13 @@
         self.assertEqual(await self.call(first), MESSAGE)
         second = await self.start("entry-2", incarnation=10)
         second.send(self.server.address, "k", MESSAGE)
-        await self.until(lambda: second.incarnation == 1_001)
+        await self.wait_until(lambda: second.incarnation == 1_001)
         second.send(self.server.address, "k", MESSAGE)
-        await self.until(lambda: len(self.taken) == 2)
+        await self.wait_until(lambda: len(self.received_senders) == 2)
 
 
 class CallTests(LinkCase):
-    async def test_reply_to_another_request_is_not_taken(self):
+    async def test_reply_to_another_request_is_not_accepted(self):
         async def serve(reader, writer):
             (length,) = struct.unpack("!I", await reader.readexactly(4))
             await reader.readexactly(length)
@@ -162,15 +169,15 @@
             await peer.call(address, "k", MESSAGE, Envelope), CallFailed
         )
 
-    async def test_oversize_request_is_refused_before_it_is_read(self):
+    async def test_oversize_request_is_rejected_before_it_is_read(self):
         reader, writer = await asyncio.open_connection(*self.server.address)
         writer.write(struct.pack("!I", 1 << 30))
         async with asyncio.timeout(LIMIT_S):
             self.assertEqual(await reader.read(), b"")
         writer.close()
 
-    async def test_slow_peer_is_given_up(self):
-        with mock.patch("fireflyward.peers._link._CALL_LIMIT_S", 0.1):
+    async def test_connection_of_a_slow_peer_times_out(self):
+        with mock.patch("fireflyward.peers._link._CALL_TIMEOUT_S", 0.1):
             reader, writer = await asyncio.open_connection(*self.server.address)
             writer.write(b"\x00")
             async with asyncio.timeout(LIMIT_S):
@@ -180,11 +187,11 @@
     async def test_connections_are_bounded(self):
         with mock.patch("fireflyward.peers._link._MAX_CONNECTIONS", 1):
             held = await asyncio.open_connection(*self.server.address)
-            await self.until(lambda: self.server._connections == 1)
+            await self.wait_until(lambda: self.server._connection_count == 1)
             peer = await self.start("entry-2")
             self.assertIsInstance(await self.call(peer), CallFailed)
             held[1].close()
-            await self.until(lambda: self.server._connections == 0)
+            await self.wait_until(lambda: self.server._connection_count == 0)
             self.assertEqual(await self.call(peer), MESSAGE)
 
     async def test_silent_peer_fails_the_call(self):
@@ -197,12 +204,12 @@
 
 
 class BacklogTests(unittest.IsolatedAsyncioTestCase):
-    async def test_all_neighbours_may_ask_in_the_same_moment(self):
-        """Symptom: calls of an aggregator time out though it has little to do.
+    async def test_backlog_holds_simultaneous_requests_of_all_neighbours(self):
+        """Guards against calls to an aggregator that time out without any load.
 
-        Thirty-eight neighbours missed the same datagram and each asked for fifteen
-        stores. The queue of connections took a hundred; the rest tried again after a
-        second, longer than they wait.
+        After the same lost datagram, each of 38 neighbours requested 15 stores at once.
+        The listen backlog had room for 100 connections. The kernel retried the others
+        after 1 s, when their callers had already timed out.
         """
         link = PeerLink(node_name="a", incarnation=1, codec=PeerCodec((b"k" * 32,)))
         with mock.patch("asyncio.start_server", wraps=asyncio.start_server) as start:
--- a/tests/peers/test_replay.py
+++ b/tests/peers/test_replay.py
@@ -12,22 +12,22 @@
     def check(self, sequence, incarnation=7):
         return self.guard.check("entry-1", incarnation, sequence)
 
-    def test_overtaken_frames_are_new_once(self):
+    def test_reordered_frames_are_accepted_once(self):
         self.assertEqual(self.check(5), Freshness.NEW)
         self.assertEqual(self.check(3), Freshness.NEW)
         self.assertEqual(self.check(3), Freshness.REPEATED)
         self.assertEqual(self.check(5), Freshness.REPEATED)
 
-    def test_frame_from_before_the_window_is_refused(self):
+    def test_frame_older_than_the_window_is_rejected(self):
         self.check(5_000)
         self.assertEqual(self.check(5_000 - 1_024), Freshness.REPEATED)
         self.assertEqual(self.check(5_000 - 1_023), Freshness.NEW)
 
-    def test_restart_begins_anew_and_leaves_the_earlier_life_behind(self):
+    def test_restart_resets_the_window_and_rejects_the_earlier_incarnation(self):
         self.check(900)
         self.assertEqual(self.check(1, incarnation=8), Freshness.NEW)
         self.assertEqual(self.check(901), Freshness.BEHIND)
-        self.assertEqual(self.guard.known_incarnation("entry-1"), 8)
+        self.assertEqual(self.guard.highest_incarnation("entry-1"), 8)
 
     def test_number_of_remembered_senders_is_bounded(self):
         for index in range(5_000):
@@ -36,10 +36,10 @@
 
     @settings(max_examples=200, derandomize=True, database=None)
     @given(st.lists(st.integers(1, 3_000), max_size=60))
-    def test_no_frame_is_taken_twice(self, sequences):
-        taken = [number for number in sequences if self.fresh(number)]
-        self.assertEqual(len(taken), len(set(taken)))
+    def test_no_frame_is_accepted_twice(self, sequences):
+        accepted = [number for number in sequences if self.is_new(number)]
+        self.assertEqual(len(accepted), len(set(accepted)))
         self.guard = ReplayGuard()
 
-    def fresh(self, number):
+    def is_new(self, number):
         return self.check(number) is Freshness.NEW
--- a/tests/peers/test_structs.py
+++ b/tests/peers/test_structs.py
@@ -1,21 +1,20 @@
-"""The structs that run are those that the definitions say."""
+"""The generated struct modules match the Thrift definitions."""
 
 import ast
 import unittest
 
-from fireflyward.peers.__main__ import definitions, source_of, written_for
+from fireflyward.peers.__main__ import find_definitions, generate_source, structs_path
 
 
 class StructsTests(unittest.TestCase):
-    def test_what_is_written_follows_from_the_definitions(self):
-        """Symptom: two nodes do not understand each other though both are built anew.
+    def test_generated_modules_match_the_definitions(self):
+        """Guards against nodes that encode messages by an outdated definition.
 
-        A definition was changed and ``make structs`` was not run, so the nodes speak
-        by the older one.
+        A definition was changed, but ``make structs`` was not run.
         """
-        self.assertTrue(definitions())
-        for definition in definitions():
+        self.assertTrue(find_definitions())
+        for definition in find_definitions():
             with self.subTest(definition=definition.name):
-                committed = ast.parse(written_for(definition).read_text())
-                wanted = ast.parse(source_of(definition))
-                self.assertEqual(ast.dump(committed), ast.dump(wanted))
+                committed = ast.parse(structs_path(definition).read_text())
+                expected = ast.parse(generate_source(definition))
+                self.assertEqual(ast.dump(committed), ast.dump(expected))
