--- a/fireflyward/runs/_service_task.py
+++ b/fireflyward/runs/_service_task.py
@@ -140,7 +140,7 @@
                     break
                 if number and not under_way:
                     await self._clock.sleep_ms(self._budget.pause_ms(number))
-                call = replace(self._call, needs_fresh=number > 0)
+                call = replace(self._call, needs_new_connection=number > 0)
                 under_way.add(asyncio.ensure_future(self._try(name, call)))
                 reply = await self._first_reply(under_way, self._reply_limit_ms)
                 if reply:
--- a/fireflyward/upstreams/_messages.py
+++ b/fireflyward/upstreams/_messages.py
@@ -129,7 +129,7 @@
 class ServiceCall:
     """A request to a plain service.
 
-    ``needs_fresh`` asks for a new connection. ``may_send`` comes with a call that
+    ``needs_new_connection`` asks for a new connection. ``may_send`` comes with a call that
     may not be repeated: it goes on a new connection too, and its body leaves only
     if ``may_send()`` is still true when it is written.
     """
@@ -140,7 +140,7 @@
     content_type: str = ""
     run_id: str = ""
     trace_parent: str = ""
-    needs_fresh: bool = False
+    needs_new_connection: bool = False
     may_send: Callable[[], bool] | None = None
 
 
--- a/fireflyward/upstreams/_service_http.py
+++ b/fireflyward/upstreams/_service_http.py
@@ -19,7 +19,7 @@
 class HttpService:
     """One replica of a plain service behind a base URL.
 
-    A call with ``may_send`` or ``needs_fresh`` goes over a new connection: on a
+    A call with ``may_send`` or ``needs_new_connection`` goes over a new connection: on a
     pooled one that something forgot, a call that may not be repeated would be
     lost without anybody knowing whether it arrived.
     """
@@ -44,7 +44,7 @@
 
     async def call(self, call: ServiceCall) -> ServiceReply | Refused | Broken:
         if call.may_send is None:
-            session = self._fresh if call.needs_fresh else self._session
+            session = self._fresh if call.needs_new_connection else self._session
             return await self._send(session, call, call.body, {})
         guarded = GuardedBody(call.body, call.may_send)
         result = await self._send(
--- a/tests/runs/test_once.py
+++ b/tests/runs/test_once.py
@@ -259,7 +259,7 @@
         self.s1.replies = [None]
         outcome = await self.soon(self.make(), 5_100)
         self.assertEqual(outcome, REPLY)
-        self.assertTrue(self.s2.calls[0].needs_fresh)
+        self.assertTrue(self.s2.calls[0].needs_new_connection)
 
     async def test_slow_idempotent_call_is_not_killed_by_its_second(self):
         self.s1.late_ms, self.s2.late_ms = 6_000, 20_000
