--- a/fireflyward/rollout/_task.py
+++ b/fireflyward/rollout/_task.py
@@ -204,7 +204,7 @@
         elif not self._may_act() or action.order.fencing != self._driving:
             result = _NOT_SENT
         else:
-            result = await engine.take(action.order)
+            result = await engine.send_order(action.order)
         await self._take(OrderAnswered(action.replica, action.order.order_id, result))
 
     def _start(self, call: Coroutine[object, object, None]) -> None:
--- a/fireflyward/standins/_memory_fleet.py
+++ b/fireflyward/standins/_memory_fleet.py
@@ -24,7 +24,7 @@
         self._clock = clock
         self._held: list[EngineOrder] = []
 
-    async def take(self, order: EngineOrder) -> OrderResult:
+    async def send_order(self, order: EngineOrder) -> OrderResult:
         await self._clock.sleep_ms(self.call_ms)
         if self.hold_orders:
             self._held.append(order)
--- a/fireflyward/upstreams/_orders.py
+++ b/fireflyward/upstreams/_orders.py
@@ -47,7 +47,7 @@
 class OrderedEngine(Protocol):
     """A replica as its driver sees it; docs/platform/engine-orders.md."""
 
-    async def take(self, order: EngineOrder) -> OrderResult:
+    async def send_order(self, order: EngineOrder) -> OrderResult:
         """Give an order; ``Broken.may_have_run`` says whether it may have arrived."""
 
     async def state(self) -> EngineState | Broken:
--- a/fireflyward/upstreams/_orders_http.py
+++ b/fireflyward/upstreams/_orders_http.py
@@ -25,7 +25,7 @@
     def __repr__(self) -> str:
         return f"HttpOrderedEngine({self._base!r})"
 
-    async def take(self, order: EngineOrder) -> OrderResult:
+    async def send_order(self, order: EngineOrder) -> OrderResult:
         return await self._call("POST", "/v1/orders", msgspec.json.encode(order))
 
     async def state(self) -> EngineState | Broken:
