--- a/fireflyward/upstreams/__init__.py
+++ b/fireflyward/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Upstreams: model engines and plain services, behind narrow protocols."""
+"""Upstreams (model engines and plain services) behind narrow protocols."""
 
 from ._engine_http import HttpEngine
 from ._kv import (
--- a/fireflyward/upstreams/_engine_http.py
+++ b/fireflyward/upstreams/_engine_http.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP, as docs/PLATFORM.md writes its interface."""
+"""HTTP client of a model engine; docs/PLATFORM.md describes the interface."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -23,17 +23,17 @@
     Refused,
 )
 
-_CONNECT_LIMIT_S = 2.0
-_END_LIMIT_S = 0.02
-_SHORT_CALL_LIMIT_S = 2.0
+_CONNECT_TIMEOUT_S = 2.0
+_BODY_END_TIMEOUT_S = 0.02
+_SHORT_CALL_TIMEOUT_S = 2.0
 _DATA_PREFIX = b"data: "
 _COMMENT_PREFIX = b":"
-_STREAM_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_LIMIT_S)
+_STREAM_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_TIMEOUT_S)
 RequestContext = AbstractAsyncContextManager[aiohttp.ClientResponse]
 
 
 class GenerateBody(msgspec.Struct):
-    """The request of a run as JSON."""
+    """The JSON body of a request that starts a run."""
 
     run_id: str
     model: str
@@ -46,10 +46,10 @@
 
 
 class StreamLine(msgspec.Struct):
-    """One event of a run's stream as JSON; the fields that are set tell which.
+    """One event of a run's stream as JSON; the fields that are set tell which kind.
 
-    ``run_id`` is on every line, so that an answer that comes late or crossed with
-    another is recognised before any of it reaches a caller.
+    Every line has the ``run_id``, so that the client detects the late or mixed-up
+    response of another run before any of it reaches a caller.
     """
 
     offset: int = -1
@@ -64,7 +64,7 @@
 
 
 class RefusalBody(msgspec.Struct):
-    """Why an engine did not run a call."""
+    """The JSON body of a response to a call that the engine did not run."""
 
     reason: str
     detail: str = ""
@@ -85,7 +85,7 @@
 
 
 class CancelBody(msgspec.Struct):
-    """The answer to a cancel as JSON."""
+    """The response to a cancel request as JSON."""
 
     state: str
 
@@ -94,15 +94,15 @@
 
 
 class HttpEngine:
-    """One replica behind a base URL.
+    """One replica of a model engine behind a base URL.
 
-    A stream has no limit of its own here: the engine's comment lines come out as
-    ``KeepAlive`` events, and whoever reads the events watches their silence.
-    Resumes and cancels go over new connections, and so does a run that comes with
-    ``may_send``.
+    This class does not limit the duration of a stream. It turns the engine's
+    comment lines into ``KeepAlive`` events; the reader of the events detects when
+    the stream falls silent. Resumes, cancels and runs with ``may_send`` use new
+    connections.
     """
 
-    __slots__ = ("_base", "_fresh", "_session")
+    __slots__ = ("_base_url", "_unpooled_session", "_session")
 
     def __init__(
         self,
@@ -112,11 +112,11 @@
         fresh: aiohttp.ClientSession | None = None,
     ) -> None:
         self._session = session
-        self._fresh = fresh or session
-        self._base = base_url
+        self._unpooled_session = fresh or session
+        self._base_url = base_url
 
     def __repr__(self) -> str:
-        return f"HttpEngine({self._base!r})"
+        return f"HttpEngine({self._base_url!r})"
 
     async def generate(self, call: EngineCall) -> AsyncIterator[EngineEvent]:
         body = GenerateBody(
@@ -133,46 +133,46 @@
         if call.trace_parent:
             headers["traceparent"] = call.trace_parent
         data = msgspec.json.encode(body)
-        url = f"{self._base}/v1/completions"
+        url = f"{self._base_url}/v1/completions"
         if call.may_send is None:
             request = self._session.post(
                 url, data=data, headers=headers, timeout=_STREAM_TIMEOUT
             )
-            events = self._events(request, call.run_id)
+            events = self._read_events(request, call.run_id)
         else:
-            events = self._guarded(url, headers, data, call)
+            events = self._guarded_events(url, headers, data, call)
         async for event in events:
             yield event
 
     async def resume(self, run_id: str, offset: int) -> AsyncIterator[EngineEvent]:
-        request = self._fresh.get(
-            f"{self._base}/v1/runs/{run_id}",
+        request = self._unpooled_session.get(
+            f"{self._base_url}/v1/runs/{run_id}",
             params={"offset": str(offset)},
             timeout=_STREAM_TIMEOUT,
         )
-        async for event in self._events(request, run_id):
+        async for event in self._read_events(request, run_id):
             yield event
 
-    async def _guarded(
+    async def _guarded_events(
         self, url: str, headers: dict[str, str], data: bytes, call: EngineCall
     ) -> AsyncIterator[EngineEvent]:
-        """Start a run whose body leaves only while it may."""
+        """Start a run; send its body only if ``may_send`` still allows it."""
         guarded = GuardedBody(data, call.may_send)
-        request = self._fresh.post(
+        request = self._unpooled_session.post(
             url,
             data=guarded.chunks(),
             headers=headers | guarded.headers(),
             timeout=_STREAM_TIMEOUT,
         )
-        async for event in self._events(request, call.run_id):
+        async for event in self._read_events(request, call.run_id):
             if guarded.was_withheld and isinstance(event, Broken):
-                event = Broken(False, "its permit ran out before it left")
+                event = Broken(False, "its permit expired before it was sent")
             yield event
 
     async def cancel(self, run_id: str) -> CancelState:
         try:
-            async with self._fresh.delete(
-                f"{self._base}/v1/runs/{run_id}", timeout=_short_timeout()
+            async with self._unpooled_session.delete(
+                f"{self._base_url}/v1/runs/{run_id}", timeout=_short_timeout()
             ) as response:
                 body = msgspec.json.decode(await response.read(), type=CancelBody)
                 return CancelState(body.state)
@@ -182,11 +182,11 @@
     async def load(self) -> LoadReport | Broken:
         try:
             async with self._session.get(
-                f"{self._base}/load", timeout=_short_timeout()
+                f"{self._base_url}/load", timeout=_short_timeout()
             ) as response:
                 body = msgspec.json.decode(await response.read(), type=LoadBody)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-            return Broken(False, _describe(error))
+            return Broken(False, _describe_error(error))
         return LoadReport(
             body.queued,
             body.running,
@@ -198,60 +198,60 @@
             body.age_ms,
         )
 
-    async def _events(
+    async def _read_events(
         self, request: RequestContext, run_id: str
     ) -> AsyncIterator[EngineEvent]:
-        """Turn a streamed response into events; a loss ends as ``Broken``."""
+        """Decode a streamed response; ``Broken`` is the last event if it is cut off."""
         try:
             async with request as response:
                 if response.status != 200:
-                    yield _refusal(response.status, await response.read())
+                    yield _decode_refusal(response.status, await response.read())
                     return
-                rest = b""
+                incomplete = b""
                 async for chunk in response.content.iter_any():
-                    lines = (rest + chunk).split(b"\n")
-                    rest = lines.pop()
-                    for event in _events_of(lines, run_id):
+                    lines = (incomplete + chunk).split(b"\n")
+                    incomplete = lines.pop()
+                    for event in _decode_events(lines, run_id):
                         if isinstance(event, Finished):
                             await _read_to_end(response)
                         yield event
                         if isinstance(event, Finished | Broken):
                             return
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            yield Broken(False, _describe(error))
+            yield Broken(False, _describe_error(error))
             return
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-            yield Broken(True, _describe(error))
+            yield Broken(True, _describe_error(error))
             return
         yield Broken(True, "stream ended without its end marker")
 
 
 async def _read_to_end(response: aiohttp.ClientResponse) -> None:
-    """Take the end of the response's body, so that its connection is used again.
+    """Read the rest of the response's body, so that its connection can be reused.
 
-    The end marker is the last line, yet the body ends a few bytes later. A reader
-    that leaves between the two has its connection closed, which nobody notices but
-    by the connections that are opened anew for each run. An engine that does not
-    end its body soon costs its connection and nothing else.
+    The end marker is the last line, but the body ends a few bytes after it. If the
+    reader stopped in between, aiohttp would close the connection and open a new one
+    for each run. If an engine does not end its body within the timeout, only its
+    connection is closed.
     """
     if response.content.at_eof():
         return
     try:
-        async with asyncio.timeout(_END_LIMIT_S):
+        async with asyncio.timeout(_BODY_END_TIMEOUT_S):
             await response.content.read()
     except (aiohttp.ClientError, TimeoutError, OSError):
         response.close()
 
 
 def _short_timeout() -> aiohttp.ClientTimeout:
-    return aiohttp.ClientTimeout(total=_SHORT_CALL_LIMIT_S)
+    return aiohttp.ClientTimeout(total=_SHORT_CALL_TIMEOUT_S)
 
 
-def _events_of(lines: list[bytes], run_id: str) -> list[EngineEvent]:
-    """Decode lines that came together, joining pieces that follow each other.
+def _decode_events(lines: list[bytes], run_id: str) -> list[EngineEvent]:
+    """Decode lines that arrived together and merge adjacent pieces.
 
-    Under load many tokens come with one read of the socket. Passing them on as
-    one piece costs one write to the caller instead of one for each token.
+    Under load one read of the socket returns many tokens. Passing them on as one
+    piece takes one write to the caller instead of one write for each token.
     """
     events: list[EngineEvent] = []
     joined: list[StreamLine] = []
@@ -260,23 +260,23 @@
             continue
         if line.startswith(_DATA_PREFIX):
             decoded = _decode_line(line[len(_DATA_PREFIX) :])
-            if joined and _follows(joined[-1], decoded):
+            if joined and _continues(joined[-1], decoded):
                 joined.append(decoded)
                 continue
-            _end_joined(events, joined)
-            event = _event_of(decoded, run_id)
+            _merge_joined(events, joined)
+            event = _make_event(decoded, run_id)
             events.append(event)
             if isinstance(event, Piece):
                 joined.append(decoded)
         elif line.startswith(_COMMENT_PREFIX):
-            _end_joined(events, joined)
+            _merge_joined(events, joined)
             events.append(KeepAlive())
-    _end_joined(events, joined)
+    _merge_joined(events, joined)
     return events
 
 
-def _follows(last: StreamLine, line: StreamLine) -> bool:
-    """Tell whether a line is the piece after ``last`` of the same run."""
+def _continues(last: StreamLine, line: StreamLine) -> bool:
+    """Return whether a line is the next piece of the same run after ``last``."""
     return (
         line.offset == last.offset + last.tokens
         and line.run_id == last.run_id
@@ -285,8 +285,8 @@
     )
 
 
-def _end_joined(events: list[EngineEvent], joined: list[StreamLine]) -> None:
-    """Make one piece of those that were joined, in place of the first."""
+def _merge_joined(events: list[EngineEvent], joined: list[StreamLine]) -> None:
+    """Merge the joined pieces into one, which replaces the first."""
     if len(joined) > 1:
         tokens = sum(line.tokens for line in joined)
         text = "".join([line.text for line in joined])
@@ -294,9 +294,9 @@
     joined.clear()
 
 
-def _event_of(line: StreamLine, run_id: str) -> EngineEvent:
+def _make_event(line: StreamLine, run_id: str) -> EngineEvent:
     if line.run_id != run_id:
-        return Broken(True, f"a line of run {line.run_id!r} came instead")
+        return Broken(True, f"received a line of run {line.run_id!r} instead")
     if line.done:
         usage = Usage(line.prompt_tokens, line.completion_tokens, line.cached_tokens)
         return Finished(usage)
@@ -305,8 +305,8 @@
     return Piece(line.offset, line.tokens, line.text)
 
 
-def _refusal(status: int, body: bytes) -> EngineEvent:
-    """Read a refusal; an answer that is not one leaves open whether it ran."""
+def _decode_refusal(status: int, body: bytes) -> EngineEvent:
+    """Decode a refusal; any other body leaves open whether the call has run."""
     try:
         refusal = msgspec.json.decode(body, type=RefusalBody)
         reason = Reason(refusal.reason)
@@ -315,5 +315,5 @@
     return Refused(reason, refusal.detail, refusal.retry_after_ms)
 
 
-def _describe(error: BaseException) -> str:
+def _describe_error(error: BaseException) -> str:
     return f"{type(error).__name__}: {error}"
--- a/fireflyward/upstreams/_kv.py
+++ b/fireflyward/upstreams/_kv.py
@@ -1,8 +1,9 @@
-"""Messages about KV blocks that pass between a node, an engine and a store.
+"""Messages about KV blocks between a node, an engine and a store.
 
 The blocks themselves never pass through a node: the KV of one prompt is far
-larger than an entry VM should hold. A node orders with descriptors, and engine and
-store move the bytes between them, as docs/platform/engine-kv.md writes it.
+larger than what an entry VM should hold in memory. A node sends orders with block
+descriptors, and the engine and the store transfer the bytes directly;
+docs/platform/engine-kv.md describes the protocol.
 """
 
 import enum
@@ -15,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockRef:
-    """Where one block is kept: descriptor of a slot in one of its generations.
+    """Where one block is kept: the descriptor of a slot in one of its generations.
 
     ``length`` and ``checksum`` are empty until the block is sealed; ``position``
-    is 1 for the first block of a prompt. A reader that holds a descriptor of an
-    earlier generation gets a miss.
+    is 1 for the first block of a prompt. Reading with a descriptor of an earlier
+    generation of the slot is a miss.
     """
 
     key: str
@@ -56,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ExportOrder:
-    """Write these cached blocks into slots that the node has reserved.
+    """An order to write cached blocks into slots that the node has reserved.
 
-    ``url_by_store`` tells where each store of ``refs`` is reached. The engine
-    writes and seals each block and reports the sealed descriptors.
+    ``url_by_store`` has the URL of each store in ``refs``. The engine writes and
+    seals each block and reports the descriptors of the sealed blocks.
     """
 
     order_id: str
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExportReport:
-    """Descriptors of the blocks that are sealed now, and the blocks that are not."""
+    """The descriptors of the sealed blocks, and the blocks that were not sealed."""
 
     sealed: tuple[BlockRef, ...]
     missing: tuple[Miss, ...] = ()
@@ -79,11 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ImportOrder:
-    """Load these blocks, first to last, and stop at the first that is in doubt.
+    """An order to load blocks, first to last, up to the first miss.
 
-    ``limit_ms`` bounds the order and grows by ``block_ms`` with each block that was
-    loaded, which need not be computed; blocks loaded by then stay usable.
-    ``first_key`` is the key of the prompt's first block, for cache events.
+    ``limit_ms`` limits the duration of the order. Each loaded block, which then
+    need not be computed, extends it by ``block_ms``. Blocks that were loaded within
+    the limit stay usable. ``first_key`` is the key of the prompt's first block, for
+    cache events.
     """
 
     order_id: str
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ImportReport:
-    """How many blocks, counted from the first, the engine holds now."""
+    """How many blocks, counted from the first, the engine has in its cache now."""
 
     blocks: int
     bytes_read: int = 0
@@ -114,9 +116,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One change of an engine's cache; ``sequence`` grows by one with each.
+    """One change of an engine's cache; ``sequence`` increases by one with each event.
 
-    ``first_key`` is the key of the first block of the prompt that the block is of.
+    ``first_key`` is the key of the first block of the same prompt.
     """
 
     sequence: int
@@ -128,13 +130,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """Events after the asked sequence; ``epoch`` changes when the cache is lost.
-
-    Events may come late, twice or not at all. ``newest`` is the sequence of the
-    engine's last event, ``last`` that of the last which this answer covers. Only
-    those whose position is a multiple of the asked stride are told; ``skipped``
-    counts the others up to ``last``, so that a reader notices what it did not get.
-    Asked after -1 the engine tells all that it holds now, and ``is_whole`` is true.
+    """Events after the requested sequence; ``epoch`` changes when the cache is lost.
+
+    Events may be late, duplicated or lost. ``newest`` is the sequence of the
+    engine's last event, ``last`` that of the last event which this response covers.
+    The response has only events whose position is a multiple of the requested
+    stride; ``skipped`` counts the others up to ``last``, so that a reader detects
+    lost events. A request for the events after -1 returns the complete content of
+    the cache, and ``is_whole`` is true.
     """
 
     epoch: str
@@ -148,8 +151,8 @@
 def block_checksum(key: str, generation: int, payload: bytes) -> str:
     """Return the checksum that seals ``payload`` to its key and generation.
 
-    Key and generation are part of it, so the bytes of another block, or those
-    that the slot held before, do not fit even though they are whole.
+    The checksum covers the key and the generation, so the complete bytes of another
+    block, or of an earlier block in the slot, do not match it.
     """
     digest = hashlib.blake2b(digest_size=_CHECKSUM_BYTES)
     name = key.encode()
--- a/fireflyward/upstreams/_messages.py
+++ b/fireflyward/upstreams/_messages.py
@@ -1,4 +1,4 @@
-"""What passes between a node and an upstream."""
+"""Messages between a node and an upstream."""
 
 import enum
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 class EngineCall:
     """One attempt at a run on one replica.
 
-    ``run_id`` is the same for all attempts of a run; ``block_keys`` name the full
-    blocks of the prompt, first to last, for the engine's own prefix cache;
-    ``priority`` is 0 (first) to 9; ``trace_parent`` is the W3C header or empty.
-    ``may_send`` comes with a non-idempotent run: it goes on a new connection, and
-    its body leaves only if ``may_send()`` is still true when it is written.
+    ``run_id`` is the same for all attempts of a run. ``block_keys`` are the keys of
+    the full blocks of the prompt, first to last, for the engine's own prefix cache.
+    ``priority`` is 0 (highest) to 9. ``trace_parent`` is the W3C header or empty.
+    ``may_send`` is set for a non-idempotent run: the run uses a new connection, and
+    its body is sent only if ``may_send()`` is still true when it is written.
     """
 
     run_id: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The engine took the run; it may be running from here on."""
+    """The engine accepted the run, which may be running from now on."""
 
     version: str
     cached_tokens: int
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """The end marker: only with it is an answer whole."""
+    """The end marker of a stream; an answer is complete only with it."""
 
     usage: Usage
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The engine says that it did not run the call, and why."""
+    """The upstream did not run the call and reports why."""
 
     reason: Reason
     detail: str = ""
@@ -67,7 +67,7 @@
 class Broken:
     """The call or stream ended without its end marker.
 
-    ``may_have_run`` is false only when the request certainly never arrived.
+    ``may_have_run`` is false only if the request certainly did not arrive.
     """
 
     may_have_run: bool
@@ -76,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeepAlive:
-    """The replica has the run and nothing new of it yet: slow, not silent."""
+    """The replica still has the run but no new tokens: it is slow, not silent."""
 
 
 EngineEvent = Accepted | KeepAlive | Piece | Finished | Refused | Broken
 
 
 class CancelState(enum.StrEnum):
-    """What an engine says of a run that it was told to cancel."""
+    """The state of a run after a cancel request, as the engine reports it."""
 
     CANCELLED = "cancelled"
     FINISHED = "finished"
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """An engine's view of itself; ``age_ms`` is how old it was when it came."""
+    """An engine's own load; ``age_ms`` is the age of the values when it responded."""
 
     queued: int
     running: int
@@ -107,12 +107,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine holds, as it confirms itself.
+    """The models, adapters and runs of an engine, as the engine reports them.
 
-    ``version_by_model`` has only what takes new runs; ``loading`` has what comes,
-    also while the runs of the version before end. ``order_id`` is the last order
-    that was taken, ``failed`` why it did not come true, ``running_by_model``
-    the runs that go on, whatever their version.
+    ``version_by_model`` has only versions that accept new runs; ``loading`` has the
+    versions that are being loaded or wait for the runs of the previous version to
+    finish. ``order_id`` is the last order that the engine accepted, ``failed`` the
+    reason why that order could not be carried out. ``running_by_model`` counts the
+    current runs of all versions.
     """
 
     version_by_model: dict[str, str]
@@ -129,9 +130,9 @@
 class ServiceCall:
     """A request to a plain service.
 
-    ``needs_new_connection`` asks for a new connection. ``may_send`` comes with a call that
-    may not be repeated: it goes on a new connection too, and its body leaves only
-    if ``may_send()`` is still true when it is written.
+    ``needs_new_connection`` excludes pooled connections. ``may_send`` is set for a
+    non-idempotent call: the call uses a new connection too, and its body is sent
+    only if ``may_send()`` is still true when it is written.
     """
 
     method: str
@@ -146,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceReply:
-    """A plain service's whole answer."""
+    """The complete response of a plain service."""
 
     status: int
     body: bytes
--- a/fireflyward/upstreams/_orders.py
+++ b/fireflyward/upstreams/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine: what it is to be, never what it is to do."""
+"""Orders to an engine: each describes a desired state, not actions to perform."""
 
 import enum
 from dataclasses import dataclass, field
@@ -9,12 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """What a replica is to be from now on.
+    """The desired state of a replica.
 
-    The order is whole and absolute: every model with its weight version, every
-    adapter as ``model/adapter``, and the role (empty leaves it). Taken twice it
-    does nothing the second time, whether by its ``order_id`` or because the engine
-    already is what it says. ``fencing`` is the number of the issuer's lease.
+    The order is complete: it lists every model with its weight version, every
+    adapter as ``model/adapter``, and the role (an empty role keeps the current one).
+    An engine that receives an order again does nothing, either because of its
+    ``order_id`` or because the engine is already in the desired state. ``fencing``
+    is the number of the issuer's lease.
     """
 
     order_id: str
@@ -25,7 +26,7 @@
 
 
 class OrderReason(enum.StrEnum):
-    """Why an engine does not take an order."""
+    """Why an engine rejects an order."""
 
     OLD_FENCING = "old_fencing"
     UNKNOWN_VERSION = "unknown_version"
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderRefused:
-    """The engine did not take the order and stays what it was."""
+    """The engine rejected the order and keeps its state."""
 
     reason: OrderReason
     detail: str = ""
@@ -45,10 +46,10 @@
 
 
 class OrderedEngine(Protocol):
-    """A replica as its driver sees it; docs/platform/engine-orders.md."""
+    """A replica that accepts orders; see docs/platform/engine-orders.md."""
 
     async def send_order(self, order: EngineOrder) -> OrderResult:
-        """Give an order; ``Broken.may_have_run`` says whether it may have arrived."""
+        """Send an order; ``Broken.may_have_run`` says whether it may have arrived."""
 
     async def state(self) -> EngineState | Broken:
-        """Return what the engine is now, as it says itself."""
+        """Return the state that the engine reports."""
--- a/fireflyward/upstreams/_protocols.py
+++ b/fireflyward/upstreams/_protocols.py
@@ -1,4 +1,4 @@
-"""What the product needs of an engine and of a plain service."""
+"""The interfaces of an engine and of a plain service that nodes use."""
 
 from collections.abc import AsyncIterator
 from typing import Protocol
@@ -20,10 +20,10 @@
     """One replica of a model engine."""
 
     def generate(self, call: EngineCall) -> AsyncIterator[EngineEvent]:
-        """Start a run and yield its events, ending with one that is final."""
+        """Start a run and yield its events up to and including a final one."""
 
     def resume(self, run_id: str, offset: int) -> AsyncIterator[EngineEvent]:
-        """Yield the events of a run that was started before, from ``offset``."""
+        """Yield the events of an already started run, from ``offset``."""
 
     async def cancel(self, run_id: str) -> CancelState: ...
 
@@ -31,7 +31,7 @@
 
 
 class KvEngine(Protocol):
-    """The KV cache of one replica; docs/platform/engine-kv.md writes the contract."""
+    """The KV cache of one replica; see docs/platform/engine-kv.md."""
 
     async def export_blocks(
         self, order: ExportOrder
--- a/fireflyward/upstreams/_service_http.py
+++ b/fireflyward/upstreams/_service_http.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP."""
+"""HTTP client of a plain service."""
 
 from collections.abc import AsyncIterator
 from dataclasses import replace
@@ -11,7 +11,7 @@
 
 from ._messages import Broken, Refused, ServiceCall, ServiceReply
 
-_CONNECT_LIMIT_S = 2.0
+_CONNECT_TIMEOUT_S = 2.0
 _NOT_RUN_HEADER = "X-Not-Run"
 _RUN_HEADER = "X-Run-Id"
 
@@ -19,12 +19,12 @@
 class HttpService:
     """One replica of a plain service behind a base URL.
 
-    A call with ``may_send`` or ``needs_new_connection`` goes over a new connection: on a
-    pooled one that something forgot, a call that may not be repeated would be
-    lost without anybody knowing whether it arrived.
+    A call with ``may_send`` or ``needs_new_connection`` uses a new connection. A
+    device on the path can lose the state of a pooled connection; a non-idempotent
+    call on it would get no reply, and the node could not tell whether it arrived.
     """
 
-    __slots__ = ("_base", "_deadline_s", "_fresh", "_session")
+    __slots__ = ("_base_url", "_deadline_s", "_unpooled_session", "_session")
 
     def __init__(
         self,
@@ -35,23 +35,25 @@
         deadline_ms: int = 30_000,
     ) -> None:
         self._session = session
-        self._fresh = fresh or session
-        self._base = base_url
+        self._unpooled_session = fresh or session
+        self._base_url = base_url
         self._deadline_s = deadline_ms / 1_000
 
     def __repr__(self) -> str:
-        return f"HttpService({self._base!r})"
+        return f"HttpService({self._base_url!r})"
 
     async def call(self, call: ServiceCall) -> ServiceReply | Refused | Broken:
         if call.may_send is None:
-            session = self._fresh if call.needs_new_connection else self._session
+            session = (
+                self._unpooled_session if call.needs_new_connection else self._session
+            )
             return await self._send(session, call, call.body, {})
         guarded = GuardedBody(call.body, call.may_send)
         result = await self._send(
-            self._fresh, call, guarded.chunks(), guarded.headers()
+            self._unpooled_session, call, guarded.chunks(), guarded.headers()
         )
         if guarded.was_withheld and isinstance(result, Broken):
-            return Broken(False, "its permit ran out before it left")
+            return Broken(False, "its permit expired before it was sent")
         return result
 
     async def _send(
@@ -62,28 +64,28 @@
         headers: dict[str, str],
     ) -> ServiceReply | Refused | Broken:
         timeout = aiohttp.ClientTimeout(
-            total=self._deadline_s, sock_connect=_CONNECT_LIMIT_S
+            total=self._deadline_s, sock_connect=_CONNECT_TIMEOUT_S
         )
         try:
-            with hop("attempt", upstream=self._base) as trace_parent:
+            with hop("attempt", upstream=self._base_url) as trace_parent:
                 if trace_parent:
                     call = replace(call, trace_parent=trace_parent)
                 async with session.request(
                     call.method,
-                    self._base + call.path,
+                    self._base_url + call.path,
                     data=body,
-                    headers=headers | _headers_of(call),
+                    headers=headers | _make_headers(call),
                     timeout=timeout,
                     allow_redirects=False,
                 ) as response:
-                    return _reply_of(call, response, await response.read())
+                    return _decode_reply(call, response, await response.read())
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return Broken(False, str(error))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Broken(True, f"{type(error).__name__}: {error}")
 
 
-def _headers_of(call: ServiceCall) -> dict[str, str]:
+def _make_headers(call: ServiceCall) -> dict[str, str]:
     headers = {_RUN_HEADER: call.run_id}
     if call.content_type:
         headers["Content-Type"] = call.content_type
@@ -92,13 +94,13 @@
     return headers
 
 
-def _reply_of(
+def _decode_reply(
     call: ServiceCall, response: aiohttp.ClientResponse, body: bytes
 ) -> ServiceReply | Refused | Broken:
-    """Read a reply; one that names another run is not this call's."""
-    named = response.headers.get(_RUN_HEADER, call.run_id)
-    if named != call.run_id:
-        return Broken(True, f"a reply to run {named!r} came instead")
+    """Decode a reply; a reply with another run id does not belong to this call."""
+    reply_run_id = response.headers.get(_RUN_HEADER, call.run_id)
+    if reply_run_id != call.run_id:
+        return Broken(True, f"received a reply to run {reply_run_id!r} instead")
     if response.status == 503 and _NOT_RUN_HEADER in response.headers:
         return Refused(Reason.OVERLOADED, "the service did not run it")
     content_type = response.headers.get("Content-Type", "")
--- a/fireflyward/upstreams/_tokens.py
+++ b/fireflyward/upstreams/_tokens.py
@@ -1,7 +1,7 @@
-"""Tokens as this project counts them.
+"""Counts and splits the tokens of a text.
 
-A real engine has a tokenizer per model; an adapter of such an engine replaces
-this module. The stand-in's rule is four bytes of UTF-8 to a token.
+A real engine has a tokenizer for each model, and an adapter for such an engine
+replaces this module. For the stand-in engine, four bytes of UTF-8 are one token.
 """
 
 BYTES_PER_TOKEN = 4
@@ -27,9 +27,10 @@
 
 
 def split_blocks(text: str) -> list[bytes]:
-    """Return the tokens of each full block of ``text``, joined, in order."""
+    """Return the bytes of each full block of ``text``, in order."""
     data = text.encode()
-    size = BLOCK_TOKENS * BYTES_PER_TOKEN
+    block_bytes = BLOCK_TOKENS * BYTES_PER_TOKEN
     return [
-        data[start : start + size] for start in range(0, len(data) - size + 1, size)
+        data[start : start + block_bytes]
+        for start in range(0, len(data) - block_bytes + 1, block_bytes)
     ]
--- a/tests/upstreams/test_engine_http.py
+++ b/tests/upstreams/test_engine_http.py
@@ -1,4 +1,4 @@
-"""The engine client against the stand-in over real sockets."""
+"""Tests of the engine client against the stand-in over real sockets."""
 
 import asyncio
 import unittest
@@ -18,7 +18,7 @@
 )
 
 CALL = EngineCall("r1", "m", "v1", "beam 7?", 6)
-WANTED = answer_text("m", "v1", "", "beam 7?", 6)
+EXPECTED_TEXT = answer_text("m", "v1", "", "beam 7?", 6)
 
 
 class EngineHttpTests(unittest.IsolatedAsyncioTestCase):
@@ -39,30 +39,34 @@
     def text(self, events):
         return "".join(event.text for event in events if isinstance(event, Piece))
 
-    async def test_whole_run(self):
+    async def test_complete_run(self):
         events = await self.events(self.engine.generate(CALL))
         self.assertIsInstance(events[0], Accepted)
         self.assertIsInstance(events[-1], Finished)
-        self.assertEqual(self.text(events), WANTED)
+        self.assertEqual(self.text(events), EXPECTED_TEXT)
 
-    async def test_cut_stream_is_broken_and_can_be_resumed(self):
+    async def test_interrupted_stream_is_broken_and_can_be_resumed(self):
         self.server.faults.cut_streams, self.server.faults.after_tokens = 1, 2
         events = await self.events(self.engine.generate(CALL))
         self.assertEqual(type(events[-1]), Broken)
         self.assertTrue(events[-1].may_have_run)
-        got = sum(event.tokens for event in events if isinstance(event, Piece))
-        rest = await self.events(self.engine.resume("r1", got))
-        self.assertEqual(self.text(events) + self.text(rest), WANTED)
-
-    async def test_crossed_stream_gives_nothing_of_the_other_run(self):
-        """Symptom: a caller reads another caller's answer. Sequence: a connection
-        carries the stream of an earlier run. Cause: lines were not matched by the
-        run that they belong to."""
+        received_tokens = sum(
+            event.tokens for event in events if isinstance(event, Piece)
+        )
+        rest = await self.events(self.engine.resume("r1", received_tokens))
+        self.assertEqual(self.text(events) + self.text(rest), EXPECTED_TEXT)
+
+    async def test_stream_of_another_run_yields_none_of_its_tokens(self):
+        """Guards against a caller that receives another caller's answer.
+
+        A connection carries the stream of an earlier run, and the client did not
+        compare the run id of the lines.
+        """
         self.server.faults.crossed_streams = 1
         events = await self.events(self.engine.generate(CALL))
         self.assertEqual([type(event) for event in events], [Broken])
 
-    async def test_slow_prefill_says_that_it_lives(self):
+    async def test_slow_prefill_sends_keepalives(self):
         costs = EngineCosts(prefill_ms_per_token=500.0)
         self.server.model = EngineModel({"m": "v1"}, costs)
         stream = self.engine.generate(CALL)
@@ -70,41 +74,43 @@
         self.assertIsInstance(await anext(stream), KeepAlive)
         await stream.aclose()
 
-    async def test_refused_connection_never_arrived(self):
+    async def test_request_on_a_refused_connection_has_not_run(self):
         await self.server.stop()
         (event,) = await self.events(self.engine.generate(CALL))
         self.assertEqual((type(event), event.may_have_run), (Broken, False))
 
-    async def test_resume_gets_through_while_a_pooled_connection_is_silent(self):
+    async def test_resume_succeeds_while_a_pooled_connection_is_silent(self):
         self.server.faults.silent_streams = 1
         stream = self.engine.generate(CALL)
         await anext(stream)
         rest = await self.events(self.engine.resume("r1", 0))
-        self.assertEqual(self.text(rest), WANTED)
+        self.assertEqual(self.text(rest), EXPECTED_TEXT)
         await stream.aclose()
 
-    async def test_body_stays_back_when_its_permit_ran_out(self):
-        """Symptom: a non-idempotent run starts long after it was given up.
-        Sequence: its process is paused between the check of its permit and the
-        writing of the request. Cause: nothing was checked at the last moment."""
+    async def test_body_is_withheld_when_its_permit_has_expired(self):
+        """Guards against a non-idempotent run that starts long after it was aborted.
+
+        The process of the node is paused between the check of the permit and the
+        write of the request, and the permit was not checked again before the write.
+        """
         call = EngineCall("r2", "m", "v1", "beam", 6, may_send=lambda: False)
         events = await asyncio.wait_for(self.events(self.engine.generate(call)), 5)
         self.assertEqual([type(event) for event in events], [Broken])
         self.assertFalse(events[0].may_have_run)
         self.assertEqual(self.server.model.run_by_id, {})
 
-    async def test_guarded_run_is_whole(self):
+    async def test_guarded_run_is_complete(self):
         call = EngineCall("r1", "m", "v1", "beam 7?", 6, may_send=lambda: True)
         events = await self.events(self.engine.generate(call))
-        self.assertEqual(self.text(events), WANTED)
+        self.assertEqual(self.text(events), EXPECTED_TEXT)
 
 
 class SocketTests(unittest.IsolatedAsyncioTestCase):
-    async def test_fresh_session_never_uses_a_connection_twice(self):
-        peers = []
+    async def test_fresh_session_never_reuses_a_connection(self):
+        client_addresses = []
 
         async def handle(request):
-            peers.append(request.transport.get_extra_info("peername"))
+            client_addresses.append(request.transport.get_extra_info("peername"))
             return aiohttp.web.Response()
 
         app = aiohttp.web.Application()
@@ -120,4 +126,4 @@
         for session in (sessions.fresh, sessions.fresh):
             async with session.get(url):
                 pass
-        self.assertEqual(len(set(peers)), 2)
+        self.assertEqual(len(set(client_addresses)), 2)
--- a/tests/upstreams/test_engine_reuse.py
+++ b/tests/upstreams/test_engine_reuse.py
@@ -9,10 +9,12 @@
 
 
 class ConnectionReuseTests(unittest.IsolatedAsyncioTestCase):
-    async def test_runs_one_after_the_other_share_a_connection(self):
-        """Symptom: engines log resets, and each run opens a connection. Sequence:
-        the end marker comes, the reader leaves, the last chunk of the body comes.
-        Cause: a response that was left before its end cannot be used again."""
+    async def test_consecutive_runs_reuse_a_connection(self):
+        """Guards against a new connection for each run and reset errors in engine logs.
+
+        The reader stopped at the end marker, before the last chunk of the body. The
+        connection of an incompletely read response cannot be reused.
+        """
         opened = []
 
         async def count(session, context, params):
--- a/tests/upstreams/test_service_http.py
+++ b/tests/upstreams/test_service_http.py
@@ -1,4 +1,4 @@
-"""The client of plain services against the stand-in over real sockets."""
+"""Tests of the client of plain services against the stand-in over real sockets."""
 
 import unittest
 
@@ -25,12 +25,12 @@
         reply = await self.service.call(self.call(may_send=lambda: True))
         self.assertEqual(reply.body, b"POST /revisions/7\nr7")
 
-    async def test_call_stays_back_when_its_permit_ran_out(self):
+    async def test_call_is_withheld_when_its_permit_has_expired(self):
         result = await self.service.call(self.call(may_send=lambda: False))
         self.assertEqual((type(result), result.may_have_run), (Broken, False))
         self.assertEqual(self.server.bodies, [])
 
-    async def test_reply_to_another_run_is_not_this_calls(self):
+    async def test_reply_to_another_run_is_not_accepted(self):
         self.server.faults.crossed_replies = 1
         result = await self.service.call(self.call())
         self.assertEqual((type(result), result.may_have_run), (Broken, True))
@@ -40,9 +40,12 @@
         self.assertIsInstance(await self.service.call(self.call()), Refused)
         self.assertEqual(self.server.bodies, [])
 
-    async def test_redirect_is_passed_on_and_not_followed(self):
-        """Symptom: a revision is recorded twice. Sequence: a service answers a call
-        with 307. Cause: the library sent the body again to the new address."""
+    async def test_redirect_is_returned_and_not_followed(self):
+        """Guards against a revision that is recorded twice.
+
+        A service answered a call with status 307, and the HTTP library sent the body
+        again to the new address.
+        """
         self.server.faults.redirects = 1
         reply = await self.service.call(self.call())
         self.assertEqual(reply.status, 307)
