--- a/fireflyward/admin/__init__.py
+++ b/fireflyward/admin/__init__.py
@@ -1,7 +1,7 @@
 """The administration API: it submits, checks, shows and signs, nothing else."""
 
 from ._app import build_admin_app
-from ._auth import RequestJudge, sign_request
+from ._auth import RequestAuthenticator, sign_request
 from ._client import AdminClient, AdminFailed
 from ._desk import BundleDesk, ServingNode
 from ._messages import (
@@ -32,7 +32,7 @@
     "Proposal",
     "ProposalBook",
     "ProposalsReply",
-    "RequestJudge",
+    "RequestAuthenticator",
     "ServingNode",
     "StatusReply",
     "SubmitOutcome",
--- a/fireflyward/admin/_app.py
+++ b/fireflyward/admin/_app.py
@@ -10,7 +10,7 @@
 from fireflyward.bundles import SignedBundle, decode_signed, encode_signed
 from fireflyward.clock import Clock
 
-from ._auth import RequestJudge
+from ._auth import RequestAuthenticator
 from ._desk import BundleDesk
 from ._messages import About, ErrorReply
 from ._proposals import ProposalBook
@@ -37,7 +37,7 @@
         self,
         desk: BundleDesk,
         proposals: ProposalBook,
-        judge: RequestJudge,
+        judge: RequestAuthenticator,
         node_name: str,
         clock: Clock,
     ) -> None:
@@ -131,7 +131,7 @@
     desk: BundleDesk,
     proposals: ProposalBook,
     *,
-    judge: RequestJudge,
+    judge: RequestAuthenticator,
     node_name: str,
     clock: Clock,
 ) -> web.Application:
--- a/fireflyward/admin/_auth.py
+++ b/fireflyward/admin/_auth.py
@@ -41,7 +41,7 @@
     }
 
 
-class RequestJudge:
+class RequestAuthenticator:
     """Tells who signed a request, and refuses one that came before.
 
     A request names the node that it is for, so one that was listened to cannot
--- a/fireflyward/daemon/_admin_duty.py
+++ b/fireflyward/daemon/_admin_duty.py
@@ -4,7 +4,12 @@
 
 from aiohttp import web
 
-from fireflyward.admin import BundleDesk, ProposalBook, RequestJudge, build_admin_app
+from fireflyward.admin import (
+    BundleDesk,
+    ProposalBook,
+    RequestAuthenticator,
+    build_admin_app,
+)
 from fireflyward.backing import Objects, Table, Weights
 from fireflyward.bundles import BundleStore, root_people
 from fireflyward.clock import Clock
@@ -44,7 +49,7 @@
         self._app = build_admin_app(
             desk,
             proposals,
-            judge=RequestJudge(settings["deployment"], settings["node_name"]),
+            judge=RequestAuthenticator(settings["deployment"], settings["node_name"]),
             node_name=settings["node_name"],
             clock=clock,
         )
--- a/tests/admin/test_auth.py
+++ b/tests/admin/test_auth.py
@@ -1,6 +1,6 @@
 import unittest
 
-from fireflyward.admin import ErrorReply, RequestJudge, sign_request
+from fireflyward.admin import ErrorReply, RequestAuthenticator, sign_request
 from tests.bundles.makers import ANA, BRUNO, ROOTS, TRUST, person
 
 NOW_MS = 1_800_000_000_000
@@ -8,7 +8,7 @@
 
 class JudgeTests(unittest.TestCase):
     def setUp(self):
-        self.judge = RequestJudge("demo", "entry-1")
+        self.judge = RequestAuthenticator("demo", "entry-1")
 
     def headers(self, key=ANA, wall_ms=NOW_MS, **changed):
         fields = {
