--- a/fireflyward/admin/__init__.py
+++ b/fireflyward/admin/__init__.py
@@ -3,7 +3,7 @@
 from ._app import build_admin_app
 from ._auth import RequestAuthenticator, sign_request
 from ._client import AdminClient, AdminFailed
-from ._desk import BundleDesk, ServingNode
+from ._desk import BundleAdmin, ServingNode
 from ._messages import (
     About,
     CheckReply,
@@ -23,7 +23,7 @@
     "About",
     "AdminClient",
     "AdminFailed",
-    "BundleDesk",
+    "BundleAdmin",
     "CheckReply",
     "ErrorReply",
     "HistoryReply",
--- a/fireflyward/admin/_app.py
+++ b/fireflyward/admin/_app.py
@@ -11,7 +11,7 @@
 from fireflyward.clock import Clock
 
 from ._auth import RequestAuthenticator
-from ._desk import BundleDesk
+from ._desk import BundleAdmin
 from ._messages import About, ErrorReply
 from ._proposals import ProposalBook
 
@@ -35,7 +35,7 @@
 class _AdminApi:
     def __init__(
         self,
-        desk: BundleDesk,
+        desk: BundleAdmin,
         proposals: ProposalBook,
         judge: RequestAuthenticator,
         node_name: str,
@@ -128,7 +128,7 @@
 
 
 def build_admin_app(
-    desk: BundleDesk,
+    desk: BundleAdmin,
     proposals: ProposalBook,
     *,
     judge: RequestAuthenticator,
--- a/fireflyward/admin/_desk.py
+++ b/fireflyward/admin/_desk.py
@@ -65,7 +65,7 @@
         """Ask every known node which number it serves by."""
 
 
-class BundleDesk:
+class BundleAdmin:
     """Checks, plans, submits and shows; every answer is a value.
 
     It can do nothing that a signed bundle does not say: the only write that
--- a/fireflyward/daemon/_admin_duty.py
+++ b/fireflyward/daemon/_admin_duty.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from fireflyward.admin import (
-    BundleDesk,
+    BundleAdmin,
     ProposalBook,
     RequestAuthenticator,
     build_admin_app,
@@ -38,7 +38,7 @@
         self._wanted_port = settings["admin_port"]
         self._runner: web.AppRunner | None = None
         store = BundleStore(table, objects, clock=clock)
-        desk = BundleDesk(
+        desk = BundleAdmin(
             deployment=settings["deployment"],
             node=bundles,
             store=store,
--- a/tests/admin/test_desk.py
+++ b/tests/admin/test_desk.py
@@ -1,6 +1,6 @@
 import unittest
 
-from fireflyward.admin import BundleDesk, SubmitOutcome
+from fireflyward.admin import BundleAdmin, SubmitOutcome
 from fireflyward.backing import Uncertain
 from fireflyward.bundles import (
     BundleLoader,
@@ -60,7 +60,7 @@
         self.desk = self.make_desk()
 
     def make_desk(self):
-        return BundleDesk(
+        return BundleAdmin(
             deployment=DEPLOYMENT,
             node=FakeNode(self.store),
             store=self.store,
