--- a/fireflyward/admin/__init__.py
+++ b/fireflyward/admin/__init__.py
@@ -17,7 +17,7 @@
     SubmitOutcome,
     SubmitReply,
 )
-from ._proposals import ProposalBook
+from ._proposals import ProposalStore
 
 __all__ = [
     "About",
@@ -30,7 +30,7 @@
     "PlanReply",
     "Problem",
     "Proposal",
-    "ProposalBook",
+    "ProposalStore",
     "ProposalsReply",
     "RequestAuthenticator",
     "ServingNode",
--- a/fireflyward/admin/_app.py
+++ b/fireflyward/admin/_app.py
@@ -13,7 +13,7 @@
 from ._auth import RequestAuthenticator
 from ._desk import BundleAdmin
 from ._messages import About, ErrorReply
-from ._proposals import ProposalBook
+from ._proposals import ProposalStore
 
 log = logging.getLogger("fireflyward.admin")
 
@@ -36,7 +36,7 @@
     def __init__(
         self,
         desk: BundleAdmin,
-        proposals: ProposalBook,
+        proposals: ProposalStore,
         judge: RequestAuthenticator,
         node_name: str,
         clock: Clock,
@@ -129,7 +129,7 @@
 
 def build_admin_app(
     desk: BundleAdmin,
-    proposals: ProposalBook,
+    proposals: ProposalStore,
     *,
     judge: RequestAuthenticator,
     node_name: str,
--- a/fireflyward/admin/_proposals.py
+++ b/fireflyward/admin/_proposals.py
@@ -22,7 +22,7 @@
 _MOST_PROPOSALS = 100
 
 
-class ProposalBook:
+class ProposalStore:
     """Keeps proposals: a short row in the table, the bytes in the object store.
 
     A proposal has no effect. It spares colleagues from sending files about; what
--- a/fireflyward/daemon/_admin_duty.py
+++ b/fireflyward/daemon/_admin_duty.py
@@ -6,7 +6,7 @@
 
 from fireflyward.admin import (
     BundleAdmin,
-    ProposalBook,
+    ProposalStore,
     RequestAuthenticator,
     build_admin_app,
 )
@@ -45,7 +45,9 @@
             weights=weights,
             roots=root_people(dict(settings["trust_roots"])),
         )
-        proposals = ProposalBook(store=store, table=table, objects=objects, clock=clock)
+        proposals = ProposalStore(
+            store=store, table=table, objects=objects, clock=clock
+        )
         self._app = build_admin_app(
             desk,
             proposals,
--- a/tests/admin/test_proposals.py
+++ b/tests/admin/test_proposals.py
@@ -1,6 +1,6 @@
 import unittest
 
-from fireflyward.admin import ErrorReply, ProposalBook
+from fireflyward.admin import ErrorReply, ProposalStore
 from fireflyward.bundles import BundleStore, draft, sign_bundle, with_author
 from fireflyward.clock import ManualClock
 from fireflyward.standins import MemoryObjects, MemoryTable
@@ -12,7 +12,7 @@
         self.table, self.objects = MemoryTable(), MemoryObjects()
         clock = ManualClock()
         self.store = BundleStore(self.table, self.objects, clock=clock)
-        self.book = ProposalBook(
+        self.book = ProposalStore(
             store=self.store, table=self.table, objects=self.objects, clock=clock
         )
         self.signed = with_author(draft(bundle(), author="ana"), ANA)
