--- a/fireflyward/admin/_app.py
+++ b/fireflyward/admin/_app.py
@@ -35,15 +35,15 @@
 class _AdminApi:
     def __init__(
         self,
-        desk: BundleAdmin,
+        bundle_admin: BundleAdmin,
         proposals: ProposalStore,
-        judge: RequestAuthenticator,
+        authenticator: RequestAuthenticator,
         node_name: str,
         clock: Clock,
     ) -> None:
-        self._desk = desk
+        self._desk = bundle_admin
         self._proposals = proposals
-        self._judge = judge
+        self._judge = authenticator
         self._node_name = node_name
         self._clock = clock
 
@@ -128,15 +128,15 @@
 
 
 def build_admin_app(
-    desk: BundleAdmin,
+    bundle_admin: BundleAdmin,
     proposals: ProposalStore,
     *,
-    judge: RequestAuthenticator,
+    authenticator: RequestAuthenticator,
     node_name: str,
     clock: Clock,
 ) -> web.Application:
     """Return the application that operators' commands talk to."""
-    api = _AdminApi(desk, proposals, judge, node_name, clock)
+    api = _AdminApi(bundle_admin, proposals, authenticator, node_name, clock)
     app = web.Application(client_max_size=_LARGEST_BODY, middlewares=[api.identify])
     app.router.add_get(ABOUT_PATH, api.about)
     app.router.add_post("/v1/check", api.check)
--- a/fireflyward/daemon/_admin_duty.py
+++ b/fireflyward/daemon/_admin_duty.py
@@ -38,7 +38,7 @@
         self._wanted_port = settings["admin_port"]
         self._runner: web.AppRunner | None = None
         store = BundleStore(table, objects, clock=clock)
-        desk = BundleAdmin(
+        bundle_admin = BundleAdmin(
             deployment=settings["deployment"],
             node=bundles,
             store=store,
@@ -49,9 +49,11 @@
             store=store, table=table, objects=objects, clock=clock
         )
         self._app = build_admin_app(
-            desk,
+            bundle_admin,
             proposals,
-            judge=RequestAuthenticator(settings["deployment"], settings["node_name"]),
+            authenticator=RequestAuthenticator(
+                settings["deployment"], settings["node_name"]
+            ),
             node_name=settings["node_name"],
             clock=clock,
         )
--- a/tests/admin/test_desk.py
+++ b/tests/admin/test_desk.py
@@ -57,7 +57,7 @@
         self.table = MemoryTable()
         self.store = BundleStore(self.table, MemoryObjects(), clock=QuickClock())
         self.weights = MemoryWeights({"clauses": ("v1", "v2")})
-        self.desk = self.make_desk()
+        self.bundle_admin = self.make_desk()
 
     def make_desk(self):
         return BundleAdmin(
@@ -68,15 +68,15 @@
             roots=ROOTS,
         )
 
-    def base(self, desk=None):
-        return (desk or self.desk)._node.current
+    def base(self, bundle_admin=None):
+        return (bundle_admin or self.bundle_admin)._node.current
 
-    async def submit(self, following, author=ANA, approver=BRUNO, desk=None):
-        desk = desk or self.desk
+    async def submit(self, following, author=ANA, approver=BRUNO, bundle_admin=None):
+        bundle_admin = bundle_admin or self.bundle_admin
         signed = sign_bundle(
-            following, author=author, approver=approver, base=self.base(desk)
+            following, author=author, approver=approver, base=self.base(bundle_admin)
         )
-        return await desk.submit(signed)
+        return await bundle_admin.submit(signed)
 
     def assert_outcome(self, reply, outcome, *codes):
         self.assertEqual(reply.outcome, outcome, reply)
@@ -88,7 +88,7 @@
         self.assert_outcome(await self.submit(bundle()), SubmitOutcome.ACCEPTED)
         following = bundle(2, ("bridge-team",))
         self.assert_outcome(await self.submit(following), SubmitOutcome.ACCEPTED)
-        self.assertEqual(self.desk.number(), 2)
+        self.assertEqual(self.bundle_admin.number(), 2)
 
     async def test_refusals_carry_their_code_and_write_nothing(self):
         await self.submit(bundle())
@@ -144,10 +144,12 @@
     async def test_submitting_the_same_again_says_accepted(self):
         signed = sign_bundle(bundle(), author=ANA, approver=BRUNO)
         for _ in range(2):
-            reply = await self.desk.submit(signed)
+            reply = await self.bundle_admin.submit(signed)
             self.assert_outcome(reply, SubmitOutcome.ACCEPTED)
         await self.submit(bundle(2, ("bridge-team",)))
-        self.assert_outcome(await self.desk.submit(signed), SubmitOutcome.ACCEPTED)
+        self.assert_outcome(
+            await self.bundle_admin.submit(signed), SubmitOutcome.ACCEPTED
+        )
 
     async def test_answer_that_stays_lost_is_told_and_settled_by_asking_again(self):
         real, signed = (
@@ -159,34 +161,38 @@
             return Uncertain("answer lost")
 
         self.table.commit = lose
-        reply = await self.desk.submit(signed)
+        reply = await self.bundle_admin.submit(signed)
         self.assert_outcome(reply, SubmitOutcome.UNCERTAIN)
         self.table.commit = real
-        self.assert_outcome(await self.desk.submit(signed), SubmitOutcome.ACCEPTED)
+        self.assert_outcome(
+            await self.bundle_admin.submit(signed), SubmitOutcome.ACCEPTED
+        )
 
     async def test_table_away_is_told_as_not_accepted(self):
         signed = sign_bundle(bundle(), author=ANA, approver=BRUNO)
         self.table.away = True
-        self.assert_outcome(await self.desk.submit(signed), SubmitOutcome.UNAVAILABLE)
+        self.assert_outcome(
+            await self.bundle_admin.submit(signed), SubmitOutcome.UNAVAILABLE
+        )
 
 
 class ShowTests(DeskTestCase):
     async def test_check_names_every_problem(self):
         await self.submit(bundle())
         ready = to_toml(bundle(2))
-        self.assertEqual((await self.desk.check(ready)).problems, ())
-        stale = await self.desk.check(to_toml(bundle(1)))
+        self.assertEqual((await self.bundle_admin.check(ready)).problems, ())
+        stale = await self.bundle_admin.check(to_toml(bundle(1)))
         self.assertEqual([item.code for item in stale.problems], ["other_base"])
-        wrong = await self.desk.check(ready.replace('"v1"', '"v9"'))
+        wrong = await self.bundle_admin.check(ready.replace('"v1"', '"v9"'))
         self.assertEqual(
             [item.field for item in wrong.problems], ["models.clauses.version"]
         )
-        self.assertTrue((await self.desk.check("number = true")).problems)
+        self.assertTrue((await self.bundle_admin.check("number = true")).problems)
 
     async def test_plan_of_a_draft_needs_no_signature(self):
         await self.submit(bundle())
         drafted = draft(bundle(2, ("bridge-team",)), author="ana", base=self.base())
-        reply = await self.desk.plan(with_author(drafted, ANA))
+        reply = await self.bundle_admin.plan(with_author(drafted, ANA))
         self.assertEqual(reply.problems, ())
         self.assertTrue(any("tower-team" in item for item in reply.plan.dangers))
         self.assertEqual(len(reply.differences), 1)
@@ -195,15 +201,15 @@
         await self.submit(bundle())
         await self.submit(bundle(2, ("bridge-team",)))
         await self.submit(bundle(3))
-        second = await self.desk.at(2)
-        self.assertEqual(second.document, (await self.desk.at(2)).document)
-        heads = (await self.desk.history()).heads
+        second = await self.bundle_admin.at(2)
+        self.assertEqual(second.document, (await self.bundle_admin.at(2)).document)
+        heads = (await self.bundle_admin.history()).heads
         self.assertEqual([head.number for head in heads], [3, 2, 1])
 
     async def test_status_without_the_table_is_unconfirmed(self):
         await self.submit(bundle())
-        self.assertTrue((await self.desk.status()).is_confirmed)
+        self.assertTrue((await self.bundle_admin.status()).is_confirmed)
         self.table.away = True
-        status = await self.desk.status()
+        status = await self.bundle_admin.status()
         self.assertFalse(status.is_confirmed)
         self.assertEqual(status.number, 1)
