--- a/fireflyward/admin/__init__.py
+++ b/fireflyward/admin/__init__.py
@@ -2,8 +2,8 @@
 
 from ._app import build_admin_app
 from ._auth import RequestAuthenticator, sign_request
+from ._bundle_admin import BundleAdmin, ServingNode
 from ._client import AdminClient, AdminFailed
-from ._desk import BundleAdmin, ServingNode
 from ._messages import (
     About,
     CheckReply,
--- a/fireflyward/admin/_app.py
+++ b/fireflyward/admin/_app.py
@@ -11,7 +11,7 @@
 from fireflyward.clock import Clock
 
 from ._auth import RequestAuthenticator
-from ._desk import BundleAdmin
+from ._bundle_admin import BundleAdmin
 from ._messages import About, ErrorReply
 from ._proposals import ProposalStore
 
