--- a/fireflyward/admin/_bundle_admin.py
+++ b/fireflyward/admin/_bundle_admin.py
@@ -58,7 +58,9 @@
     async def catch_up(self, number: int) -> bool:
         """Wait shortly for a number that is known to be accepted."""
 
-    def take(self, state: BundleState, changes: tuple[SignedBundle, ...]) -> None:
+    def apply_state(
+        self, state: BundleState, changes: tuple[SignedBundle, ...]
+    ) -> None:
         """Serve by a bundle that was accepted through this node."""
 
     async def node_statuses(self) -> tuple[NodeStatus, ...]:
@@ -159,7 +161,7 @@
             )
         result = await self._store.accept(after.bundle, signed, base=base)
         if isinstance(result, Committed):
-            self._node.take(after, (signed,))
+            self._node.apply_state(after, (signed,))
             return SubmitReply(SubmitOutcome.ACCEPTED, after.number, after.digest)
         return await self._not_accepted(result, signed, statement)
 
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -197,7 +197,9 @@
             refused=str(self.refused or ""),
         )
 
-    def take(self, state: BundleState, changes: tuple[SignedBundle, ...] = ()) -> None:
+    def apply_state(
+        self, state: BundleState, changes: tuple[SignedBundle, ...] = ()
+    ) -> None:
         """Serve by a verified state from now on, unless it is not newer."""
         if self.shelf.state is not None and state.number <= self.shelf.state.number:
             return
@@ -310,7 +312,7 @@
 
     def _take_or_fail(self, loaded: object) -> None:
         if isinstance(loaded, Loaded):
-            self.take(loaded.state, loaded.changes)
+            self.apply_state(loaded.state, loaded.changes)
             return
         if isinstance(loaded, BundleError) and loaded != self.refused:
             self.refused = loaded
--- a/tests/admin/test_bundle_admin.py
+++ b/tests/admin/test_bundle_admin.py
@@ -45,7 +45,7 @@
             self.current = loaded.state
         return isinstance(loaded, Loaded)
 
-    def take(self, state, changes):
+    def apply_state(self, state, changes):
         self.current = state
 
     async def node_statuses(self):
