--- a/fireflyward/admin/_app.py
+++ b/fireflyward/admin/_app.py
@@ -99,8 +99,8 @@
     async def current(self, request: web.Request) -> web.Response:
         return _reply(await self._desk.current())
 
-    async def at(self, request: web.Request) -> web.Response:
-        return _reply(await self._desk.at(int(request.match_info["number"])))
+    async def bundle_at(self, request: web.Request) -> web.Response:
+        return _reply(await self._desk.bundle_at(int(request.match_info["number"])))
 
     async def history(self, request: web.Request) -> web.Response:
         return _reply(await self._desk.history())
@@ -143,7 +143,7 @@
     app.router.add_post("/v1/plan", api.plan)
     app.router.add_post("/v1/submit", api.submit)
     app.router.add_get("/v1/bundle", api.current)
-    app.router.add_get(r"/v1/bundle/{number:\d{1,12}}", api.at)
+    app.router.add_get(r"/v1/bundle/{number:\d{1,12}}", api.bundle_at)
     app.router.add_get("/v1/history", api.history)
     app.router.add_get("/v1/status", api.status)
     app.router.add_post("/v1/proposals", api.propose)
--- a/fireflyward/admin/_bundle_admin.py
+++ b/fireflyward/admin/_bundle_admin.py
@@ -180,7 +180,7 @@
             return ErrorReply("no_bundle", "no bundle is in force yet")
         return state.snapshot()
 
-    async def at(self, number: int) -> SignedBundle | ErrorReply:
+    async def bundle_at(self, number: int) -> SignedBundle | ErrorReply:
         """Return an earlier bundle with all its parts."""
         state = await self._state_at(number)
         return state if isinstance(state, ErrorReply) else state.snapshot()
--- a/fireflyward/admin/_client.py
+++ b/fireflyward/admin/_client.py
@@ -80,7 +80,7 @@
         """Return the bundle in force, whole."""
         return await self._call("GET", "/v1/bundle", SignedBundle)
 
-    async def at(self, number: int) -> SignedBundle | AdminFailed:
+    async def bundle_at(self, number: int) -> SignedBundle | AdminFailed:
         """Return an earlier bundle, whole."""
         return await self._call("GET", f"/v1/bundle/{number}", SignedBundle)
 
--- a/fireflyward/commands/_bundle_work.py
+++ b/fireflyward/commands/_bundle_work.py
@@ -174,7 +174,7 @@
     Who may sign is not reverted: that would bring back keys that were revoked.
     """
     number = session.options.number
-    earlier = _opened(_answered(await session.client.at(number)))
+    earlier = _opened(_answered(await session.client.bundle_at(number)))
     base = await session.base()
     if base is None:
         raise _Stopped(EXIT_USAGE, "no bundle is in force yet")
--- a/tests/admin/test_bundle_admin.py
+++ b/tests/admin/test_bundle_admin.py
@@ -201,8 +201,10 @@
         await self.submit(bundle())
         await self.submit(bundle(2, ("bridge-team",)))
         await self.submit(bundle(3))
-        second = await self.bundle_admin.at(2)
-        self.assertEqual(second.document, (await self.bundle_admin.at(2)).document)
+        second = await self.bundle_admin.bundle_at(2)
+        self.assertEqual(
+            second.document, (await self.bundle_admin.bundle_at(2)).document
+        )
         heads = (await self.bundle_admin.history()).heads
         self.assertEqual([head.number for head in heads], [3, 2, 1])
 
