--- a/fireflyward/admin/__init__.py
+++ b/fireflyward/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The administration API: it submits, checks, shows and signs, nothing else."""
+"""The administration API: operators check, sign, submit and view bundles."""
 
 from ._app import build_admin_app
 from ._auth import RequestAuthenticator, sign_request
--- a/fireflyward/admin/_app.py
+++ b/fireflyward/admin/_app.py
@@ -1,4 +1,4 @@
-"""The administration API over HTTP, on a port of its own."""
+"""The HTTP server of the administration API, which has its own port."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -18,9 +18,9 @@
 log = logging.getLogger("fireflyward.admin")
 
 JSON = "application/json"
-PACKED = "application/msgpack"
+MSGPACK = "application/msgpack"
 ABOUT_PATH = "/v1/about"
-_LARGEST_BODY = 64 << 20
+_MAX_BODY_BYTES = 64 << 20
 _PERSON: web.RequestKey[str] = web.RequestKey("person", str)
 _STATUS_BY_CODE = {
     "platform_away": 503,
@@ -41,49 +41,55 @@
         node_name: str,
         clock: Clock,
     ) -> None:
-        self._desk = bundle_admin
+        self._bundle_admin = bundle_admin
         self._proposals = proposals
-        self._judge = authenticator
+        self._authenticator = authenticator
         self._node_name = node_name
         self._clock = clock
 
     @web.middleware
-    async def identify(
+    async def authenticate(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Refuse every request that no known person signed."""
+        """Reject every request that is not signed by a known person."""
         if request.path == ABOUT_PATH:
             return await handler(request)
-        person = self._judge.judge(
+        person = self._authenticator.authenticate(
             wall_ms=self._clock.wall_ms(),
             method=request.method,
             target=request.path_qs,
             headers=request.headers,
             body=await request.read(),
-            people=self._desk.people(),
+            people=self._bundle_admin.people(),
         )
         if isinstance(person, ErrorReply):
             log.warning("admin: %s refused, %s", request.path, person.detail)
-            return _json(person, 401)
+            return _json_response(person, 401)
         request[_PERSON] = person
         return await handler(request)
 
     async def about(self, request: web.Request) -> web.Response:
-        return _json(About(self._desk.deployment, self._node_name, self._desk.number()))
+        return _json_response(
+            About(
+                self._bundle_admin.deployment,
+                self._node_name,
+                self._bundle_admin.number(),
+            )
+        )
 
     async def check(self, request: web.Request) -> web.Response:
         try:
             text = (await request.read()).decode()
         except UnicodeDecodeError as error:
-            return _reply(ErrorReply("unreadable", str(error)))
-        return _reply(await self._desk.check(text))
+            return _make_response(ErrorReply("unreadable", str(error)))
+        return _make_response(await self._bundle_admin.check(text))
 
     async def plan(self, request: web.Request) -> web.Response:
-        return await self._with_signed(request, self._desk.plan)
+        return await self._call_with_bundle(request, self._bundle_admin.plan)
 
     async def submit(self, request: web.Request) -> web.Response:
         async def submit(signed: SignedBundle) -> Any:
-            result = await self._desk.submit(signed)
+            result = await self._bundle_admin.submit(signed)
             log.info(
                 "admin: bundle %d by %s: %s",
                 result.number,
@@ -94,37 +100,39 @@
                 await self._proposals.clear(result.number)
             return result
 
-        return await self._with_signed(request, submit)
+        return await self._call_with_bundle(request, submit)
 
     async def current(self, request: web.Request) -> web.Response:
-        return _reply(await self._desk.current())
+        return _make_response(await self._bundle_admin.current())
 
     async def bundle_at(self, request: web.Request) -> web.Response:
-        return _reply(await self._desk.bundle_at(int(request.match_info["number"])))
+        return _make_response(
+            await self._bundle_admin.bundle_at(int(request.match_info["number"]))
+        )
 
     async def history(self, request: web.Request) -> web.Response:
-        return _reply(await self._desk.history())
+        return _make_response(await self._bundle_admin.history())
 
     async def status(self, request: web.Request) -> web.Response:
-        return _reply(await self._desk.status())
+        return _make_response(await self._bundle_admin.status())
 
     async def propose(self, request: web.Request) -> web.Response:
-        return await self._with_signed(request, self._proposals.add)
+        return await self._call_with_bundle(request, self._proposals.add)
 
     async def proposals(self, request: web.Request) -> web.Response:
-        return _reply(await self._proposals.all(self._desk.people()))
+        return _make_response(await self._proposals.all(self._bundle_admin.people()))
 
     async def proposal(self, request: web.Request) -> web.Response:
-        return _reply(await self._proposals.get(request.match_info["digest"]))
+        return _make_response(await self._proposals.get(request.match_info["digest"]))
 
-    async def _with_signed(
-        self, request: web.Request, work: Callable[[SignedBundle], Awaitable[Any]]
+    async def _call_with_bundle(
+        self, request: web.Request, operation: Callable[[SignedBundle], Awaitable[Any]]
     ) -> web.Response:
         try:
             signed = decode_signed(await request.read())
         except msgspec.DecodeError as error:
-            return _reply(ErrorReply("unreadable", str(error)))
-        return _reply(await work(signed))
+            return _make_response(ErrorReply("unreadable", str(error)))
+        return _make_response(await operation(signed))
 
 
 def build_admin_app(
@@ -135,9 +143,11 @@
     node_name: str,
     clock: Clock,
 ) -> web.Application:
-    """Return the application that operators' commands talk to."""
+    """Return the web application for the requests of operators' commands."""
     api = _AdminApi(bundle_admin, proposals, authenticator, node_name, clock)
-    app = web.Application(client_max_size=_LARGEST_BODY, middlewares=[api.identify])
+    app = web.Application(
+        client_max_size=_MAX_BODY_BYTES, middlewares=[api.authenticate]
+    )
     app.router.add_get(ABOUT_PATH, api.about)
     app.router.add_post("/v1/check", api.check)
     app.router.add_post("/v1/plan", api.plan)
@@ -152,15 +162,15 @@
     return app
 
 
-def _reply(value: Any) -> web.Response:
+def _make_response(value: Any) -> web.Response:
     if isinstance(value, SignedBundle):
-        return web.Response(body=encode_signed(value), content_type=PACKED)
+        return web.Response(body=encode_signed(value), content_type=MSGPACK)
     if isinstance(value, ErrorReply):
-        return _json(value, _STATUS_BY_CODE.get(value.code, 409))
-    return _json(value)
+        return _json_response(value, _STATUS_BY_CODE.get(value.code, 409))
+    return _json_response(value)
 
 
-def _json(value: Any, status: int = 200) -> web.Response:
+def _json_response(value: Any, status: int = 200) -> web.Response:
     return web.Response(
         body=msgspec.json.encode(value), status=status, content_type=JSON
     )
--- a/fireflyward/admin/_auth.py
+++ b/fireflyward/admin/_auth.py
@@ -1,4 +1,4 @@
-"""Requests to the administration API are signed by the operator's own key."""
+"""Signs and verifies administration requests with the operator's own key."""
 
 import hashlib
 import re
@@ -9,9 +9,9 @@
 
 from ._messages import ErrorReply
 
-_SEPARATOR = b"fireflyward admin 1"
-_MOST_SKEW_MS = 120_000
-_MOST_NONCES = 10_000
+_SIGNATURE_PREFIX = b"fireflyward admin 1"
+_MAX_SKEW_MS = 120_000
+_MAX_NONCES = 10_000
 _NONCE = re.compile(r"^[0-9a-f]{32}$")
 PERSON_HEADER = "X-Operator"
 TIME_HEADER = "X-Operator-Time"
@@ -29,10 +29,12 @@
     target: str,
     body: bytes,
 ) -> dict[str, str]:
-    """Return the headers that say who asks; ``target`` is the path with its query."""
+    """Return the authentication headers; ``target`` is the path with its query."""
     nonce = secrets.token_hex(16)
     time_text = str(wall_ms)
-    message = _message(deployment, node_name, method, target, time_text, nonce, body)
+    message = _signed_message(
+        deployment, node_name, method, target, time_text, nonce, body
+    )
     return {
         PERSON_HEADER: key.person,
         TIME_HEADER: time_text,
@@ -42,25 +44,25 @@
 
 
 class RequestAuthenticator:
-    """Tells who signed a request, and refuses one that came before.
+    """Identifies the person who signed a request and rejects replayed requests.
 
-    A request names the node that it is for, so one that was listened to cannot
-    be sent to another node; this one remembers it for as long as its time is
-    accepted. After a restart it could be repeated within that time, which shows
-    or submits the same thing again.
+    The signature covers the name of the node, so a recorded request cannot be
+    replayed to another node. This node remembers the nonce of a request for as long
+    as its timestamp is accepted. After a restart of the node the request could be
+    replayed within that time, which only shows or submits the same thing again.
     """
 
-    __slots__ = ("_deployment", "_ends_by_nonce", "_node_name")
+    __slots__ = ("_deployment", "_expiry_ms_by_nonce", "_node_name")
 
     def __init__(self, deployment: str, node_name: str) -> None:
         self._deployment = deployment
         self._node_name = node_name
-        self._ends_by_nonce: dict[str, int] = {}
+        self._expiry_ms_by_nonce: dict[str, int] = {}
 
     def __repr__(self) -> str:
-        return f"RequestJudge({self._node_name!r})"
+        return f"RequestAuthenticator({self._node_name!r})"
 
-    def judge(
+    def authenticate(
         self,
         *,
         wall_ms: int,
@@ -70,46 +72,57 @@
         body: bytes,
         people: Mapping[str, Person],
     ) -> str | ErrorReply:
-        """Return the person's name, or why the request is refused."""
+        """Return the person's name, or why the request is rejected."""
         person = headers.get(PERSON_HEADER, "")
         time_text = headers.get(TIME_HEADER, "")
         nonce = headers.get(NONCE_HEADER, "")
         if not time_text.isascii() or not time_text.isdigit() or len(time_text) > 15:
-            return ErrorReply("not_signed", f"{TIME_HEADER}: milliseconds since 1970")
+            return ErrorReply(
+                "not_signed", f"{TIME_HEADER} must be milliseconds since 1970"
+            )
         if not _NONCE.match(nonce):
-            return ErrorReply("not_signed", f"{NONCE_HEADER}: 32 hexadecimal digits")
-        message = _message(
+            return ErrorReply(
+                "not_signed", f"{NONCE_HEADER} must be 32 hexadecimal digits"
+            )
+        message = _signed_message(
             self._deployment, self._node_name, method, target, time_text, nonce, body
         )
-        key = key_error(person, _signature(headers), message, people)
-        if isinstance(key, BundleError):
-            return ErrorReply(key.code, key.detail)
-        if abs(wall_ms - int(time_text)) > _MOST_SKEW_MS:
+        error = key_error(person, _read_signature(headers), message, people)
+        if isinstance(error, BundleError):
+            return ErrorReply(error.code, error.detail)
+        if abs(wall_ms - int(time_text)) > _MAX_SKEW_MS:
             seconds = (wall_ms - int(time_text)) / 1_000
-            detail = f"the request's clock is {seconds:.0f} s from this node's"
+            detail = f"the request's time differs by {seconds:.0f} s from this node's"
             return ErrorReply("wrong_time", detail)
         if not self._is_new(nonce, wall_ms):
-            return ErrorReply("repeated", "this very request came before")
+            return ErrorReply("repeated", "this request was already received")
         return person
 
     def _is_new(self, nonce: str, wall_ms: int) -> bool:
-        ended = [kept for kept, ends in self._ends_by_nonce.items() if ends < wall_ms]
-        for kept in ended:
-            del self._ends_by_nonce[kept]
-        if nonce in self._ends_by_nonce or len(self._ends_by_nonce) >= _MOST_NONCES:
+        expired = [
+            old
+            for old, expiry_ms in self._expiry_ms_by_nonce.items()
+            if expiry_ms < wall_ms
+        ]
+        for old in expired:
+            del self._expiry_ms_by_nonce[old]
+        if (
+            nonce in self._expiry_ms_by_nonce
+            or len(self._expiry_ms_by_nonce) >= _MAX_NONCES
+        ):
             return False
-        self._ends_by_nonce[nonce] = wall_ms + 2 * _MOST_SKEW_MS
+        self._expiry_ms_by_nonce[nonce] = wall_ms + 2 * _MAX_SKEW_MS
         return True
 
 
-def _signature(headers: Mapping[str, str]) -> bytes:
+def _read_signature(headers: Mapping[str, str]) -> bytes:
     try:
         return bytes.fromhex(headers.get(SIGNATURE_HEADER, ""))
     except ValueError:
         return b""
 
 
-def _message(
+def _signed_message(
     deployment: str,
     node_name: str,
     method: str,
@@ -121,5 +134,5 @@
     fields = (deployment, node_name, method, target, time_text, nonce)
     digest = hashlib.sha256(body).hexdigest()
     return b"\n".join(
-        [_SEPARATOR, *(field.encode() for field in fields), digest.encode()]
+        [_SIGNATURE_PREFIX, *(field.encode() for field in fields), digest.encode()]
     )
--- a/fireflyward/admin/_bundle_admin.py
+++ b/fireflyward/admin/_bundle_admin.py
@@ -1,4 +1,4 @@
-"""What an operator may ask of a node about bundles, without HTTP."""
+"""Operators' requests about bundles, independent of HTTP."""
 
 import asyncio
 from collections.abc import Mapping
@@ -39,39 +39,39 @@
     StatusReply,
     SubmitOutcome,
     SubmitReply,
-    problem_of,
+    make_problem,
 )
 
 _RACE_CODES = ("replayed", "other_base")
 _RACED_DETAIL = (
-    "another bundle took this number first; fetch it, make your change on top of it "
-    "and have it signed again"
+    "another bundle was accepted first with this number; fetch it, apply your change "
+    "to it and have it signed again"
 )
 
 
 class ServingNode(Protocol):
-    """What the desk needs of the node around it."""
+    """The interface of the node that ``BundleAdmin`` uses."""
 
     def state(self) -> BundleState | None:
         """Return the bundle in force at this node."""
 
     async def catch_up(self, number: int) -> bool:
-        """Wait shortly for a number that is known to be accepted."""
+        """Wait a short time for a number that is known to be accepted."""
 
     def apply_state(
         self, state: BundleState, changes: tuple[SignedBundle, ...]
     ) -> None:
-        """Serve by a bundle that was accepted through this node."""
+        """Put a bundle that was accepted through this node in force."""
 
     async def node_statuses(self) -> tuple[NodeStatus, ...]:
-        """Ask every known node which number it serves by."""
+        """Request from every known node the number that is in force there."""
 
 
 class BundleAdmin:
-    """Checks, plans, submits and shows; every answer is a value.
+    """Checks, plans, submits and shows bundles; errors are returned, not raised.
 
-    It can do nothing that a signed bundle does not say: the only write that
-    changes anything is the acceptance of a bundle that two people signed.
+    The only write that changes the service is the acceptance of a bundle that two
+    people signed, so operators cannot change anything without a signed bundle.
     """
 
     def __init__(
@@ -90,68 +90,70 @@
         self._roots = roots
 
     def __repr__(self) -> str:
-        return f"BundleDesk({self.deployment!r})"
+        return f"BundleAdmin({self.deployment!r})"
 
     def people(self) -> Mapping[str, Person]:
-        """Return who may ask: the people of the bundle in force, or the roots."""
+        """Return who may send requests: the current bundle's people, or the roots."""
         state = self._node.state()
         return state.people if state else self._roots
 
     def number(self) -> int:
-        """Return the number in force at this node; 0 before the first."""
+        """Return the bundle number in force at this node, 0 before the first bundle."""
         state = self._node.state()
         return state.number if state else 0
 
     async def check(self, text: str) -> CheckReply:
-        """Check a bundle in TOML as its author has it, before any signature."""
+        """Check an unsigned bundle in TOML."""
         parsed = await asyncio.to_thread(parse_bundle, text)
         if not isinstance(parsed, Bundle):
-            return CheckReply(tuple(problem_of(error) for error in parsed))
+            return CheckReply(tuple(make_problem(error) for error in parsed))
         problems = []
         if parsed.deployment != self.deployment:
-            detail = f"this is {self.deployment!r}"
+            detail = f"this deployment is {self.deployment!r}"
             problems.append(Problem("other_deployment", "deployment", detail))
         warnings = []
-        await self._freshen()
+        await self._catch_up_with_head()
         if parsed.number != self.number() + 1:
             detail = f"the next number is {self.number() + 1}"
             problems.append(Problem("other_base", "number", detail))
         versions = await self._weights.versions()
         if isinstance(versions, Unavailable):
-            warnings.append("the weight store cannot be read: versions not checked")
+            warnings.append(
+                "the weight store is unavailable: versions were not checked"
+            )
         else:
             found = weight_errors(parsed, versions)
-            problems += [problem_of(error) for error in found]
+            problems += [make_problem(error) for error in found]
         return CheckReply(tuple(problems), tuple(warnings))
 
     async def plan(self, signed: SignedBundle) -> PlanReply:
-        """Tell what a draft or signed bundle would change, signatures aside."""
-        await self._freshen()
+        """Return what a draft or signed bundle would change; ignore its signatures."""
+        await self._catch_up_with_head()
         base = self._node.state()
         after = await asyncio.to_thread(
             read_state, signed, base, deployment=self.deployment
         )
         if isinstance(after, BundleError):
-            return PlanReply((problem_of(after),))
-        problems = await self._problems(after.bundle)
+            return PlanReply((make_problem(after),))
+        problems = await self._find_problems(after.bundle)
         old = base.bundle if base else None
         plan = await asyncio.to_thread(make_plan, old, after.bundle)
         differences = await asyncio.to_thread(diff, old, after.bundle)
         return PlanReply(tuple(problems), plan, differences)
 
     async def submit(self, signed: SignedBundle) -> SubmitReply:
-        """Accept a bundle that two people signed, if nobody else was first."""
+        """Accept a bundle that two people signed, unless its number is already used."""
         try:
             statement = statement_of(signed)
         except msgspec.DecodeError as error:
             problem = Problem("unreadable", "statement", str(error))
             return SubmitReply(SubmitOutcome.REFUSED, 0, "", problems=(problem,))
-        await self._freshen()
+        await self._catch_up_with_head()
         base = self._node.state()
         after = await self._verify(signed, base)
         if isinstance(after, BundleError):
-            return await self._refused(signed, statement, after)
-        problems = await self._problems(after.bundle)
+            return await self._handle_rejected(signed, statement, after)
+        problems = await self._find_problems(after.bundle)
         if problems:
             return SubmitReply(
                 SubmitOutcome.REFUSED,
@@ -163,7 +165,7 @@
         if isinstance(result, Committed):
             self._node.apply_state(after, (signed,))
             return SubmitReply(SubmitOutcome.ACCEPTED, after.number, after.digest)
-        return await self._not_accepted(result, signed, statement)
+        return await self._make_failure_reply(result, signed, statement)
 
     async def history(self) -> HistoryReply | ErrorReply:
         """Return the last accepted numbers, newest first."""
@@ -174,7 +176,7 @@
 
     async def current(self) -> SignedBundle | ErrorReply:
         """Return the bundle in force with all its parts."""
-        await self._freshen()
+        await self._catch_up_with_head()
         state = self._node.state()
         if state is None:
             return ErrorReply("no_bundle", "no bundle is in force yet")
@@ -182,15 +184,15 @@
 
     async def bundle_at(self, number: int) -> SignedBundle | ErrorReply:
         """Return an earlier bundle with all its parts."""
-        state = await self._state_at(number)
+        state = await self._load_state(number)
         return state if isinstance(state, ErrorReply) else state.snapshot()
 
     async def status(self) -> StatusReply:
-        """Tell which number is in force and how every known node stands to it."""
+        """Return the number in force and the status of every known node."""
         current = await self._store.head()
         state = self._node.state()
         is_confirmed = not isinstance(current, Unavailable)
-        head = current[0] if isinstance(current, tuple) else _head_of(state)
+        head = current[0] if isinstance(current, tuple) else _make_head(state)
         if head.number > self.number():
             await self._node.catch_up(head.number)
         nodes = await self._node.node_statuses()
@@ -205,8 +207,8 @@
             nodes,
         )
 
-    async def _freshen(self) -> None:
-        """Come up to the head first, so that nobody is judged by an old bundle."""
+    async def _catch_up_with_head(self) -> None:
+        """Load the latest bundle, so that no request is checked against an old one."""
         current = await self._store.head()
         if isinstance(current, tuple) and current[0].number > self.number():
             await self._node.catch_up(current[0].number)
@@ -220,36 +222,36 @@
             verify_whole, signed, (), roots=self._roots, deployment=self.deployment
         )
 
-    async def _problems(self, bundle: Bundle) -> list[Problem]:
+    async def _find_problems(self, bundle: Bundle) -> list[Problem]:
         errors = await asyncio.to_thread(lambda: list(cross_errors(bundle)))
         versions = await self._weights.versions()
         if isinstance(versions, Unavailable):
-            detail = "cannot be read, so that its versions are not known"
+            detail = "is unavailable, so its versions cannot be checked"
             return [Problem("platform_away", "weight store", detail)]
         errors += weight_errors(bundle, versions)
-        return [problem_of(error) for error in errors]
+        return [make_problem(error) for error in errors]
 
-    async def _refused(
+    async def _handle_rejected(
         self, signed: SignedBundle, statement: Statement, error: BundleError
     ) -> SubmitReply:
         digest = digest_of(signed.document)
         if error.code in _RACE_CODES and statement.deployment == self.deployment:
-            owner = await self._store.accepted(statement.number)
-            if isinstance(owner, Head) and owner.digest == digest:
-                detail = "it was accepted before"
+            accepted = await self._store.accepted(statement.number)
+            if isinstance(accepted, Head) and accepted.digest == digest:
+                detail = "this bundle was already accepted"
                 return SubmitReply(
                     SubmitOutcome.ACCEPTED, statement.number, digest, detail
                 )
-            if isinstance(owner, Head):
-                return await self._raced(signed, statement, owner)
+            if isinstance(accepted, Head):
+                return await self._make_race_reply(signed, statement, accepted)
         return SubmitReply(
             SubmitOutcome.REFUSED,
             statement.number,
             digest,
-            problems=(problem_of(error),),
+            problems=(make_problem(error),),
         )
 
-    async def _not_accepted(
+    async def _make_failure_reply(
         self,
         result: Conflict | Unavailable | Uncertain,
         signed: SignedBundle,
@@ -257,9 +259,9 @@
     ) -> SubmitReply:
         digest = digest_of(signed.document)
         if isinstance(result, Conflict):
-            owner = await self._store.accepted(statement.number)
-            if isinstance(owner, Head):
-                return await self._raced(signed, statement, owner)
+            accepted = await self._store.accepted(statement.number)
+            if isinstance(accepted, Head):
+                return await self._make_race_reply(signed, statement, accepted)
             return SubmitReply(
                 SubmitOutcome.RACED, statement.number, digest, _RACED_DETAIL
             )
@@ -270,52 +272,52 @@
         )
         return SubmitReply(outcome, statement.number, digest, result.detail)
 
-    async def _raced(
-        self, signed: SignedBundle, statement: Statement, owner: Head
+    async def _make_race_reply(
+        self, signed: SignedBundle, statement: Statement, winner: Head
     ) -> SubmitReply:
         return SubmitReply(
             SubmitOutcome.RACED,
             statement.number,
             digest_of(signed.document),
             _RACED_DETAIL,
-            winner=owner,
-            differs=await self._what_differs(signed, statement, owner),
+            winner=winner,
+            differs=await self._diff_with_winner(signed, statement, winner),
         )
 
-    async def _what_differs(
-        self, signed: SignedBundle, statement: Statement, owner: Head
+    async def _diff_with_winner(
+        self, signed: SignedBundle, statement: Statement, winner: Head
     ) -> tuple:
-        """Return how the loser's bundle differs from the winner's, if it can be."""
+        """Return how the bundle differs from the winner's; empty if that is unknown."""
         base: BundleState | None = None
         if statement.number > 1:
-            found = await self._state_at(statement.number - 1)
+            found = await self._load_state(statement.number - 1)
             if not isinstance(found, BundleState):
                 return ()
             base = found
         mine = read_state(signed, base, deployment=self.deployment)
-        theirs = await self._state_at(owner.number)
+        theirs = await self._load_state(winner.number)
         if not isinstance(mine, BundleState) or not isinstance(theirs, BundleState):
             return ()
         return await asyncio.to_thread(diff, theirs.bundle, mine.bundle)
 
-    async def _state_at(self, number: int) -> BundleState | ErrorReply:
+    async def _load_state(self, number: int) -> BundleState | ErrorReply:
         state = self._node.state()
         if state is not None and state.number == number:
             return state
         head = await self._store.accepted(number)
         if not isinstance(head, Head):
-            return ErrorReply("no_bundle", f"number {number} is not kept")
-        whole = await self._store.fetch_whole(head)
-        if not hasattr(whole, "snapshot"):
-            return ErrorReply("platform_away", str(whole))
+            return ErrorReply("no_bundle", f"bundle {number} is not stored")
+        fetched = await self._store.fetch_whole(head)
+        if not hasattr(fetched, "snapshot"):
+            return ErrorReply("platform_away", str(fetched))
         found = await asyncio.to_thread(
             verify_whole,
-            whole.snapshot,
-            whole.links,
+            fetched.snapshot,
+            fetched.links,
             roots=self._roots,
             deployment=self.deployment,
         )
-        for change in whole.changes:
+        for change in fetched.changes:
             if isinstance(found, BundleError):
                 break
             found = verify_change(change, found, deployment=self.deployment)
@@ -324,7 +326,7 @@
         return found
 
 
-def _head_of(state: BundleState | None) -> Head:
+def _make_head(state: BundleState | None) -> Head:
     if state is None:
         return Head(0, "")
     people = [signature.person for signature in state.signed.signatures]
--- a/fireflyward/admin/_client.py
+++ b/fireflyward/admin/_client.py
@@ -1,4 +1,4 @@
-"""The operators' side of the administration API."""
+"""The client of the administration API, which operators' commands use."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -24,12 +24,12 @@
     SubmitReply,
 )
 
-_DEADLINE = aiohttp.ClientTimeout(total=30)
+_TIMEOUT = aiohttp.ClientTimeout(total=30)
 
 
 @dataclass(frozen=True, slots=True)
 class AdminFailed:
-    """A call had no answer, or was refused before it did anything."""
+    """A call that got no valid response, or was rejected before it had any effect."""
 
     code: str
     detail: str
@@ -39,7 +39,7 @@
 
 
 class AdminClient:
-    """Signs each request with the operator's key; calls end as values."""
+    """Signs each request with the operator's key; failures are returned, not raised."""
 
     def __init__(
         self,
@@ -59,16 +59,16 @@
         return f"AdminClient({self._url!r}, {self._key.person!r})"
 
     async def about(self) -> About | AdminFailed:
-        """Ask which deployment and node this is."""
+        """Return the deployment and the name of the node."""
         body = await self._send("GET", ABOUT_PATH, b"", {})
         return body if isinstance(body, AdminFailed) else _decode(body, About)
 
     async def check(self, text: str) -> CheckReply | AdminFailed:
-        """Have a bundle in TOML checked."""
+        """Check a bundle in TOML."""
         return await self._call("POST", "/v1/check", CheckReply, text.encode())
 
     async def plan(self, signed: SignedBundle) -> PlanReply | AdminFailed:
-        """Ask what a bundle would change."""
+        """Return what a bundle would change."""
         return await self._call("POST", "/v1/plan", PlanReply, encode_signed(signed))
 
     async def submit(self, signed: SignedBundle) -> SubmitReply | AdminFailed:
@@ -77,11 +77,11 @@
         return await self._call("POST", "/v1/submit", SubmitReply, body)
 
     async def current(self) -> SignedBundle | AdminFailed:
-        """Return the bundle in force, whole."""
+        """Return the bundle in force with all its parts."""
         return await self._call("GET", "/v1/bundle", SignedBundle)
 
     async def bundle_at(self, number: int) -> SignedBundle | AdminFailed:
-        """Return an earlier bundle, whole."""
+        """Return an earlier bundle with all its parts."""
         return await self._call("GET", f"/v1/bundle/{number}", SignedBundle)
 
     async def history(self) -> HistoryReply | AdminFailed:
@@ -89,24 +89,24 @@
         return await self._call("GET", "/v1/history", HistoryReply)
 
     async def status(self) -> StatusReply | AdminFailed:
-        """Return how every known node stands to the number in force."""
+        """Return the number in force and the status of every known node."""
         return await self._call("GET", "/v1/status", StatusReply)
 
     async def propose(self, signed: SignedBundle) -> Proposal | AdminFailed:
-        """Leave a bundle for a colleague to sign."""
+        """Store a bundle as a proposal, for a colleague to sign."""
         body = encode_signed(signed)
         return await self._call("POST", "/v1/proposals", Proposal, body)
 
     async def proposals(self) -> ProposalsReply | AdminFailed:
-        """Return what waits for a colleague."""
+        """Return the proposals that wait for a colleague's signature."""
         return await self._call("GET", "/v1/proposals", ProposalsReply)
 
     async def proposal(self, digest: str) -> SignedBundle | AdminFailed:
-        """Return a proposal's bytes."""
+        """Return the signed bundle of a proposal."""
         return await self._call("GET", f"/v1/proposals/{digest}", SignedBundle)
 
     async def _call(
-        self, method: str, path: str, kind: type, body: bytes = b""
+        self, method: str, path: str, reply_type: type, body: bytes = b""
     ) -> Any | AdminFailed:
         if self._about is None:
             about = await self.about()
@@ -122,10 +122,10 @@
             target=path,
             body=body,
         )
-        answer = await self._send(method, path, body, headers)
-        if isinstance(answer, AdminFailed):
-            return answer
-        return _decode(answer, kind)
+        response_body = await self._send(method, path, body, headers)
+        if isinstance(response_body, AdminFailed):
+            return response_body
+        return _decode(response_body, reply_type)
 
     async def _send(
         self, method: str, path: str, body: bytes, headers: dict[str, str]
@@ -136,26 +136,26 @@
                 URL(self._url + path, encoded=True),
                 data=body,
                 headers=headers,
-                timeout=_DEADLINE,
+                timeout=_TIMEOUT,
             ) as response:
-                answer = await response.read()
+                response_body = await response.read()
         except aiohttp.ClientConnectorError as error:
             return AdminFailed("not_reached", f"{self._url}: {error}")
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            detail = f"{self._url}: the answer was lost, {type(error).__name__}"
+            detail = f"{self._url}: no complete response, {type(error).__name__}"
             return AdminFailed("answer_lost", detail)
         if response.status == 200:
-            return answer
-        refused = _decode(answer, ErrorReply)
-        if isinstance(refused, ErrorReply):
-            return AdminFailed(refused.code, refused.detail)
+            return response_body
+        rejection = _decode(response_body, ErrorReply)
+        if isinstance(rejection, ErrorReply):
+            return AdminFailed(rejection.code, rejection.detail)
         return AdminFailed("refused", f"status {response.status}")
 
 
-def _decode(body: bytes, kind: type) -> Any | AdminFailed:
+def _decode(body: bytes, reply_type: type) -> Any | AdminFailed:
     try:
-        if kind is SignedBundle:
+        if reply_type is SignedBundle:
             return decode_signed(body)
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=reply_type)
     except msgspec.DecodeError as error:
-        return AdminFailed("unreadable", f"the answer is not as expected: {error}")
+        return AdminFailed("unreadable", f"the response could not be decoded: {error}")
--- a/fireflyward/admin/_messages.py
+++ b/fireflyward/admin/_messages.py
@@ -1,4 +1,4 @@
-"""What the administration API takes and gives, as JSON."""
+"""The JSON messages of the administration API."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class About(msgspec.Struct, frozen=True):
-    """Which node this is; the only answer that needs no signature."""
+    """The identity of the node; the only reply to an unsigned request."""
 
     deployment: str
     node_name: str
@@ -16,7 +16,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """One reason for a refusal."""
+    """One reason why a bundle is invalid."""
 
     code: str
     field: str
@@ -34,21 +34,21 @@
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """Why a call was refused before it did anything."""
+    """Why a call was rejected before it had any effect."""
 
     code: str
     detail: str
 
 
 class CheckReply(msgspec.Struct, frozen=True):
-    """Every problem found; none means that it could be signed and submitted."""
+    """All problems of a bundle; without any, it can be signed and submitted."""
 
     problems: tuple[Problem, ...]
     warnings: tuple[str, ...] = ()
 
 
 class PlanReply(msgspec.Struct, frozen=True):
-    """What a signed or drafted bundle would change, or why it cannot."""
+    """What a signed or drafted bundle would change, or the problems that it has."""
 
     problems: tuple[Problem, ...]
     plan: Plan | None = None
@@ -56,10 +56,11 @@
 
 
 class SubmitOutcome(enum.StrEnum):
-    """What became of a submission.
+    """The result of a submission.
 
-    ``UNCERTAIN`` may still come into force; submitting the same file again is
-    safe and settles it. ``UNAVAILABLE`` certainly did not come into force.
+    ``UNCERTAIN``: the bundle may still come into force. Submitting the same file
+    again is safe and gives a definite result. ``UNAVAILABLE``: the bundle certainly
+    did not come into force.
     """
 
     ACCEPTED = "accepted"
@@ -70,7 +71,7 @@
 
 
 class SubmitReply(msgspec.Struct, frozen=True):
-    """The outcome, and for a lost race who won it and what differs."""
+    """The outcome; after a lost race also the winner and the differences from it."""
 
     outcome: SubmitOutcome
     number: int
@@ -88,7 +89,7 @@
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """A bundle that its author signed and that waits for a colleague."""
+    """A bundle that its author signed and that a colleague has not signed yet."""
 
     digest: str
     number: int
@@ -100,16 +101,16 @@
 
 
 class ProposalsReply(msgspec.Struct, frozen=True):
-    """Every proposal that waits."""
+    """All proposals that wait for a signature."""
 
     proposals: tuple[Proposal, ...]
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """Which number is in force, and how every known node stands to it.
+    """The bundle number in force, and the status of every known node.
 
-    ``is_confirmed`` is false while the table service cannot be read: then the
-    number is the highest that this node knows of, and a higher one may exist.
+    ``is_confirmed`` is false while the table service is unavailable. The number is
+    then the one in force at this node, and a higher one may exist.
     """
 
     number: int
@@ -122,8 +123,8 @@
     nodes: tuple[NodeStatus, ...]
 
 
-def problem_of(error: BundleError) -> Problem:
-    """Return the message form of an error."""
+def make_problem(error: BundleError) -> Problem:
+    """Convert a bundle error to a message."""
     return Problem(
         error.code, error.field, error.detail, error.line, error.value, error.allowed
     )
--- a/fireflyward/admin/_proposals.py
+++ b/fireflyward/admin/_proposals.py
@@ -1,4 +1,4 @@
-"""Bundles that their authors signed and that wait for a colleague's signature."""
+"""Bundles that their author signed and that wait for a colleague's signature."""
 
 from collections.abc import Mapping
 
@@ -18,43 +18,48 @@
 
 from ._messages import ErrorReply, Proposal, ProposalsReply
 
-_PREFIX = "bundle/proposal/"
-_MOST_PROPOSALS = 100
+_KEY_PREFIX = "bundle/proposal/"
+_MAX_PROPOSALS = 100
 
 
 class ProposalStore:
-    """Keeps proposals: a short row in the table, the bytes in the object store.
+    """Stores proposals: a short row in the table, the bytes in the object store.
 
-    A proposal has no effect. It spares colleagues from sending files about; what
-    the approver signs is still the statement that the author signed.
+    A proposal has no effect on the service. With it colleagues need not send files to
+    each other; the approver signs the same statement that the author signed.
     """
 
-    __slots__ = ("_clock", "_objects", "_store", "_table")
+    __slots__ = ("_bundle_store", "_clock", "_objects", "_table")
 
     def __init__(
         self, *, store: BundleStore, table: Table, objects: Objects, clock: Clock
     ) -> None:
-        self._store = store
+        self._bundle_store = store
         self._table = table
         self._objects = objects
         self._clock = clock
 
     def __repr__(self) -> str:
-        return "ProposalBook()"
+        return "ProposalStore()"
 
     async def add(self, signed: SignedBundle) -> Proposal | ErrorReply:
-        """Keep a bundle that one person signed."""
+        """Store a bundle that one person signed."""
         try:
             statement = statement_of(signed)
         except msgspec.DecodeError as error:
             return ErrorReply("unreadable", str(error))
         if len(signed.signatures) != 1:
-            return ErrorReply("bad_request", "a proposal has its author's signature")
-        rows = await self._table.scan(_PREFIX)
+            return ErrorReply(
+                "bad_request",
+                "a proposal must have exactly one signature, its author's",
+            )
+        rows = await self._table.scan(_KEY_PREFIX)
         if isinstance(rows, Unavailable):
             return ErrorReply("platform_away", rows.detail)
-        if len(rows) >= _MOST_PROPOSALS:
-            return ErrorReply("too_many", f"{_MOST_PROPOSALS} proposals wait already")
+        if len(rows) >= _MAX_PROPOSALS:
+            return ErrorReply(
+                "too_many", f"{_MAX_PROPOSALS} proposals are already waiting"
+            )
         proposal = Proposal(
             digest_of(signed.document),
             statement.number,
@@ -63,14 +68,14 @@
             self._clock.wall_ms(),
             statement.based_on,
         )
-        return await self._keep(proposal, encode_signed(signed))
+        return await self._store_proposal(proposal, encode_signed(signed))
 
     async def all(self, people: Mapping[str, Person]) -> ProposalsReply | ErrorReply:
-        """Return every proposal; those for an older bundle are marked stale."""
-        rows = await self._table.scan(_PREFIX)
+        """Return all proposals; those based on an older bundle are marked stale."""
+        rows = await self._table.scan(_KEY_PREFIX)
         if isinstance(rows, Unavailable):
             return ErrorReply("platform_away", rows.detail)
-        current = await self._store.head()
+        current = await self._bundle_store.head()
         digest = current[0].digest if isinstance(current, tuple) else ""
         proposals = [msgspec.json.decode(row.value, type=Proposal) for row in rows]
         return ProposalsReply(
@@ -81,17 +86,17 @@
         )
 
     async def get(self, digest: str) -> SignedBundle | ErrorReply:
-        """Return a proposal's bytes."""
+        """Return the signed bundle of a proposal."""
         body = await self._objects.get(_object_name(digest))
         if isinstance(body, Unavailable):
             return ErrorReply("platform_away", body.detail)
         if isinstance(body, Missing):
-            return ErrorReply("no_proposal", f"no proposal {digest}")
+            return ErrorReply("no_proposal", f"proposal {digest} does not exist")
         return decode_signed(body)
 
     async def clear(self, number: int) -> None:
-        """Drop the rows of proposals that ``number`` made pointless."""
-        rows = await self._table.scan(_PREFIX)
+        """Delete proposals that are obsolete because ``number`` was accepted."""
+        rows = await self._table.scan(_KEY_PREFIX)
         if isinstance(rows, Unavailable):
             return
         expected = {
@@ -104,13 +109,15 @@
                 expected=expected, puts={}, deletes=tuple(expected)
             )
 
-    async def _keep(self, proposal: Proposal, body: bytes) -> Proposal | ErrorReply:
+    async def _store_proposal(
+        self, proposal: Proposal, body: bytes
+    ) -> Proposal | ErrorReply:
         stored = await self._objects.put(_object_name(proposal.digest), body)
         if isinstance(stored, Unavailable | Uncertain):
             return ErrorReply("platform_away", stored.detail)
         value = msgspec.json.encode(proposal)
         result = await self._table.commit(
-            expected={}, puts={_PREFIX + proposal.digest: value}
+            expected={}, puts={_KEY_PREFIX + proposal.digest: value}
         )
         if isinstance(result, Unavailable | Uncertain):
             return ErrorReply("platform_away", result.detail)
--- a/tests/admin/test_auth.py
+++ b/tests/admin/test_auth.py
@@ -6,9 +6,9 @@
 NOW_MS = 1_800_000_000_000
 
 
-class JudgeTests(unittest.TestCase):
+class RequestAuthenticatorTests(unittest.TestCase):
     def setUp(self):
-        self.judge = RequestAuthenticator("demo", "entry-1")
+        self.authenticator = RequestAuthenticator("demo", "entry-1")
 
     def headers(self, key=ANA, wall_ms=NOW_MS, **changed):
         fields = {
@@ -20,8 +20,8 @@
         }
         return sign_request(key, wall_ms=wall_ms, **{**fields, **changed})
 
-    def ask(self, headers, wall_ms=NOW_MS, people=ROOTS):
-        return self.judge.judge(
+    def authenticate(self, headers, wall_ms=NOW_MS, people=ROOTS):
+        return self.authenticator.authenticate(
             wall_ms=wall_ms,
             method="POST",
             target="/v1/submit",
@@ -30,19 +30,19 @@
             people=people,
         )
 
-    def assert_refused(self, result, code):
+    def assert_rejected(self, result, code):
         self.assertIsInstance(result, ErrorReply)
         self.assertEqual(result.code, code)
 
-    def test_known_person_is_told(self):
-        self.assertEqual(self.ask(self.headers()), "ana")
+    def test_known_person_is_returned(self):
+        self.assertEqual(self.authenticate(self.headers()), "ana")
 
-    def test_same_request_again_is_refused(self):
+    def test_repeated_request_is_rejected(self):
         headers = self.headers()
-        self.ask(headers)
-        self.assert_refused(self.ask(headers), "repeated")
+        self.authenticate(headers)
+        self.assert_rejected(self.authenticate(headers), "repeated")
 
-    def test_request_for_anything_else_is_refused(self):
+    def test_request_signed_for_other_content_is_rejected(self):
         for changed in (
             {"deployment": "other"},
             {"node_name": "entry-2"},
@@ -51,15 +51,17 @@
             {"body": b"other"},
         ):
             with self.subTest(changed=changed):
-                self.assert_refused(self.ask(self.headers(**changed)), "bad_signature")
+                self.assert_rejected(
+                    self.authenticate(self.headers(**changed)), "bad_signature"
+                )
 
-    def test_old_or_future_request_is_refused(self):
+    def test_request_with_a_wrong_time_is_rejected(self):
         for skew_ms in (-121_000, 121_000):
             headers = self.headers(wall_ms=NOW_MS + skew_ms)
-            self.assert_refused(self.ask(headers), "wrong_time")
+            self.assert_rejected(self.authenticate(headers), "wrong_time")
 
-    def test_unsigned_and_garbled_requests_are_refused(self):
-        self.assert_refused(self.ask({}), "not_signed")
+    def test_unsigned_and_malformed_requests_are_rejected(self):
+        self.assert_rejected(self.authenticate({}), "not_signed")
         for name, value in (
             ("X-Operator", "nobody"),
             ("X-Operator-Time", "²"),
@@ -69,8 +71,10 @@
         ):
             with self.subTest(name=name, value=value):
                 headers = {**self.headers(), name: value}
-                self.assertIsInstance(self.ask(headers), ErrorReply)
+                self.assertIsInstance(self.authenticate(headers), ErrorReply)
 
-    def test_revoked_key_is_refused_by_that_name(self):
+    def test_revoked_key_is_rejected_with_its_own_code(self):
         people = {**TRUST, "ana": person(BRUNO, revoked=(ANA,))}
-        self.assert_refused(self.ask(self.headers(), people=people), "revoked_key")
+        self.assert_rejected(
+            self.authenticate(self.headers(), people=people), "revoked_key"
+        )
--- a/tests/admin/test_bundle_admin.py
+++ b/tests/admin/test_bundle_admin.py
@@ -17,8 +17,8 @@
 from tests.bundles.makers import ANA, BRUNO, CARLA, DEPLOYMENT, ROOTS, bundle
 
 
-class QuickClock(Clock):
-    """A clock whose sleeps take no time."""
+class NoSleepClock(Clock):
+    """A clock whose sleeps return at once."""
 
     __slots__ = ()
 
@@ -27,7 +27,7 @@
 
 
 class FakeNode:
-    """A node that follows the store at once."""
+    """A node that loads each new bundle from the store at once."""
 
     def __init__(self, store):
         self.store = store
@@ -52,14 +52,14 @@
         return self.statuses
 
 
-class DeskTestCase(unittest.IsolatedAsyncioTestCase):
+class BundleAdminTestCase(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.table = MemoryTable()
-        self.store = BundleStore(self.table, MemoryObjects(), clock=QuickClock())
+        self.store = BundleStore(self.table, MemoryObjects(), clock=NoSleepClock())
         self.weights = MemoryWeights({"clauses": ("v1", "v2")})
-        self.bundle_admin = self.make_desk()
+        self.bundle_admin = self.make_bundle_admin()
 
-    def make_desk(self):
+    def make_bundle_admin(self):
         return BundleAdmin(
             deployment=DEPLOYMENT,
             node=FakeNode(self.store),
@@ -71,10 +71,10 @@
     def base(self, bundle_admin=None):
         return (bundle_admin or self.bundle_admin)._node.current
 
-    async def submit(self, following, author=ANA, approver=BRUNO, bundle_admin=None):
+    async def submit(self, next_bundle, author=ANA, approver=BRUNO, bundle_admin=None):
         bundle_admin = bundle_admin or self.bundle_admin
         signed = sign_bundle(
-            following, author=author, approver=approver, base=self.base(bundle_admin)
+            next_bundle, author=author, approver=approver, base=self.base(bundle_admin)
         )
         return await bundle_admin.submit(signed)
 
@@ -83,42 +83,44 @@
         self.assertEqual(tuple(problem.code for problem in reply.problems), codes)
 
 
-class SubmitTests(DeskTestCase):
+class SubmitTests(BundleAdminTestCase):
     async def test_first_and_following_bundles(self):
         self.assert_outcome(await self.submit(bundle()), SubmitOutcome.ACCEPTED)
-        following = bundle(2, ("bridge-team",))
-        self.assert_outcome(await self.submit(following), SubmitOutcome.ACCEPTED)
+        next_bundle = bundle(2, ("bridge-team",))
+        self.assert_outcome(await self.submit(next_bundle), SubmitOutcome.ACCEPTED)
         self.assertEqual(self.bundle_admin.number(), 2)
 
-    async def test_refusals_carry_their_code_and_write_nothing(self):
+    async def test_rejected_bundles_have_an_error_code_and_write_nothing(self):
         await self.submit(bundle())
         writes = self.table.writes
-        for author, approver, following, code in (
+        for author, approver, next_bundle, code in (
             (ANA, ANA, bundle(2), "same_person"),
             (CARLA, BRUNO, bundle(2, ("tower-team",)), "outside_role"),
             (ANA, BRUNO, bundle(9), "other_base"),
         ):
             with self.subTest(code=code):
-                reply = await self.submit(following, author, approver)
+                reply = await self.submit(next_bundle, author, approver)
                 self.assert_outcome(reply, SubmitOutcome.REFUSED, code)
         self.assertEqual(self.table.writes, writes)
 
-    async def test_version_that_the_weight_store_lacks(self):
-        following = bundle(models={"clauses": Model("v9", ("beams",))})
-        reply = await self.submit(following)
+    async def test_version_missing_from_the_weight_store_is_rejected(self):
+        next_bundle = bundle(models={"clauses": Model("v9", ("beams",))})
+        reply = await self.submit(next_bundle)
         self.assert_outcome(reply, SubmitOutcome.REFUSED, "invalid")
         self.assertIn("weight store", str(reply.problems[0]))
 
-    async def test_weight_store_away_refuses_and_says_so(self):
+    async def test_unavailable_weight_store_rejects_with_its_own_code(self):
         self.weights.away = True
         reply = await self.submit(bundle())
         self.assert_outcome(reply, SubmitOutcome.REFUSED, "platform_away")
 
-    async def test_loser_of_a_race_sees_who_when_and_what_differs(self):
-        """Symptom: an operator's change undoes a colleague's. Sequence: both
-        start from number 1 through different nodes and submit number 2."""
+    async def test_loser_of_a_race_gets_the_winner_and_the_differences(self):
+        """Guards against an operator's change that reverts a colleague's change.
+
+        Both operators start from bundle 1 and submit bundle 2 through different nodes.
+        """
         await self.submit(bundle())
-        other = self.make_desk()
+        other = self.make_bundle_admin()
         await other._node.catch_up(1)
         mine = sign_bundle(
             bundle(2, ("bridge-team", "tower-team", "tower-two")),
@@ -131,8 +133,10 @@
         self.assert_outcome(reply, SubmitOutcome.RACED)
         self.assertEqual((reply.winner.author, reply.winner.approver), ("ana", "bruno"))
         self.assertGreater(reply.winner.accepted_wall_ms, 0)
-        told = [str(item) for item in reply.differs]
-        self.assertEqual(told, ["account:tower-two added", "account:tower-x removed"])
+        differences = [str(item) for item in reply.differs]
+        self.assertEqual(
+            differences, ["account:tower-two added", "account:tower-x removed"]
+        )
         again = await self.submit(
             bundle(3, ("bridge-team", "tower-team", "tower-two", "tower-x")),
             CARLA,
@@ -141,7 +145,7 @@
         )
         self.assert_outcome(again, SubmitOutcome.ACCEPTED)
 
-    async def test_submitting_the_same_again_says_accepted(self):
+    async def test_submitting_an_accepted_bundle_again_is_accepted(self):
         signed = sign_bundle(bundle(), author=ANA, approver=BRUNO)
         for _ in range(2):
             reply = await self.bundle_admin.submit(signed)
@@ -151,7 +155,7 @@
             await self.bundle_admin.submit(signed), SubmitOutcome.ACCEPTED
         )
 
-    async def test_answer_that_stays_lost_is_told_and_settled_by_asking_again(self):
+    async def test_lost_answer_is_uncertain_and_resolved_by_submitting_again(self):
         real, signed = (
             self.table.commit,
             sign_bundle(bundle(), author=ANA, approver=BRUNO),
@@ -168,7 +172,7 @@
             await self.bundle_admin.submit(signed), SubmitOutcome.ACCEPTED
         )
 
-    async def test_table_away_is_told_as_not_accepted(self):
+    async def test_submission_without_the_table_is_unavailable(self):
         signed = sign_bundle(bundle(), author=ANA, approver=BRUNO)
         self.table.away = True
         self.assert_outcome(
@@ -176,8 +180,8 @@
         )
 
 
-class ShowTests(DeskTestCase):
-    async def test_check_names_every_problem(self):
+class ViewTests(BundleAdminTestCase):
+    async def test_check_reports_every_problem(self):
         await self.submit(bundle())
         ready = to_toml(bundle(2))
         self.assertEqual((await self.bundle_admin.check(ready)).problems, ())
@@ -197,7 +201,7 @@
         self.assertTrue(any("tower-team" in item for item in reply.plan.dangers))
         self.assertEqual(len(reply.differences), 1)
 
-    async def test_earlier_numbers_can_be_shown(self):
+    async def test_earlier_bundles_can_be_shown(self):
         await self.submit(bundle())
         await self.submit(bundle(2, ("bridge-team",)))
         await self.submit(bundle(3))
