--- a/fireflyward/bench/_membership_net.py
+++ b/fireflyward/bench/_membership_net.py
@@ -75,7 +75,7 @@
             self.start(name, domain, ())
         rows = tuple(node.members.own for node in self.node_by_name.values())
         for node in self.node_by_name.values():
-            node.take_known(self.now_ms, rows)
+            node.preload_rows(self.now_ms, rows)
 
     def seed(self, name: str, seeds: tuple[Address, ...]) -> None:
         """Give a node the addresses that its settings would name."""
--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -107,7 +107,7 @@
             actions += self._push(now_ms)
         return actions
 
-    def take_known(self, now_ms: int, rows: tuple[Member, ...]) -> None:
+    def preload_rows(self, now_ms: int, rows: tuple[Member, ...]) -> None:
         """Start from rows that are known already, without telling them again."""
         for row in rows:
             if row.name != self.members.own.name:
