--- a/fireflyward/bench/measures/membership.py
+++ b/fireflyward/bench/measures/membership.py
@@ -7,7 +7,7 @@
 from fireflyward.bench._membership_net import MembershipNet
 from fireflyward.membership import (
     AlarmKind,
-    BundleTaken,
+    BundleChanged,
     LeaveBegun,
     Membership,
     MemberState,
@@ -50,7 +50,7 @@
         Figure(f"{name}.bytes_per_node_s", quiet, "B/s"),
         Figure(f"{name}.datagrams_per_node_s", packets, "1/s"),
     ]
-    net.tell("entry-0-0", BundleTaken(7))
+    net.tell("entry-0-0", BundleChanged(7))
     bundle_ms = _until(net, "entry-0-0", lambda member: member.bundle_number == 7)
     net.tell("entry-0-0", LeaveBegun())
     leaving_ms = _until(net, "entry-0-0", _is_in(MemberState.LEAVING))
--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -10,7 +10,7 @@
     AddressKnown,
     Alarm,
     AlarmKind,
-    BundleTaken,
+    BundleChanged,
     IncarnationRaised,
     LeaveBegun,
     LeaveDone,
@@ -156,7 +156,7 @@
         return []
 
     @_decide.register
-    def _(self, message: BundleTaken, now_ms: int) -> list[Action]:
+    def _(self, message: BundleChanged, now_ms: int) -> list[Action]:
         self._roster.set_own(bundle_number=message.number)
         return []
 
--- a/fireflyward/membership/_messages.py
+++ b/fireflyward/membership/_messages.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BundleTaken:
+class BundleChanged:
     """This node serves by another bundle from now on."""
 
     number: int
@@ -106,7 +106,7 @@
     | Received
     | AddressKnown
     | SeedsFound
-    | BundleTaken
+    | BundleChanged
     | LeaveBegun
     | LeaveDone
     | IncarnationRaised
--- a/fireflyward/membership/_task.py
+++ b/fireflyward/membership/_task.py
@@ -18,7 +18,7 @@
     Action,
     AddressKnown,
     Alarm,
-    BundleTaken,
+    BundleChanged,
     IncarnationRaised,
     LeaveBegun,
     LeaveDone,
@@ -105,7 +105,7 @@
     async def _tick(self) -> None:
         while True:
             if self._bundle_number() != self.members.own.bundle_number:
-                self._tell(BundleTaken(self._bundle_number()))
+                self._tell(BundleChanged(self._bundle_number()))
             self._tell(Tick())
             await self._clock.sleep_ms(Timings().tick_ms)
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -3,7 +3,7 @@
 from fireflyward.bench._membership_net import MembershipNet
 from fireflyward.membership import (
     AlarmKind,
-    BundleTaken,
+    BundleChanged,
     LeaveBegun,
     LeaveDone,
     MemberState,
@@ -42,7 +42,7 @@
 
     def test_bundle_number_reaches_everybody(self):
         self.start(3, 3)
-        self.net.tell("entry-0-0", BundleTaken(7))
+        self.net.tell("entry-0-0", BundleChanged(7))
         nodes = self.net.node_by_name.values()
         self.assert_soon(
             lambda: all(
