--- a/fireflyward/bench/measures/membership.py
+++ b/fireflyward/bench/measures/membership.py
@@ -8,7 +8,7 @@
 from fireflyward.membership import (
     AlarmKind,
     BundleChanged,
-    LeaveBegun,
+    LeaveStarted,
     Membership,
     MemberState,
     Packet,
@@ -52,7 +52,7 @@
     ]
     net.tell("entry-0-0", BundleChanged(7))
     bundle_ms = _until(net, "entry-0-0", lambda member: member.bundle_number == 7)
-    net.tell("entry-0-0", LeaveBegun())
+    net.tell("entry-0-0", LeaveStarted())
     leaving_ms = _until(net, "entry-0-0", _is_in(MemberState.LEAVING))
     killed_ms = net.now_ms
     net.kill("entry-1-0")
--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -12,8 +12,8 @@
     AlarmKind,
     BundleChanged,
     IncarnationRaised,
-    LeaveBegun,
     LeaveDone,
+    LeaveStarted,
     Message,
     Packet,
     PacketKind,
@@ -161,7 +161,7 @@
         return []
 
     @_decide.register
-    def _(self, message: LeaveBegun, now_ms: int) -> list[Action]:
+    def _(self, message: LeaveStarted, now_ms: int) -> list[Action]:
         self._roster.set_own(state=MemberState.LEAVING)
         self._urgent = True
         return []
--- a/fireflyward/membership/_messages.py
+++ b/fireflyward/membership/_messages.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveBegun:
+class LeaveStarted:
     """A planned stop of this node has begun."""
 
 
@@ -107,7 +107,7 @@
     | AddressKnown
     | SeedsFound
     | BundleChanged
-    | LeaveBegun
+    | LeaveStarted
     | LeaveDone
     | IncarnationRaised
 )
--- a/fireflyward/membership/_task.py
+++ b/fireflyward/membership/_task.py
@@ -20,8 +20,8 @@
     Alarm,
     BundleChanged,
     IncarnationRaised,
-    LeaveBegun,
     LeaveDone,
+    LeaveStarted,
     Message,
     Received,
     SeedsFound,
@@ -91,7 +91,7 @@
 
     def leave(self) -> None:
         """Tell the others that a planned stop of this node has begun."""
-        self._tell(LeaveBegun())
+        self._tell(LeaveStarted())
 
     async def stop(self) -> None:
         """Tell the others that this node goes now, and end."""
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -4,8 +4,8 @@
 from fireflyward.membership import (
     AlarmKind,
     BundleChanged,
-    LeaveBegun,
     LeaveDone,
+    LeaveStarted,
     MemberState,
     PacketKind,
     Received,
@@ -113,7 +113,7 @@
 
     def test_leaving_is_known_before_the_node_goes(self):
         self.start(2, 5)
-        self.net.tell("entry-0-0", LeaveBegun())
+        self.net.tell("entry-0-0", LeaveStarted())
         self.assert_soon(self.everybody_sees("entry-0-0", MemberState.LEAVING), 3_000)
         self.net.tell("entry-0-0", LeaveDone())
         self.net.kill("entry-0-0")
