--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -261,7 +261,7 @@
             link=self.link,
             metrics=self.metrics,
             bundle_number=lambda: self.holder.number,
-            on_number=bundles.on_member_number,
+            on_bundle_number=bundles.on_member_number,
             seeds=self.settings["peers"],
             vms=vms,
         )
--- a/fireflyward/membership/_task.py
+++ b/fireflyward/membership/_task.py
@@ -55,7 +55,7 @@
         link: PeerLink,
         metrics: Metrics,
         bundle_number: Callable[[], int],
-        on_number: Callable[[str, int], None] = lambda name, number: None,
+        on_bundle_number: Callable[[str, int], None] = lambda name, number: None,
         seeds: tuple[Address, ...] = (),
         vms: Vms | None = None,
     ) -> None:
@@ -64,7 +64,7 @@
         self._link = link
         self._metrics = metrics
         self._bundle_number = bundle_number
-        self._on_number = on_number
+        self._on_number = on_bundle_number
         self._seeds = seeds
         self._vms = vms
         self._tasks: list[asyncio.Task[None]] = []
