--- a/fireflyward/membership/__init__.py
+++ b/fireflyward/membership/__init__.py
@@ -1,11 +1,10 @@
-"""Which nodes there are, in what state, and who of them owns a key."""
+"""Membership: which nodes exist, the state of each, and which node owns a key."""
 
 from ._members import Address, Member, Members, MemberState
 from ._membership import Membership
 from ._membership_structs import Packet as PacketStruct
 from ._messages import (
     Action,
-    AddressKnown,
     Alarm,
     AlarmKind,
     BundleChanged,
@@ -14,6 +13,7 @@
     IncarnationRaised,
     LeaveDone,
     LeaveStarted,
+    LinkOpened,
     Message,
     Packet,
     PacketKind,
@@ -30,7 +30,7 @@
 
 __all__ = [
     "Action",
-    "AddressKnown",
+    "LinkOpened",
     "Address",
     "Alarm",
     "AlarmKind",
--- a/fireflyward/membership/_news.py
+++ b/fireflyward/membership/_gossip.py
@@ -1,4 +1,4 @@
-"""News that ride on other datagrams, each a bounded number of times."""
+"""Gossip: member rows that are added to other datagrams, a few times each."""
 
 import math
 from dataclasses import dataclass
@@ -16,11 +16,12 @@
     sends_left: int
 
 
-class News:
-    """The rows that still have to be told, least told first.
+class GossipQueue:
+    """The member rows that still have to be sent, those sent least often first.
 
-    How many fit into one datagram is bounded, so a burst of changes (a failure
-    domain that comes back) takes longer to tell instead of costing more.
+    Each row is sent a bounded number of times, and a datagram has room for a bounded
+    number of rows. A burst of changes, such as a failure domain that comes back,
+    therefore takes longer to spread instead of causing more traffic.
     """
 
     __slots__ = ("_item_by_name",)
@@ -31,53 +32,53 @@
     def __len__(self) -> int:
         return len(self._item_by_name)
 
-    def put(self, member: Member, known: int) -> None:
-        """Tell a row; it replaces an older one of the same member."""
-        doublings = math.ceil(math.log2(known + 1))
+    def put(self, member: Member, member_count: int) -> None:
+        """Queue a row for sending; it replaces an older row of the same member."""
+        doublings = math.ceil(math.log2(member_count + 1))
         sends = max(_MIN_SENDS, _SENDS_PER_DOUBLING * doublings)
         self._item_by_name[member.name] = _Item(member, sends)
 
     def drop(self, name: str) -> None:
-        """Stop telling of a member."""
+        """Stop sending the row of a member."""
         self._item_by_name.pop(name, None)
 
-    def take(
+    def take_rows(
         self, count: int, *, for_other_domain: bool, without: frozenset[str]
     ) -> list[Member]:
-        """Return up to ``count`` rows for one datagram and count them as told.
+        """Return up to ``count`` rows for one datagram and count them as sent.
 
-        Suspicions stay in their failure domain: only its nodes can probe well
-        enough to settle them, and elsewhere nothing follows from them.
+        Suspicions are sent only within the failure domain of the suspected member:
+        only the nodes there probe it, and in other domains a suspicion has no effect.
         """
-        able = [
+        candidates = [
             item
             for name, item in self._item_by_name.items()
             if name not in without
             and not (for_other_domain and item.member.state is MemberState.SUSPECTED)
         ]
-        able.sort(key=lambda item: -item.sends_left)
-        for item in able[:count]:
+        candidates.sort(key=lambda item: -item.sends_left)
+        for item in candidates[:count]:
             item.sends_left -= 1
             if not item.sends_left:
                 del self._item_by_name[item.member.name]
-        return [item.member for item in able[:count]]
+        return [item.member for item in candidates[:count]]
 
 
 def row_bytes(member: Member) -> int:
-    """Return about how many bytes a row takes in a datagram."""
+    """Return an estimate of the bytes that a row needs in a datagram."""
     texts = (member.name, member.address[0], member.failure_domain, member.region)
     return ROW_BYTES + sum(len(text) for text in texts)
 
 
 def chunks(members: list[Member], limit_bytes: int) -> list[tuple[Member, ...]]:
-    """Cut rows into groups that each fit into a datagram."""
+    """Split rows into groups that each fit into a datagram."""
     groups: list[list[Member]] = []
-    left = 0
+    bytes_left = 0
     for member in members:
         size = row_bytes(member)
-        if size > left or not groups:
+        if size > bytes_left or not groups:
             groups.append([])
-            left = limit_bytes
+            bytes_left = limit_bytes
         groups[-1].append(member)
-        left -= size
+        bytes_left -= size
     return [tuple(group) for group in groups]
--- a/fireflyward/membership/_members.py
+++ b/fireflyward/membership/_members.py
@@ -1,4 +1,4 @@
-"""The nodes that this node knows, as other slices read them."""
+"""The nodes that this node knows, as other packages read them."""
 
 import enum
 from dataclasses import dataclass, replace
@@ -7,11 +7,12 @@
 
 
 class MemberState(enum.IntEnum):
-    """What is known of a node; at one incarnation a higher value replaces a lower.
+    """The state of a node; within one incarnation a higher value replaces a lower one.
 
-    ``UNHEARD`` is never told to others: it is what a node makes of the members of
-    a failure domain from which nothing has come for a while, and of every node
-    while it hears nobody at all and so cannot tell who of them is at fault.
+    ``UNHEARD`` means unreachable and is never sent to other nodes. A node assigns it
+    to the members of a failure domain from which nothing has arrived for too long. A
+    node that receives nothing from anybody assigns it also to a member that does not
+    answer, since its own connection may be the one that failed.
     """
 
     LIVE = 0
@@ -21,15 +22,15 @@
     UNHEARD = 4
 
 
-_COUNTED = frozenset({MemberState.LIVE, MemberState.SUSPECTED})
+_LIVE_STATES = frozenset({MemberState.LIVE, MemberState.SUSPECTED})
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One node: where it is, which of its lives this is, what it serves by.
+    """One node: its address and location, its incarnation and its bundle.
 
     ``incarnation`` rises with every restart and every refuted suspicion;
-    ``bundle_number`` is the last that was heard of, 0 before the first.
+    ``bundle_number`` is the last one that was received, 0 before the first.
     """
 
     name: str
@@ -45,21 +46,26 @@
     """The known nodes, this one included, by name.
 
     ``live_in`` and ``all_live`` count a suspected member as live: most suspicions
-    are refuted within seconds, and work that moved on each of them would move
-    twice for nothing. A member's ``state`` tells who wants to be more careful.
+    are refuted within seconds, and work that is moved away from a suspected member
+    would soon be moved back. A caller that must be stricter reads ``state``.
 
     >>> own = Member("entry-1", ("127.0.0.1", 1), "sala-norte", "santiago", 7)
     >>> [member.name for member in Members(own).live_in("sala-norte")]
     ['entry-1']
     """
 
-    __slots__ = ("_member_by_name", "_own_name", "_unheard_domains", "_unheard_names")
+    __slots__ = (
+        "_member_by_name",
+        "_own_name",
+        "_unreachable_domains",
+        "_unreachable_names",
+    )
 
     def __init__(self, own: Member) -> None:
         self._own_name = own.name
         self._member_by_name = {own.name: own}
-        self._unheard_domains: frozenset[str] = frozenset()
-        self._unheard_names: set[str] = set()
+        self._unreachable_domains: frozenset[str] = frozenset()
+        self._unreachable_names: set[str] = set()
 
     def __repr__(self) -> str:
         return f"Members({self._own_name!r}, {len(self._member_by_name)})"
@@ -69,14 +75,15 @@
         return self._member_by_name[self._own_name]
 
     def get(self, name: str) -> Member | None:
-        """Return a member in any state, or None if it was never heard of."""
+        """Return a member in any state, or None if it is unknown."""
         member = self._member_by_name.get(name)
-        return self._as_heard(member) if member else None
+        return self._with_reachability(member) if member else None
 
     def known(self) -> tuple[Member, ...]:
         """Return every member in every state, ordered by name."""
         return tuple(
-            self._as_heard(member) for _, member in sorted(self._member_by_name.items())
+            self._with_reachability(member)
+            for _, member in sorted(self._member_by_name.items())
         )
 
     def live_in(self, failure_domain: str) -> tuple[Member, ...]:
@@ -88,42 +95,42 @@
         )
 
     def all_live(self) -> tuple[Member, ...]:
-        """Return the live members of every failure domain that is heard."""
-        return tuple(member for member in self.known() if member.state in _COUNTED)
+        """Return the live members of all reachable failure domains, by name."""
+        return tuple(member for member in self.known() if member.state in _LIVE_STATES)
 
     def put(self, member: Member) -> None:
-        """Replace what is known of a member; only ``Membership`` calls this."""
+        """Replace the row of a member; only ``Membership`` calls this."""
         self._member_by_name[member.name] = member
 
     def stored(self, name: str) -> Member | None:
-        """Return a member's row as it is told to others, never ``UNHEARD``."""
+        """Return a member's row as it is sent to other nodes, never ``UNHEARD``."""
         return self._member_by_name.get(name)
 
     def stored_all(self) -> tuple[Member, ...]:
-        """Return every row as it is told to others, in no certain order."""
+        """Return every row as it is sent to other nodes, in no particular order."""
         return tuple(self._member_by_name.values())
 
     def forget(self, name: str) -> None:
-        """Drop a member that has been dead for long."""
+        """Remove a member that has been dead for a long time."""
         del self._member_by_name[name]
-        self._unheard_names.discard(name)
+        self._unreachable_names.discard(name)
 
-    def set_heard(self, name: str, *, heard: bool) -> None:
-        """Note whether anything comes from one member, whatever others say."""
-        if heard:
-            self._unheard_names.discard(name)
+    def set_reachable(self, name: str, *, reachable: bool) -> None:
+        """Record whether this node can reach a member, whatever other nodes report."""
+        if reachable:
+            self._unreachable_names.discard(name)
         else:
-            self._unheard_names.add(name)
+            self._unreachable_names.add(name)
 
-    def set_unheard(self, failure_domains: frozenset[str]) -> None:
-        """Name the failure domains from which nothing comes any more."""
-        self._unheard_domains = failure_domains
+    def set_unreachable_domains(self, failure_domains: frozenset[str]) -> None:
+        """Replace the set of failure domains from which nothing arrives any more."""
+        self._unreachable_domains = failure_domains
 
-    def _as_heard(self, member: Member) -> Member:
-        unheard = (
-            member.name in self._unheard_names
-            or member.failure_domain in self._unheard_domains
+    def _with_reachability(self, member: Member) -> Member:
+        unreachable = (
+            member.name in self._unreachable_names
+            or member.failure_domain in self._unreachable_domains
         )
-        if not unheard or member.state is MemberState.DEAD:
+        if not unreachable or member.state is MemberState.DEAD:
             return member
         return replace(member, state=MemberState.UNHEARD)
--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -1,19 +1,19 @@
-"""The decisions of membership: what to send, whom to suspect, what to believe."""
+"""The decisions of membership: what to send, whom to suspect, which rows to accept."""
 
 import random
 from functools import singledispatchmethod
 
-from ._domains import DomainWatch
+from ._domain_watch import DomainWatch
 from ._members import Member, Members, MemberState
 from ._messages import (
     Action,
-    AddressKnown,
     Alarm,
     AlarmKind,
     BundleChanged,
     IncarnationRaised,
     LeaveDone,
     LeaveStarted,
+    LinkOpened,
     Message,
     Packet,
     PacketKind,
@@ -24,34 +24,36 @@
     Tick,
 )
 from ._probing import Probing, Timings
-from ._relays import NameWatch, Relays
+from ._relays import NameConflictDetector, Relays
 from ._roster import Roster
 from ._sync import Sync
 
 _ROWS_IN_DATAGRAM = 4
-_PUSH_NEAR = 3
-_PUSH_FAR = 1
+_PUSH_NEAR_TARGETS = 3
+_PUSH_FAR_TARGETS = 1
 _PUSH_BURST = 8.0
 _NUMBER_MODULUS = 1 << 31
 
 
 class Membership:
-    """Knows the nodes of the deployment: ``decide(now_ms, message) -> actions``.
+    """Tracks the nodes of the deployment: ``decide(now_ms, message) -> actions``.
 
-    Within a failure domain it is SWIM: one member is probed each period, directly,
-    then through others; who answers neither is suspected, and dead when it has not
-    refuted that in time. Across failure domains a node only exchanges news with
-    one other now and then: nobody is suspected there, and a failure domain that
-    falls silent counts as unheard as a whole until it is heard again.
+    Within a failure domain the protocol is SWIM: a node probes one member each
+    period, first directly, then through other nodes. A member that answers neither
+    is suspected, and declared dead unless it refutes the suspicion in time. Across
+    failure domains a node only probes one random member now and then to exchange
+    gossip. No single member is suspected there: a failure domain from which nothing
+    arrives counts as unreachable as a whole until something arrives again.
 
-    ``members`` is the view for other slices; it changes only inside ``decide``.
+    ``members`` is the view for other packages; it changes only inside ``decide``
+    and ``preload_rows``.
     """
 
     __slots__ = (
-        "_domains",
+        "_domain_watch",
         "_last_ms",
-        "_name_watch",
-        "_next_remote_ms",
+        "_name_conflicts",
+        "_next_remote_probe_ms",
         "_probing",
         "_push_tokens",
         "_random",
@@ -59,7 +61,7 @@
         "_roster",
         "_sync",
         "_timings",
-        "_unheard",
+        "_unreachable",
         "_urgent",
     )
 
@@ -74,21 +76,23 @@
         self._timings = timings or Timings()
         self._random = random.Random(seed)
         self._roster = Roster(own)
-        self._domains = DomainWatch(own.failure_domain, self._timings.unheard_ms)
+        self._domain_watch = DomainWatch(
+            own.failure_domain, self._timings.unreachable_after_ms
+        )
         self._probing = Probing(now_ms, self._timings, self._random)
         self._sync = Sync(
             now_ms,
             roster=self._roster,
-            domains=self._domains,
+            domains=self._domain_watch,
             timings=self._timings,
             rng=self._random,
         )
         self._relays = Relays(self._timings.probe_period_ms)
         self._push_tokens = _PUSH_BURST
         self._last_ms = now_ms
-        self._next_remote_ms = now_ms + self._remote_wait_ms()
-        self._unheard: frozenset[str] = frozenset()
-        self._name_watch = NameWatch()
+        self._next_remote_probe_ms = now_ms + self._remote_probe_delay_ms()
+        self._unreachable: frozenset[str] = frozenset()
+        self._name_conflicts = NameConflictDetector()
         self._urgent = False
 
     def __repr__(self) -> str:
@@ -99,7 +103,7 @@
         return self._roster.members
 
     def decide(self, now_ms: int, message: Message) -> list[Action]:
-        """Take a message or the passing of time; return what to do now."""
+        """Process a message and the time since the last call; return the actions."""
         actions = self._pass_time(now_ms)
         actions += self._decide(message, now_ms)
         if self._urgent:
@@ -108,12 +112,12 @@
         return actions
 
     def preload_rows(self, now_ms: int, rows: tuple[Member, ...]) -> None:
-        """Start from rows that are known already, without telling them again."""
+        """Start from rows that all nodes already have, without spreading them."""
         for row in rows:
             if row.name != self.members.own.name:
                 self._roster.merge(now_ms, row)
-                self._roster.news.drop(row.name)
-                self._domains.on_heard(now_ms, row.failure_domain)
+                self._roster.gossip.drop(row.name)
+                self._domain_watch.on_contact(now_ms, row.failure_domain)
 
     @singledispatchmethod
     def _decide(self, message: Message, now_ms: int) -> list[Action]:
@@ -122,9 +126,9 @@
     @_decide.register
     def _(self, message: Tick, now_ms: int) -> list[Action]:
         actions = self._probe(now_ms)
-        actions += self._settle_suspicions(now_ms)
-        if now_ms >= self._next_remote_ms:
-            self._next_remote_ms = now_ms + self._remote_wait_ms()
+        actions += self._resolve_suspicions(now_ms)
+        if now_ms >= self._next_remote_probe_ms:
+            self._next_remote_probe_ms = now_ms + self._remote_probe_delay_ms()
             actions += self._probe_other_domain(now_ms)
         actions += self._sync.due(now_ms)
         actions += self._watch_domains(now_ms)
@@ -134,19 +138,21 @@
     def _(self, message: Received, now_ms: int) -> list[Action]:
         packet = message.packet
         if packet.sender.name == self.members.own.name:
-            return self._defend(now_ms, packet.sender)
+            return self._refute(now_ms, packet.sender)
         count = len(self.members.stored_all())
-        actions = self._hear(now_ms, packet.sender)
+        actions = self._on_contact(now_ms, packet.sender)
         for row in packet.rows:
-            actions += self._take_row(now_ms, row)
+            actions += self._merge_row(now_ms, row)
         if packet.kind is PacketKind.ROWS and len(self.members.stored_all()) > count:
-            self._sync.on_learned()
+            self._sync.on_new_members()
         for age in packet.ages:
-            self._domains.on_heard(now_ms, age.failure_domain, max(0, age.age_ms))
+            self._domain_watch.on_contact(
+                now_ms, age.failure_domain, max(0, age.age_ms)
+            )
         return actions + self._answer(now_ms, packet)
 
     @_decide.register
-    def _(self, message: AddressKnown, now_ms: int) -> list[Action]:
+    def _(self, message: LinkOpened, now_ms: int) -> list[Action]:
         self._roster.set_own(address=message.address)
         return []
 
@@ -179,11 +185,11 @@
         return []
 
     def _pass_time(self, now_ms: int) -> list[Action]:
-        """Refill what time refills, and notice when this process stood still.
+        """Refill the push tokens, and detect a pause of this process.
 
-        After a pause every deadline has passed although nobody else failed. A
-        node that believed its timers then would declare its whole failure domain
-        dead; moving them on by the pause gives the others their time back.
+        After a pause every deadline has passed although no other node failed. A node
+        that relied on its timers then would declare its whole failure domain dead, so
+        all deadlines are moved back by the length of the pause.
         """
         passed_ms = now_ms - self._last_ms
         self._last_ms = now_ms
@@ -192,7 +198,7 @@
         if passed_ms <= self._timings.pause_ms:
             return []
         self._probing.on_pause(now_ms, passed_ms)
-        self._domains.on_pause(passed_ms)
+        self._domain_watch.on_pause(passed_ms)
         return [Alarm(AlarmKind.PAUSED, self.members.own.name)]
 
     def _probe(self, now_ms: int) -> list[Action]:
@@ -223,34 +229,34 @@
         self._roster.set_state(now_ms, name, MemberState.SUSPECTED)
         return [Alarm(AlarmKind.NODE_SUSPECTED, name)]
 
-    def _settle_suspicions(self, now_ms: int) -> list[Action]:
+    def _resolve_suspicions(self, now_ms: int) -> list[Action]:
         actions: list[Action] = []
-        for name, witnessed in self._probing.expired(now_ms):
+        for name, link_confirmed in self._probing.expired(now_ms):
             member = self.members.stored(name)
             if member is None or member.state is not MemberState.SUSPECTED:
                 continue
-            if not witnessed:
-                self.members.set_heard(name, heard=False)
+            if not link_confirmed:
+                self.members.set_reachable(name, reachable=False)
                 continue
             self._roster.set_state(now_ms, name, MemberState.DEAD)
             self._urgent = True
             actions.append(Alarm(AlarmKind.NODE_DEAD, name))
         return actions
 
-    def _hear(self, now_ms: int, sender: Member) -> list[Action]:
-        actions = self._take_row(now_ms, sender)
-        known = self.members.stored(sender.name)
-        if known is not None and sender.incarnation >= known.incarnation:
-            self.members.set_heard(sender.name, heard=True)
-            self._domains.on_heard(now_ms, known.failure_domain)
-            for name in self._probing.on_witness(now_ms, sender.name):
-                self._roster.excuse(name)
-                self.members.set_heard(name, heard=True)
+    def _on_contact(self, now_ms: int, sender: Member) -> list[Action]:
+        actions = self._merge_row(now_ms, sender)
+        current = self.members.stored(sender.name)
+        if current is not None and sender.incarnation >= current.incarnation:
+            self.members.set_reachable(sender.name, reachable=True)
+            self._domain_watch.on_contact(now_ms, current.failure_domain)
+            for name in self._probing.on_link_confirmed(now_ms, sender.name):
+                self._roster.withdraw_suspicion(name)
+                self.members.set_reachable(name, reachable=True)
         return actions
 
-    def _take_row(self, now_ms: int, row: Member) -> list[Action]:
+    def _merge_row(self, now_ms: int, row: Member) -> list[Action]:
         if row.name == self.members.own.name:
-            return self._defend(now_ms, row)
+            return self._refute(now_ms, row)
         old = self.members.stored(row.name)
         member = self._roster.merge(now_ms, row)
         if member is None:
@@ -266,15 +272,17 @@
             return [Alarm(AlarmKind.NODE_LIVE, member.name)]
         return []
 
-    def _defend(self, now_ms: int, row: Member) -> list[Action]:
-        above = self._roster.threat_to_own(row)
-        if above is None:
+    def _refute(self, now_ms: int, row: Member) -> list[Action]:
+        minimum = self._roster.incarnation_to_exceed(row)
+        if minimum is None:
             return []
-        self._roster.set_own(incarnation=above + 1)
+        self._roster.set_own(incarnation=minimum + 1)
         self._urgent = True
-        actions: list[Action] = [SetIncarnation(above + 1)]
-        is_elsewhere = row.failure_domain and row.address != self.members.own.address
-        if is_elsewhere and self._name_watch.on_defence(now_ms):
+        actions: list[Action] = [SetIncarnation(minimum + 1)]
+        has_other_address = (
+            row.failure_domain and row.address != self.members.own.address
+        )
+        if has_other_address and self._name_conflicts.on_refutation(now_ms):
             actions.append(Alarm(AlarmKind.NAME_TAKEN, self.members.own.name))
         return actions
 
@@ -283,31 +291,32 @@
         if sender is None:
             return []
         if packet.sender.incarnation < sender.incarnation:
-            return self._tell_behind(packet, sender)
+            return self._notify_stale_sender(packet, sender)
         if packet.kind is PacketKind.PROBE:
             return [self._send(now_ms, sender, PacketKind.ACK, packet.number)]
         if packet.kind is PacketKind.ACK:
-            return self._take_ack(now_ms, packet)
+            return self._on_ack(now_ms, packet)
         if packet.kind is PacketKind.PROBE_REQUEST:
             return self._relay(now_ms, packet)
         if packet.kind is PacketKind.SYNC:
             return self._sync.answer(packet)
         return []
 
-    def _tell_behind(self, packet: Packet, known: Member) -> list[Action]:
-        """Tell a node that a later life of it is known, so that it rises above.
+    def _notify_stale_sender(self, packet: Packet, current: Member) -> list[Action]:
+        """Send a node the higher incarnation that is known of it.
 
-        It restarted after its wall clock was set back. Without this every row
-        about it would count as old and it would stay dead for all others. If it
-        is only an old datagram, the answer changes nothing.
+        The node restarted after its wall clock was set back, so its new incarnation
+        is lower than the last. Without this answer, after which it chooses a higher
+        one, every row about it would count as old and it would stay dead for all
+        others. If the datagram was only an old one, the answer changes nothing.
         """
         if packet.kind not in (PacketKind.PROBE, PacketKind.SYNC):
             return []
-        news = Packet(PacketKind.NEWS, self.members.own, rows=(known,))
-        return [Send(packet.sender.address, news)]
+        gossip = Packet(PacketKind.NEWS, self.members.own, rows=(current,))
+        return [Send(packet.sender.address, gossip)]
 
-    def _take_ack(self, now_ms: int, packet: Packet) -> list[Action]:
-        relay = self._relays.take(packet.number)
+    def _on_ack(self, now_ms: int, packet: Packet) -> list[Action]:
+        relay = self._relays.pop(packet.number)
         if relay is None:
             self._probing.on_ack(packet.number)
             return []
@@ -321,41 +330,43 @@
         if target is None:
             return []
         number = self._new_number()
-        self._relays.put(now_ms, number, packet.sender.name, packet.number)
+        self._relays.add(now_ms, number, packet.sender.name, packet.number)
         return [self._send(now_ms, target, PacketKind.PROBE, number)]
 
     def _probe_other_domain(self, now_ms: int) -> list[Action]:
-        names = self._domains.names()
+        names = self._domain_watch.names()
         if not names:
             return []
         domain = self._random.choice(names)
-        able = [item for item in self._roster.far() if item.failure_domain == domain]
-        if not able:
+        candidates = [
+            item for item in self._roster.far() if item.failure_domain == domain
+        ]
+        if not candidates:
             return []
-        target = self._random.choice(able)
+        target = self._random.choice(candidates)
         return [self._send(now_ms, target, PacketKind.PROBE, self._new_number())]
 
     def _watch_domains(self, now_ms: int) -> list[Action]:
-        unheard = self._domains.unheard(now_ms)
-        if unheard == self._unheard:
+        unreachable = self._domain_watch.unreachable(now_ms)
+        if unreachable == self._unreachable:
             return []
-        lost = sorted(unheard - self._unheard)
-        found = sorted(self._unheard - unheard)
-        self._unheard = unheard
-        self.members.set_unheard(unheard)
+        lost = sorted(unreachable - self._unreachable)
+        recovered = sorted(self._unreachable - unreachable)
+        self._unreachable = unreachable
+        self.members.set_unreachable_domains(unreachable)
         return [Alarm(AlarmKind.DOMAIN_UNHEARD, name) for name in lost] + [
-            Alarm(AlarmKind.DOMAIN_HEARD, name) for name in found
+            Alarm(AlarmKind.DOMAIN_HEARD, name) for name in recovered
         ]
 
     def _push(self, now_ms: int) -> list[Action]:
-        """Tell a few nodes at once what should not wait for the next probe."""
+        """Send urgent gossip to a few nodes without waiting for the next probe."""
         if self._push_tokens < 1 and self.members.own.state is MemberState.LIVE:
             return []
         self._push_tokens -= 1
         near = self._roster.near()
         far = self._roster.far()
-        targets = self._random.sample(near, min(_PUSH_NEAR, len(near)))
-        targets += self._random.sample(far, min(_PUSH_FAR, len(far)))
+        targets = self._random.sample(near, min(_PUSH_NEAR_TARGETS, len(near)))
+        targets += self._random.sample(far, min(_PUSH_FAR_TARGETS, len(far)))
         return [self._send(now_ms, target, PacketKind.NEWS) for target in targets]
 
     def _send(
@@ -364,15 +375,15 @@
         target: Member,
         kind: PacketKind,
         number: int = 0,
-        asked: Member | None = None,
+        probe_target: Member | None = None,
     ) -> Send:
         rows = [
             member
-            for member in (target, asked)
+            for member in (target, probe_target)
             if member and member.state in (MemberState.SUSPECTED, MemberState.DEAD)
         ]
         far = target.failure_domain != self.members.own.failure_domain
-        rows += self._roster.news.take(
+        rows += self._roster.gossip.take_rows(
             _ROWS_IN_DATAGRAM - len(rows),
             for_other_domain=far,
             without=frozenset({target.name, *(row.name for row in rows)}),
@@ -381,13 +392,13 @@
             kind,
             self.members.own,
             number,
-            asked.name if asked else "",
+            probe_target.name if probe_target else "",
             tuple(rows),
-            self._domains.ages(now_ms),
+            self._domain_watch.ages(now_ms),
         )
         return Send(target.address, packet)
 
-    def _remote_wait_ms(self) -> int:
+    def _remote_probe_delay_ms(self) -> int:
         return int(self._timings.remote_period_ms * self._random.uniform(0.8, 1.2))
 
     def _new_number(self) -> int:
--- a/fireflyward/membership/_messages.py
+++ b/fireflyward/membership/_messages.py
@@ -1,4 +1,4 @@
-"""What goes into the membership decision and what comes out of it."""
+"""The inputs and outputs of the membership decisions."""
 
 import enum
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class PacketKind(enum.IntEnum):
-    """The kinds of datagrams between the membership of two nodes."""
+    """The kinds of membership datagrams between two nodes."""
 
     PROBE = 1
     ACK = 2
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainAge:
-    """How long ago the sender, or whoever told it, heard a failure domain."""
+    """How long ago the sender, or its source, last had contact to a failure domain."""
 
     failure_domain: str
     age_ms: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainDigest:
-    """A hash over what the sender knows of the members of a failure domain."""
+    """A hash over the sender's rows of the members of a failure domain."""
 
     failure_domain: str
     digest: int
@@ -37,9 +37,10 @@
 class Packet:
     """One datagram.
 
-    ``sender`` is the sending node as it knows itself. ``number`` pairs an ACK
-    with its PROBE; ``target`` names whom a PROBE_REQUEST asks to probe. ``rows``
-    are pieces of news; a row without a failure domain tells nothing of the place.
+    ``sender`` is the sending node's row about itself. ``number`` pairs an ACK with its
+    PROBE; ``target`` is the name of the node that a PROBE_REQUEST asks to probe.
+    ``rows`` are gossip about members; a row without a failure domain leaves out the
+    address, failure domain and region.
     """
 
     kind: PacketKind
@@ -53,18 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; comes every ``Timings.tick_ms`` or so."""
+    """The timer fired, about every ``Timings.tick_ms``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A datagram came in."""
+    """A datagram was received."""
 
     packet: Packet
 
 
 @dataclass(frozen=True, slots=True)
-class AddressKnown:
+class LinkOpened:
     """The peer link is open at this address."""
 
     address: Address
@@ -72,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedsFound:
-    """Addresses where nodes may be, from settings or the platform's list."""
+    """Addresses at which to look for nodes, from settings or the platform's list."""
 
     addresses: tuple[Address, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class BundleChanged:
-    """This node serves by another bundle from now on."""
+    """This node serves with another bundle from now on."""
 
     number: int
 
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveDone:
-    """This node goes now."""
+    """The planned stop is complete: this node exits now."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +105,7 @@
 Message = (
     Tick
     | Received
-    | AddressKnown
+    | LinkOpened
     | SeedsFound
     | BundleChanged
     | LeaveStarted
@@ -114,7 +115,7 @@
 
 
 class AlarmKind(enum.StrEnum):
-    """What operators are told; docs/operate/take-away.md says what each means."""
+    """The kinds of alarms; docs/operate/take-away.md explains each to operators."""
 
     NODE_SUSPECTED = "node_suspected"
     NODE_DEAD = "node_dead"
@@ -135,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Alarm:
-    """Tell operators; ``name`` is a node's or a failure domain's."""
+    """Raise an alarm about the node or failure domain ``name``."""
 
     kind: AlarmKind
     name: str
@@ -143,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetIncarnation:
-    """This node's incarnation is higher from now on."""
+    """Set this node's incarnation to a higher value."""
 
     incarnation: int
 
--- a/fireflyward/membership/_probing.py
+++ b/fireflyward/membership/_probing.py
@@ -1,4 +1,4 @@
-"""Whom to probe when, and how long a suspicion may stand."""
+"""Decides which members to probe when, and when a suspicion expires."""
 
 import random
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 from ._members import MemberState
 from ._roster import Roster
 
-_HELPERS = 3
+_MAX_HELPERS = 3
 _FAR_HELPERS = 1
 _MAX_SUSPECT_PROBES = 3
 _NUMBER_MODULUS = 1 << 31
@@ -16,19 +16,20 @@
 class Timings:
     """Periods and limits of membership in milliseconds.
 
-    A probe has until the next period; in between it is sent again, and once
-    through others. ``suspicion_ms`` is what a suspected node has to refute: a
-    process that pauses for less is never taken for dead.
+    A probe fails when no answer has arrived by the next period; until then it is
+    resent at ``probe_resend_ms``, the last time also through other nodes.
+    ``suspicion_ms`` is how long a suspected node has to refute the suspicion: a
+    process that pauses for less than this is never declared dead.
     """
 
     tick_ms: int = 100
     probe_period_ms: int = 1_000
-    probe_again_ms: tuple[int, ...] = (200, 400, 600)
+    probe_resend_ms: tuple[int, ...] = (200, 400, 600)
     suspicion_ms: int = 4_000
     remote_period_ms: int = 2_000
     sync_period_ms: int = 10_000
     join_period_ms: int = 1_000
-    unheard_ms: int = 15_000
+    unreachable_after_ms: int = 15_000
     pause_ms: int = 1_000
     push_per_second: float = 2.0
 
@@ -47,14 +48,14 @@
 class _Probe:
     name: str
     number: int
-    began_ms: int
+    started_ms: int
     sent: int = 1
 
 
 @dataclass(slots=True)
 class _Suspicion:
     since_ms: int
-    witnessed: bool = False
+    link_confirmed: bool = False
     number: int = 0
 
 
@@ -62,10 +63,10 @@
 class Probing:
     """Probes the members of the own failure domain in turn, in random order.
 
-    Only the node whose own probe failed lets a suspicion run out; others that
-    heard of it wait for its word. Its clock starts when it hears from anybody
-    else (a witness that it is not itself cut off), so a node that hears nobody
-    declares nobody dead.
+    Only a node whose own probe failed lets the suspicion expire; a node that received
+    the suspicion as gossip waits for the result. The time of a suspicion starts when
+    any other node is in contact, which confirms that this node is not itself cut
+    off. A node that receives nothing therefore declares no other node dead.
     """
 
     started_ms: int
@@ -83,57 +84,57 @@
     def due(self, now_ms: int, roster: Roster) -> list[Attempt]:
         """Return the probes to send now and those that have failed."""
         if now_ms >= self._next_ms:
-            return self._begin_round(now_ms, roster)
-        return self._send_again(now_ms, roster)
+            return self._start_round(now_ms, roster)
+        return self._resend(now_ms, roster)
 
     def on_ack(self, number: int) -> None:
-        """Note that a probe was answered, by its member or through another.
+        """Record that a probe was answered, directly or through another node.
 
-        An answer of a suspected member takes nothing back by itself, since others
-        were told of the suspicion; it gives the member more time to refute.
+        An answer of a suspected member does not end the suspicion, since other nodes
+        have received the suspicion; it gives the member more time to refute.
         """
         if self._probe and self._probe.number == number:
             self._probe = None
         for suspicion in self._suspicion_by_name.values():
             if suspicion.number == number:
-                suspicion.witnessed = False
+                suspicion.link_confirmed = False
 
     def suspect(self, now_ms: int, name: str) -> None:
-        """Begin a suspicion that this node found out itself."""
+        """Start a suspicion after a failed probe of this node."""
         self._suspicion_by_name.setdefault(name, _Suspicion(now_ms))
 
     def clear(self, name: str) -> None:
-        """End the suspicion of a member: refuted, or settled by another."""
+        """Remove the suspicion of a member: it was refuted, or the member is dead."""
         self._suspicion_by_name.pop(name, None)
 
-    def on_witness(self, now_ms: int, witness: str) -> list[str]:
-        """Take a sign that this node is not itself cut off.
+    def on_link_confirmed(self, now_ms: int, sender: str) -> list[str]:
+        """Record a message from ``sender``: this node is not itself cut off.
 
-        Returns the members whose suspicion ran out while it was: they are not
-        to blame, and their suspicion is void.
+        Returns the members whose suspicion expired while this node received nothing.
+        Those suspicions are removed, since this node's own link may have been broken.
         """
-        void = []
+        withdrawn = []
         for name, suspicion in list(self._suspicion_by_name.items()):
-            if suspicion.witnessed or name == witness:
+            if suspicion.link_confirmed or name == sender:
                 continue
             if self._has_expired(now_ms, suspicion):
                 del self._suspicion_by_name[name]
-                void.append(name)
+                withdrawn.append(name)
                 continue
-            suspicion.witnessed = True
+            suspicion.link_confirmed = True
             suspicion.since_ms = now_ms
-        return void
+        return withdrawn
 
     def expired(self, now_ms: int) -> list[tuple[str, bool]]:
-        """Return the suspected who did not refute in time, and if witnessed."""
+        """Return expired suspicions as pairs of name and ``link_confirmed``."""
         return [
-            (name, suspicion.witnessed)
+            (name, suspicion.link_confirmed)
             for name, suspicion in self._suspicion_by_name.items()
             if self._has_expired(now_ms, suspicion)
         ]
 
     def on_pause(self, now_ms: int, paused_ms: int) -> None:
-        """Give everybody the time back in which this process stood still."""
+        """Extend all deadlines by a pause of this process."""
         self._probe = None
         self._next_ms = now_ms + self.timings.probe_period_ms
         for suspicion in self._suspicion_by_name.values():
@@ -142,7 +143,7 @@
     def _has_expired(self, now_ms: int, suspicion: _Suspicion) -> bool:
         return now_ms - suspicion.since_ms >= self.timings.suspicion_ms
 
-    def _begin_round(self, now_ms: int, roster: Roster) -> list[Attempt]:
+    def _start_round(self, now_ms: int, roster: Roster) -> list[Attempt]:
         attempts = []
         if self._probe:
             attempts.append(Attempt(self._probe.name, failed=True))
@@ -164,25 +165,25 @@
             attempts.append(Attempt(name, self._probe.number))
         return attempts
 
-    def _send_again(self, now_ms: int, roster: Roster) -> list[Attempt]:
+    def _resend(self, now_ms: int, roster: Roster) -> list[Attempt]:
         probe = self._probe
-        again_ms = self.timings.probe_again_ms
-        if probe is None or probe.sent > len(again_ms):
+        resend_ms = self.timings.probe_resend_ms
+        if probe is None or probe.sent > len(resend_ms):
             return []
-        if now_ms - probe.began_ms < again_ms[probe.sent - 1]:
+        if now_ms - probe.started_ms < resend_ms[probe.sent - 1]:
             return []
         probe.sent += 1
         helpers: tuple[str, ...] = ()
-        if probe.sent > len(again_ms):
+        if probe.sent > len(resend_ms):
             helpers = self._pick_helpers(probe.name, roster)
         return [Attempt(probe.name, probe.number, helpers)]
 
     def _pick_helpers(self, name: str, roster: Roster) -> tuple[str, ...]:
-        """Choose who else is to probe a member.
+        """Choose the nodes that probe a member on behalf of this node.
 
-        One of them stands in another failure domain: when half of a small domain
-        is gone nobody near may be left to ask, and when only links inside the
-        domain are broken a far node still reaches both ends.
+        One of them is in another failure domain: when half of a small domain is
+        lost, no node of the same domain may be left to help, and when only links
+        inside the domain are broken, a node outside still reaches both ends.
         """
         near = [
             member.name
@@ -191,7 +192,7 @@
         ]
         far = [member.name for member in roster.far()]
         helpers = self.random.sample(far, min(_FAR_HELPERS, len(far)))
-        near_count = min(_HELPERS - len(helpers), len(near))
+        near_count = min(_MAX_HELPERS - len(helpers), len(near))
         return (*self.random.sample(near, near_count), *helpers)
 
     def _next_name(self, roster: Roster) -> str | None:
--- a/fireflyward/membership/_relays.py
+++ b/fireflyward/membership/_relays.py
@@ -1,22 +1,22 @@
-"""Probes that this node sends for others, and defences of its own name."""
+"""Probes that this node relays for others, and detection of duplicate node names."""
 
 from dataclasses import dataclass
 
-_DEFENCES_FOR_ALARM = 3
-_DEFENCE_WINDOW_MS = 60_000
+_REFUTATIONS_FOR_ALARM = 3
+_REFUTATION_WINDOW_MS = 60_000
 
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """Whose probe this node passed on, and under which number of theirs."""
+    """A relayed probe: the node that requested it, and the number it gave the probe."""
 
     requester: str
     number: int
-    until_ms: int
+    expires_ms: int
 
 
 class Relays:
-    """The probes for others whose answer is still waited for."""
+    """The relayed probes whose answers have not arrived yet."""
 
     __slots__ = ("_limit_ms", "_relay_by_number")
 
@@ -24,35 +24,43 @@
         self._limit_ms = limit_ms
         self._relay_by_number: dict[int, Relay] = {}
 
-    def put(self, now_ms: int, own_number: int, requester: str, number: int) -> None:
-        """Remember a probe for another, and drop those that lapsed."""
+    def add(self, now_ms: int, own_number: int, requester: str, number: int) -> None:
+        """Record a relayed probe, and drop those that have expired."""
         self._relay_by_number = {
-            known: relay
-            for known, relay in self._relay_by_number.items()
-            if relay.until_ms > now_ms
+            own_probe: relay
+            for own_probe, relay in self._relay_by_number.items()
+            if relay.expires_ms > now_ms
         }
         relay = Relay(requester, number, now_ms + self._limit_ms)
         self._relay_by_number[own_number] = relay
 
-    def take(self, own_number: int) -> Relay | None:
-        """Return for whom an answered probe was, None if for this node itself."""
+    def pop(self, own_number: int) -> Relay | None:
+        """Remove and return the relay of an answered probe, None for an own probe."""
         return self._relay_by_number.pop(own_number, None)
 
 
-class NameWatch:
-    """Notices that two nodes were given one name: each keeps outbidding."""
+class NameConflictDetector:
+    """Detects that two nodes have the same name.
 
-    __slots__ = ("_defences_ms",)
+    Each of them keeps raising its incarnation above that of the other.
+    """
+
+    __slots__ = ("_refutation_times_ms",)
 
     def __init__(self) -> None:
-        self._defences_ms: list[int] = []
-
-    def on_defence(self, now_ms: int) -> bool:
-        """Note a defence against another address; return if it means an alarm."""
-        since_ms = now_ms - _DEFENCE_WINDOW_MS
-        self._defences_ms = [at for at in self._defences_ms if at > since_ms]
-        self._defences_ms.append(now_ms)
-        if len(self._defences_ms) < _DEFENCES_FOR_ALARM:
+        self._refutation_times_ms: list[int] = []
+
+    def on_refutation(self, now_ms: int) -> bool:
+        """Record a refutation of a row with another address.
+
+        Returns whether to raise an alarm.
+        """
+        since_ms = now_ms - _REFUTATION_WINDOW_MS
+        self._refutation_times_ms = [
+            at for at in self._refutation_times_ms if at > since_ms
+        ]
+        self._refutation_times_ms.append(now_ms)
+        if len(self._refutation_times_ms) < _REFUTATIONS_FOR_ALARM:
             return False
-        self._defences_ms.clear()
+        self._refutation_times_ms.clear()
         return True
--- a/fireflyward/membership/_rendezvous.py
+++ b/fireflyward/membership/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every node works out the owner of a key alone."""
+"""Rendezvous hashing: every node computes the owner of a key without coordination."""
 
 import hashlib
 import heapq
@@ -12,8 +12,8 @@
 def owner_of(key: str, members: Iterable[Member]) -> Member | None:
     """Return the member that owns ``key``, or None if there are no members.
 
-    A key changes its owner only when the owner itself goes or a member comes that
-    weighs more for it, so one of n members going moves 1/n of the keys.
+    A key changes its owner only when the owner leaves or a member with a higher
+    weight for this key joins: when one of n members leaves, 1/n of the keys move.
     """
     owners = owners_of(key, members, 1)
     return owners[0] if owners else None
@@ -22,8 +22,8 @@
 def owners_of(key: str, members: Iterable[Member], count: int) -> tuple[Member, ...]:
     """Return up to ``count`` members for ``key``, the owner first.
 
-    When the owner goes, the second becomes the owner: a backup that already has
-    what it needs can be chosen before it is needed. Costs one hash a member.
+    When the owner leaves, the second becomes the owner, so a caller can prepare it
+    as a backup in advance. A call computes one hash for each member.
     """
     return tuple(
         heapq.nlargest(count, members, key=lambda member: _weight(key, member))
@@ -38,13 +38,13 @@
 
 
 class SteadyMembers:
-    """Keeps a member that went for a grace time, since most come back by then.
+    """Keeps a member that left for a grace time, in which most members come back.
 
-    A planned restart takes seconds. Moving its share of keys away and back moves
-    it twice for nothing, and with 110 restarts a day somebody always moves.
+    A planned restart takes seconds, and 110 restarts happen on a day. Without the
+    grace time each of them would move the member's keys to other members and back.
     Kafka Streams, for the same reason, does not leave its group when it is closed
-    and waits for the session to expire. For work that can wait for the grace time
-    or has a second owner; not for work that must be done now.
+    and waits for the session to expire. This class suits work that can wait for the
+    grace time or has a second owner; not work that must be done immediately.
 
     >>> one = Member("entry-1", ("127.0.0.1", 1), "d1", "r", 7)
     >>> steady = SteadyMembers(grace_ms=30_000)
@@ -52,19 +52,19 @@
     [1, 1]
     """
 
-    __slots__ = ("_grace_ms", "_seen_by_name")
+    __slots__ = ("_grace_ms", "_last_live_by_name")
 
     def __init__(self, *, grace_ms: int) -> None:
         self._grace_ms = grace_ms
-        self._seen_by_name: dict[str, tuple[int, Member]] = {}
+        self._last_live_by_name: dict[str, tuple[int, Member]] = {}
 
     def update(self, now_ms: int, live: Iterable[Member]) -> tuple[Member, ...]:
-        """Take who lives now; return them and who lived until a moment ago."""
+        """Record the live members; return them and those live within the grace time."""
         for member in live:
-            self._seen_by_name[member.name] = now_ms, member
-        self._seen_by_name = {
-            name: (seen_ms, member)
-            for name, (seen_ms, member) in self._seen_by_name.items()
-            if now_ms - seen_ms < self._grace_ms
+            self._last_live_by_name[member.name] = now_ms, member
+        self._last_live_by_name = {
+            name: (last_live_ms, member)
+            for name, (last_live_ms, member) in self._last_live_by_name.items()
+            if now_ms - last_live_ms < self._grace_ms
         }
-        return tuple(member for _, member in self._seen_by_name.values())
+        return tuple(member for _, member in self._last_live_by_name.values())
--- a/fireflyward/membership/_roster.py
+++ b/fireflyward/membership/_roster.py
@@ -1,29 +1,29 @@
-"""The rules by which one row about a member replaces another."""
+"""The rules that decide when one row about a member replaces another."""
 
 from dataclasses import replace
 
+from ._gossip import GossipQueue
 from ._members import Member, Members, MemberState
-from ._news import News
 
 _FORGET_DEAD_MS = 3_600_000
 
 
 class Roster:
-    """Merges rows into ``Members`` and remembers which are news to tell.
+    """Merges rows into ``Members`` and queues changed rows as gossip.
 
-    A row is newer by its incarnation, then by its state, so that rows may come in
-    any order and any number of times: merging them again changes nothing. A
-    datagram that somebody recorded and sends again carries an incarnation that is
-    already known, and neither revives nor kills anybody.
+    A higher incarnation makes a row newer, then a higher state. Rows may therefore
+    arrive in any order and any number of times: merging one again changes nothing. A
+    recorded datagram that is replayed contains an incarnation that is already known,
+    so it can neither revive a dead node nor declare a live one dead.
     """
 
-    __slots__ = ("_dead_since_ms_by_name", "_near_and_far", "members", "news")
+    __slots__ = ("_dead_since_ms_by_name", "_others_by_distance", "members", "gossip")
 
     def __init__(self, own: Member) -> None:
         self.members = Members(own)
-        self.news = News()
+        self.gossip = GossipQueue()
         self._dead_since_ms_by_name: dict[str, int] = {}
-        self._near_and_far: tuple[list[Member], list[Member]] | None = None
+        self._others_by_distance: tuple[list[Member], list[Member]] | None = None
 
     @property
     def own(self) -> Member:
@@ -34,23 +34,23 @@
         self.members.put(replace(self.own, **changes))
 
     def near(self) -> list[Member]:
-        """Return the others of the own failure domain that are not dead."""
+        """Return the other members of the own failure domain that are not dead."""
         return self._others()[0]
 
     def far(self) -> list[Member]:
         """Return the members of other failure domains that are not dead."""
         return self._others()[1]
 
-    def excuse(self, name: str) -> None:
-        """Take back a suspicion that this node should not have had."""
-        self.news.drop(name)
+    def withdraw_suspicion(self, name: str) -> None:
+        """Withdraw a suspicion that this node should not have raised."""
+        self.gossip.drop(name)
         member = self.members.stored(name)
         if member is not None and member.state is MemberState.SUSPECTED:
             self.members.put(replace(member, state=MemberState.LIVE))
-            self._near_and_far = None
+            self._others_by_distance = None
 
     def merge(self, now_ms: int, row: Member) -> Member | None:
-        """Take a row about another node; return the member if its row changed."""
+        """Merge a row about another node; return the member if its row changed."""
         old = self.members.stored(row.name)
         if old is None:
             return self._add(now_ms, row)
@@ -58,14 +58,14 @@
             return None
         member = _merged(row, old)
         self._put(now_ms, member)
-        self._tell(member)
+        self._enqueue_gossip(member)
         return member
 
     def set_state(self, now_ms: int, name: str, state: MemberState) -> Member:
-        """Change what is known of a member by what this node found out itself."""
+        """Change the state of a member to what this node detected itself."""
         member = replace(self.members.stored(name), state=state)
         self._put(now_ms, member)
-        self._tell(member)
+        self._enqueue_gossip(member)
         return member
 
     def forget_dead(self, now_ms: int) -> None:
@@ -73,16 +73,16 @@
         for name, since_ms in list(self._dead_since_ms_by_name.items()):
             if now_ms - since_ms > _FORGET_DEAD_MS:
                 del self._dead_since_ms_by_name[name]
-                self.news.drop(name)
+                self.gossip.drop(name)
                 self.members.forget(name)
-                self._near_and_far = None
+                self._others_by_distance = None
 
-    def threat_to_own(self, row: Member) -> int | None:
-        """Return the incarnation above which this node must rise, if it must.
+    def incarnation_to_exceed(self, row: Member) -> int | None:
+        """Return the incarnation that this node must exceed to refute ``row``, or None.
 
-        Somebody takes this node for dead, suspected or leaving, or knows a later
-        life of it. The latter happens after a restart when the wall clock, from
-        which an incarnation starts, was set back in between.
+        ``row`` says that this node is dead, suspected or leaving, or has a higher
+        incarnation of it. The latter happens when the wall clock, which sets the
+        first incarnation of a process, was set back before a restart.
         """
         own = self.own
         if row.incarnation > own.incarnation:
@@ -95,15 +95,15 @@
         if not row.failure_domain:
             return None
         self._put(now_ms, row)
-        self._tell(row)
+        self._enqueue_gossip(row)
         return row
 
-    def _tell(self, member: Member) -> None:
-        self.news.put(member, len(self.members.stored_all()))
+    def _enqueue_gossip(self, member: Member) -> None:
+        self.gossip.put(member, len(self.members.stored_all()))
 
     def _others(self) -> tuple[list[Member], list[Member]]:
-        """Return near and far members; they are asked for far more than changed."""
-        if self._near_and_far is None:
+        """Return near and far members; cached, since reads are far more frequent."""
+        if self._others_by_distance is None:
             near: list[Member] = []
             far: list[Member] = []
             own = self.own
@@ -112,12 +112,12 @@
                     continue
                 is_near = member.failure_domain == own.failure_domain
                 (near if is_near else far).append(member)
-            self._near_and_far = near, far
-        return self._near_and_far
+            self._others_by_distance = near, far
+        return self._others_by_distance
 
     def _put(self, now_ms: int, member: Member) -> None:
         self.members.put(member)
-        self._near_and_far = None
+        self._others_by_distance = None
         if member.state is MemberState.DEAD:
             self._dead_since_ms_by_name.setdefault(member.name, now_ms)
         else:
--- a/fireflyward/membership/_task.py
+++ b/fireflyward/membership/_task.py
@@ -1,4 +1,4 @@
-"""The task that carries out what membership decides."""
+"""The task that executes the decisions of membership."""
 
 import asyncio
 import logging
@@ -16,12 +16,12 @@
 from ._membership_structs import Packet as PacketStruct
 from ._messages import (
     Action,
-    AddressKnown,
     Alarm,
     BundleChanged,
     IncarnationRaised,
     LeaveDone,
     LeaveStarted,
+    LinkOpened,
     Message,
     Received,
     SeedsFound,
@@ -36,15 +36,15 @@
 
 KIND = "membership"
 _SEED_PERIOD_MS = 10_000
-_MEASURE_PERIOD_MS = 5_000
+_METRICS_PERIOD_MS = 5_000
 
 
 class MembershipTask:
-    """Owns the datagrams of membership of one node.
+    """Sends and receives the membership datagrams of one node.
 
-    ``seeds`` come from settings; the platform's list, when there is one, adds to
-    them. Neither is waited for: a node starts alone and meets the others when any
-    of them can be reached.
+    ``seeds`` come from settings; the platform's list of VMs, if there is one, adds
+    to them. The task waits for neither: a node starts alone and joins the others
+    as soon as it reaches one of them.
     """
 
     def __init__(
@@ -69,47 +69,47 @@
         self._vms = vms
         self._tasks: list[asyncio.Task[None]] = []
         link.register(KIND, PacketStruct, self._on_datagram)
-        link.on_incarnation = lambda number: self._tell(IncarnationRaised(number))
+        link.on_incarnation = lambda number: self._decide(IncarnationRaised(number))
 
     @property
     def members(self) -> Members:
         return self._membership.members
 
     def start(self) -> None:
-        """Begin, once the peer link is open."""
-        self._tell(AddressKnown(self._link.address))
-        self._tell(SeedsFound(self._seeds))
+        """Start; call this once the peer link is open."""
+        self._decide(LinkOpened(self._link.address))
+        self._decide(SeedsFound(self._seeds))
         self._tasks = [
             asyncio.create_task(self._tick()),
-            asyncio.create_task(self._look_for_seeds()),
-            asyncio.create_task(self._measure()),
+            asyncio.create_task(self._poll_seeds()),
+            asyncio.create_task(self._update_metrics()),
         ]
 
     def add_seeds(self, addresses: tuple[Address, ...]) -> None:
-        """Ask at these addresses too, besides those of the settings."""
-        self._tell(SeedsFound(tuple(sorted({*self._seeds, *addresses}))))
+        """Look for nodes at these addresses, besides the seeds of the settings."""
+        self._decide(SeedsFound(tuple(sorted({*self._seeds, *addresses}))))
 
     def leave(self) -> None:
-        """Tell the others that a planned stop of this node has begun."""
-        self._tell(LeaveStarted())
+        """Announce that a planned stop of this node has begun."""
+        self._decide(LeaveStarted())
 
     async def stop(self) -> None:
-        """Tell the others that this node goes now, and end."""
+        """Announce that this node exits now, and stop."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if self._tasks:
-            self._tell(LeaveDone())
+            self._decide(LeaveDone())
         self._tasks = []
 
     async def _tick(self) -> None:
         while True:
             if self._bundle_number() != self.members.own.bundle_number:
-                self._tell(BundleChanged(self._bundle_number()))
-            self._tell(Tick())
+                self._decide(BundleChanged(self._bundle_number()))
+            self._decide(Tick())
             await self._clock.sleep_ms(Timings().tick_ms)
 
-    async def _look_for_seeds(self) -> None:
+    async def _poll_seeds(self) -> None:
         while self._vms is not None:
             found = await self._vms.list()
             if isinstance(found, VmList):
@@ -122,10 +122,10 @@
         if packet is None or packet.sender.name != sender:
             log.warning("membership: datagram from %s refused", sender)
             return
-        self._tell(Received(packet))
+        self._decide(Received(packet))
         self._on_number(sender, packet.sender.bundle_number)
 
-    def _tell(self, message: Message) -> None:
+    def _decide(self, message: Message) -> None:
         for action in self._membership.decide(self._clock.now_ms(), message):
             self._perform(action)
 
@@ -147,13 +147,13 @@
     def _(self, action: SetIncarnation) -> None:
         self._link.incarnation = action.incarnation
 
-    async def _measure(self) -> None:
+    async def _update_metrics(self) -> None:
         while True:
             states = [member.state for member in self.members.known()]
             for state in MemberState:
                 name = f"members_{state.name.lower()}"
                 self._metrics.gauge(name, states.count(state))
-            await self._clock.sleep_ms(_MEASURE_PERIOD_MS)
+            await self._clock.sleep_ms(_METRICS_PERIOD_MS)
 
 
 def _address(text: str) -> Address | None:
--- a/fireflyward/membership/_wire.py
+++ b/fireflyward/membership/_wire.py
@@ -1,4 +1,4 @@
-"""Membership datagrams as Thrift structs."""
+"""Conversion of membership datagrams to and from Thrift structs."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def to_struct(packet: Packet) -> Any:
-    """Return a datagram's Thrift struct; what is empty is left out."""
+    """Return a datagram's Thrift struct; empty fields are left out."""
     return structs.Packet(
         kind=packet.kind,
         sender=_to_row(packet.sender),
@@ -35,7 +35,7 @@
 
 
 def from_struct(struct: Any) -> Packet | None:
-    """Return the datagram of a Thrift struct, None if a number means nothing."""
+    """Return the datagram of a Thrift struct, None if a value is invalid."""
     try:
         return Packet(
             PacketKind(struct.kind),
@@ -75,13 +75,13 @@
 def _from_row(row: Any) -> Member:
     state = MemberState(row.state)
     if state is MemberState.UNHEARD or not row.name:
-        raise ValueError("a row that nobody may send")
+        raise ValueError("row without a name, or with a state that is never sent")
     if row.place is None:
         return Member(
             row.name, _NO_ADDRESS, "", "", row.incarnation, state, row.bundle_number
         )
     if not 0 < row.place.port <= _MAX_PORT:
-        raise ValueError("a port that nobody can have")
+        raise ValueError("port out of range")
     return Member(
         row.name,
         (row.place.host, row.place.port),
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -24,10 +24,10 @@
             self.names(self.members.all_live()), ["LIVE", "SUSPECTED", "own"]
         )
 
-    def test_members_of_an_unheard_domain_are_not_live(self):
+    def test_members_of_an_unreachable_domain_are_not_live(self):
         self.members.put(make_member("far", domain="d2"))
-        self.members.set_unheard(frozenset({"d2"}))
+        self.members.set_unreachable_domains(frozenset({"d2"}))
         self.assertEqual(self.names(self.members.all_live()), ["own"])
         self.assertEqual(self.members.get("far").state, MemberState.UNHEARD)
-        self.members.set_unheard(frozenset())
+        self.members.set_unreachable_domains(frozenset())
         self.assertEqual(self.names(self.members.live_in("d2")), ["far"])
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -22,7 +22,7 @@
         member = self.net.node_by_name[observer].members.get(name)
         return member.state if member else None
 
-    def everybody_sees(self, name, state):
+    def all_nodes_see(self, name, state):
         return lambda: all(
             self.view(observer, name) is state for observer in self.net.node_by_name
         )
@@ -34,13 +34,13 @@
         self.assertIsNotNone(self.net.run_until(done, limit_ms))
 
 
-class QuietTests(MembershipCase):
-    def test_quiet_time_brings_no_alarm(self):
+class NoFaultTests(MembershipCase):
+    def test_no_alarm_without_faults(self):
         self.start(2, 4)
         self.net.run_ms(120_000)
         self.assertEqual(self.net.alarms, [])
 
-    def test_bundle_number_reaches_everybody(self):
+    def test_bundle_number_reaches_all_nodes(self):
         self.start(3, 3)
         self.net.tell("entry-0-0", BundleChanged(7))
         nodes = self.net.node_by_name.values()
@@ -51,57 +51,63 @@
             9_000,
         )
 
-    def test_new_node_learns_all_and_is_known_to_all(self):
+    def test_new_node_finds_all_nodes_and_is_found_by_all(self):
         self.start(3, 3)
         self.net.start("new", "domain-1", (("entry-0-0", 1),))
         new = self.net.node_by_name["new"].members
         self.assert_soon(lambda: len(new.all_live()) == 10, 10_000)
-        self.assert_soon(self.everybody_sees("new", MemberState.LIVE), 10_000)
+        self.assert_soon(self.all_nodes_see("new", MemberState.LIVE), 10_000)
 
 
 class FailureTests(MembershipCase):
-    def test_dead_node_is_dead_for_all_within_ten_seconds(self):
-        """Symptom: work stays with a node that is gone. Sequence: its VM dies
-        without a word. Cause: nobody can tell silence from loss at once."""
+    def test_all_nodes_declare_a_crashed_node_dead_within_ten_seconds(self):
+        """Guards against work that stays assigned to a node whose VM crashed.
+
+        The other nodes can't distinguish a crash from lost datagrams at first.
+        """
         self.start(2, 5)
         self.net.kill("entry-1-0")
-        self.assert_soon(self.everybody_sees("entry-1-0", MemberState.DEAD), 10_000)
+        self.assert_soon(self.all_nodes_see("entry-1-0", MemberState.DEAD), 10_000)
 
-    def test_last_other_node_of_a_domain_is_still_found_dead(self):
+    def test_last_other_node_of_a_domain_is_declared_dead(self):
         self.start(2, 2)
         self.net.kill("entry-1-0")
-        self.assert_soon(self.everybody_sees("entry-1-0", MemberState.DEAD), 12_000)
+        self.assert_soon(self.all_nodes_see("entry-1-0", MemberState.DEAD), 12_000)
+
+    def test_no_node_is_declared_dead_at_20_percent_loss(self):
+        """Guards against a live node that gets no work because it counts as dead.
 
-    def test_loss_of_a_fifth_kills_nobody(self):
-        """Symptom: a live node gets no share of work. Sequence: probes and their
-        answers are lost several times in a row. Cause: loss looks like death."""
+        Probes and their answers are lost several times in a row.
+        """
         self.start(1, 9, loss=0.2)
         self.net.run_ms(300_000)
         self.assertEqual(self.alarms(AlarmKind.NODE_DEAD), [])
 
-    def test_pause_of_three_seconds_kills_nobody(self):
-        """Symptom: after a pause a node declares all others dead, or is dead for
-        them. Sequence: a process stands still for 3 s, then all its timers have
-        run out. Cause: its own standstill looks like everybody's silence."""
+    def test_no_node_is_declared_dead_after_a_pause_of_three_seconds(self):
+        """Guards against deaths that are declared after a pause of one process.
+
+        After a pause of 3 s all timers of the process have expired. It might declare
+        the others dead, or be declared dead by them.
+        """
         self.start(2, 5)
         self.net.paused.add("entry-0-0")
         self.net.run_ms(3_000)
         self.net.resume("entry-0-0")
         self.net.run_ms(10_000)
         self.assertEqual(self.alarms(AlarmKind.NODE_DEAD), [])
-        self.assertTrue(self.everybody_sees("entry-0-0", MemberState.LIVE)())
+        self.assertTrue(self.all_nodes_see("entry-0-0", MemberState.LIVE)())
 
-    def test_long_pause_is_refuted_on_waking(self):
+    def test_node_refutes_its_death_after_a_long_pause(self):
         self.start(2, 5)
         self.net.paused.add("entry-0-0")
         self.net.run_ms(30_000)
         self.assertEqual(self.view("entry-1-0", "entry-0-0"), MemberState.DEAD)
         self.net.resume("entry-0-0")
-        self.assert_soon(self.everybody_sees("entry-0-0", MemberState.LIVE), 3_000)
+        self.assert_soon(self.all_nodes_see("entry-0-0", MemberState.LIVE), 3_000)
         woken = self.net.node_by_name["entry-0-0"].members
         self.assertEqual(len(woken.all_live()), 10)
 
-    def test_pause_under_loss_kills_only_the_paused(self):
+    def test_only_the_paused_node_is_declared_dead_under_loss(self):
         self.start(1, 9, loss=0.2)
         self.net.paused.add("entry-0-0")
         self.net.run_ms(20_000)
@@ -109,29 +115,30 @@
         self.net.run_ms(60_000)
         dead = {alarm.name for _, _, alarm in self.alarms(AlarmKind.NODE_DEAD)}
         self.assertEqual(dead, {"entry-0-0"})
-        self.assertTrue(self.everybody_sees("entry-0-0", MemberState.LIVE)())
+        self.assertTrue(self.all_nodes_see("entry-0-0", MemberState.LIVE)())
 
-    def test_leaving_is_known_before_the_node_goes(self):
+    def test_leaving_is_announced_before_the_node_exits(self):
         self.start(2, 5)
         self.net.tell("entry-0-0", LeaveStarted())
-        self.assert_soon(self.everybody_sees("entry-0-0", MemberState.LEAVING), 3_000)
+        self.assert_soon(self.all_nodes_see("entry-0-0", MemberState.LEAVING), 3_000)
         self.net.tell("entry-0-0", LeaveDone())
         self.net.kill("entry-0-0")
-        self.assert_soon(self.everybody_sees("entry-0-0", MemberState.DEAD), 3_000)
+        self.assert_soon(self.all_nodes_see("entry-0-0", MemberState.DEAD), 3_000)
         self.assertEqual(self.alarms(AlarmKind.NODE_SUSPECTED), [])
 
 
-class CutTests(MembershipCase):
+class PartitionTests(MembershipCase):
     def cut_domain(self, suffix):
         self.net.is_cut = lambda one, other: (
             one.endswith(suffix) != other.endswith(suffix)
         )
 
-    def test_cut_off_domain_goes_on_alone_and_rejoins_without_a_storm(self):
-        """Symptom: when a failure domain comes back, news about all its members
-        crowd out the traffic. Sequence: cut off for minutes, both sides declare
-        the other dead member by member, then all refute at once. Cause: the
-        silence of a link is told as the death of many nodes."""
+    def test_cut_off_domain_works_alone_and_rejoins_without_a_traffic_peak(self):
+        """Guards against a traffic peak when a failure domain is connected again.
+
+        If both sides of a broken link declared each member of the other side dead,
+        all members would refute that at once when the link works again.
+        """
         self.start(3, 4)
         self.cut_domain("-0")
         self.net.run_ms(300_000)
@@ -149,7 +156,7 @@
         for node in self.net.node_by_name.values():
             self.assertEqual(len(node.members.all_live()), 12)
 
-    def test_death_and_restart_in_a_cut_off_domain_are_known_after_it(self):
+    def test_crash_and_restart_in_a_cut_off_domain_are_known_after_the_cut(self):
         self.start(2, 4)
         self.cut_domain("-0")
         self.net.run_ms(30_000)
@@ -160,13 +167,15 @@
         own = self.net.node_by_name["entry-2-0"].members
         self.assert_soon(lambda: len(own.live_in("domain-0")) == 3, 5_000)
         self.net.is_cut = lambda one, other: False
-        self.assert_soon(self.everybody_sees("entry-1-0", MemberState.DEAD), 60_000)
-        self.assert_soon(self.everybody_sees("entry-2-0", MemberState.LIVE), 60_000)
+        self.assert_soon(self.all_nodes_see("entry-1-0", MemberState.DEAD), 60_000)
+        self.assert_soon(self.all_nodes_see("entry-2-0", MemberState.LIVE), 60_000)
 
-    def test_node_that_hears_nobody_declares_nobody_dead(self):
-        """Symptom: one node with a broken link spreads the death of its whole
-        domain. Sequence: it hears nobody for minutes, then its link heals.
-        Cause: it took its own fault for that of all others."""
+    def test_node_that_receives_nothing_declares_no_node_dead(self):
+        """Guards against a node with a broken link that declares its domain dead.
+
+        The node receives nothing for minutes. When its link works again, it might
+        spread the deaths that it assumed meanwhile.
+        """
         self.start(2, 6)
         self.net.is_cut = lambda one, other: "entry-1-0" in (one, other)
         self.net.run_ms(120_000)
@@ -179,7 +188,7 @@
         for node in self.net.node_by_name.values():
             self.assertEqual(len(node.members.all_live()), 12)
 
-    def test_two_halves_of_a_domain_meet_again(self):
+    def test_two_halves_of_a_domain_rejoin_after_a_partition(self):
         self.start(1, 6)
         left = {"entry-0-0", "entry-1-0", "entry-2-0"}
         self.net.is_cut = lambda one, other: (one in left) != (other in left)
@@ -195,27 +204,31 @@
 
 class IncarnationTests(MembershipCase):
     def test_restart_after_the_wall_clock_was_set_back(self):
-        """Symptom: a restarted node stays dead for all others. Sequence: its wall
-        clock is set back, it restarts and begins with a lower incarnation.
-        Cause: whatever it says counts as older than its death."""
+        """Guards against a restarted node that stays dead for all others.
+
+        Its wall clock was set back, so it starts with a lower incarnation, and all
+        its datagrams count as older than its death.
+        """
         self.start(2, 3)
         self.net.kill("entry-0-0")
         self.net.start("entry-0-0", "domain-0", (("entry-1-0", 1),), incarnation=-50)
         members = self.net.node_by_name["entry-0-0"].members
         self.assert_soon(lambda: members.own.incarnation > 1, 5_000)
         self.net.run_ms(20_000)
-        self.assertTrue(self.everybody_sees("entry-0-0", MemberState.LIVE)())
+        self.assertTrue(self.all_nodes_see("entry-0-0", MemberState.LIVE)())
 
     def test_restart_with_a_clock_set_back_after_it_was_declared_dead(self):
         self.start(2, 3)
         self.net.kill("entry-0-0")
         self.net.run_ms(20_000)
         self.net.start("entry-0-0", "domain-0", (("entry-1-0", 1),), incarnation=0)
-        self.assert_soon(self.everybody_sees("entry-0-0", MemberState.LIVE), 5_000)
+        self.assert_soon(self.all_nodes_see("entry-0-0", MemberState.LIVE), 5_000)
 
     def test_old_datagrams_neither_revive_nor_kill(self):
-        """Symptom: a dead node gets work again, or a live one none. Sequence:
-        somebody sends recorded datagrams again. Cause: old news taken as new."""
+        """Guards against replayed datagrams that change the state of a member.
+
+        A dead node might get work again, or a live one none.
+        """
         self.start(1, 4)
         recorded = [packet for _, _, packet in self.net.sent]
         self.net.kill("entry-3-0")
--- a/tests/membership/test_membership_states.py
+++ b/tests/membership/test_membership_states.py
@@ -1,4 +1,4 @@
-"""Random faults, in random order; what must hold is checked after each."""
+"""Random faults in random order; the invariants are checked after each."""
 
 import unittest
 
@@ -10,11 +10,11 @@
 
 NAMES = tuple(f"entry-{index}-{domain}" for domain in "01" for index in range(3))
 SEEDS = (("entry-0-0", 1), ("entry-0-1", 1), ("entry-1-1", 1))
-SETTLED_MS = 240_000
+CONVERGENCE_LIMIT_MS = 240_000
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """A deployment of two failure domains of three nodes under any faults."""
+    """A deployment of two failure domains of three nodes under random faults."""
 
     def __init__(self):
         super().__init__()
@@ -79,7 +79,7 @@
             self.net.tell(name, Received(packet))
 
     @invariant()
-    def incarnations_never_step_back(self):
+    def incarnations_never_decrease(self):
         for observer, node in self.net.node_by_name.items():
             for member in node.members.stored_all():
                 view = observer, member.name
@@ -88,7 +88,7 @@
                 self.highest_by_view[view] = member.incarnation
 
     @invariant()
-    def every_node_counts_itself_as_live(self):
+    def every_node_considers_itself_live(self):
         for node in self.net.node_by_name.values():
             assert node.members.own.state is MemberState.LIVE
 
@@ -100,7 +100,7 @@
         }
 
     def teardown(self):
-        """Once all faults are over, everybody agrees on who lives."""
+        """After all faults have ended, all nodes agree on which nodes are live."""
         self.cut.clear()
         self.net.loss = 0.0
         for name in list(self.net.paused):
@@ -113,7 +113,7 @@
                 [member.name for member in view.all_live()] == live for view in views
             )
 
-        took_ms = self.net.run_until(agreed, SETTLED_MS, step_ms=1_000)
+        took_ms = self.net.run_until(agreed, CONVERGENCE_LIMIT_MS, step_ms=1_000)
         seen = {
             name: [member.name for member in node.members.all_live()]
             for name, node in self.net.node_by_name.items()
@@ -132,4 +132,4 @@
 
 
 class MembershipStateTests(MembershipMachine.TestCase, unittest.TestCase):
-    """Runs the machine; the base class brings the test."""
+    """Runs the state machine; the test method is inherited."""
--- a/tests/membership/test_rendezvous.py
+++ b/tests/membership/test_rendezvous.py
@@ -9,27 +9,27 @@
 
 
 class OwnerTests(unittest.TestCase):
-    def test_nobody_owns_a_key_without_members(self):
+    def test_key_has_no_owner_without_members(self):
         self.assertIsNone(owner_of("key", []))
 
     def test_order_of_members_does_not_matter(self):
         for key in KEYS[:100]:
             self.assertEqual(owner_of(key, MEMBERS), owner_of(key, MEMBERS[::-1]))
 
-    def test_only_keys_of_the_member_that_goes_move(self):
+    def test_only_keys_of_the_removed_member_move(self):
         before = {key: owner_of(key, MEMBERS) for key in KEYS}
         for key in KEYS:
             after = owner_of(key, MEMBERS[1:])
             if before[key] is not MEMBERS[0]:
                 self.assertIs(after, before[key])
 
-    def test_second_owner_takes_over(self):
+    def test_second_owner_replaces_the_first(self):
         for key in KEYS[:200]:
             first, second = owners_of(key, MEMBERS, 2)
-            left = [member for member in MEMBERS if member is not first]
-            self.assertIs(owner_of(key, left), second)
+            remaining = [member for member in MEMBERS if member is not first]
+            self.assertIs(owner_of(key, remaining), second)
 
-    def test_every_member_owns_its_share(self):
+    def test_keys_are_spread_evenly_over_members(self):
         owners = [owner_of(key, MEMBERS).name for key in KEYS]
         shares = [owners.count(member.name) for member in MEMBERS]
         self.assertGreater(min(shares), 0.5 * len(KEYS) / len(MEMBERS))
@@ -37,17 +37,19 @@
 
 
 class SteadyTests(unittest.TestCase):
-    def test_restart_within_the_grace_time_moves_nothing(self):
-        """Symptom: polls and affinities move all day. Sequence: a node restarts
-        in seconds; its share goes to others and comes back. Cause: each change of
-        membership moved work at once, though it was about to be undone."""
+    def test_restart_within_the_grace_time_moves_no_keys(self):
+        """Guards against polls and affinities that move at every restart of a node.
+
+        A node restarts in seconds; without the grace time its share of the keys would
+        move to other nodes and back.
+        """
         steady = SteadyMembers(grace_ms=30_000)
         steady.update(0, MEMBERS)
         members = steady.update(8_000, MEMBERS[1:])
         for key in KEYS[:200]:
             self.assertEqual(owner_of(key, members), owner_of(key, MEMBERS))
 
-    def test_member_that_stays_away_is_dropped(self):
+    def test_member_is_removed_after_the_grace_time(self):
         steady = SteadyMembers(grace_ms=30_000)
         steady.update(0, MEMBERS)
         self.assertEqual(len(steady.update(30_000, MEMBERS[1:])), len(MEMBERS) - 1)
--- a/tests/membership/test_task.py
+++ b/tests/membership/test_task.py
@@ -38,7 +38,7 @@
             while not done():
                 await asyncio.sleep(0.01)
 
-    async def test_nodes_meet_through_a_seed_and_tell_when_they_leave(self):
+    async def test_nodes_join_through_a_seed_and_announce_that_they_leave(self):
         first, address = await self.start("entry-1")
         second, _ = await self.start("entry-2", seeds=(address,))
         await self.until(lambda: len(first.members.all_live()) == 2)
@@ -52,7 +52,7 @@
         await second.stop()
         await self.until(lambda: first.members.get("entry-2").state is MemberState.DEAD)
 
-    async def test_platform_list_is_a_seed_too(self):
+    async def test_platform_list_provides_seeds(self):
         first, address = await self.start("entry-1")
         vms = MemoryVms()
         vms.entry_by_name["entry-1"] = VmEntry(
@@ -62,7 +62,7 @@
         second, _ = await self.start("entry-2", vms=vms)
         await self.until(lambda: len(second.members.all_live()) == 2)
 
-    async def test_node_starts_alone_while_the_platform_is_away(self):
+    async def test_node_starts_alone_while_the_platform_is_unavailable(self):
         vms = MemoryVms()
         vms.away = True
         task, _ = await self.start("entry-1", vms=vms)
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -20,7 +20,7 @@
     def round_trip(self, packet):
         return from_struct(unpack(PacketStruct, pack(to_struct(packet))))
 
-    def test_packet_comes_back_as_it_was(self):
+    def test_packet_round_trip_is_lossless(self):
         packet = Packet(
             PacketKind.PROBE,
             OWN,
@@ -32,11 +32,11 @@
         )
         self.assertEqual(self.round_trip(packet), packet)
 
-    def test_age_of_months_is_cut_to_what_fits(self):
+    def test_age_of_months_is_limited_to_32_bits(self):
         packet = Packet(PacketKind.NEWS, OWN, ages=(DomainAge("d2", 1 << 40),))
         self.assertEqual(self.round_trip(packet).ages[0].age_ms, 2**31 - 1)
 
-    def test_numbers_that_mean_nothing_are_refused(self):
+    def test_invalid_values_are_rejected(self):
         struct = to_struct(Packet(PacketKind.NEWS, OWN))
         struct.kind = 99
         self.assertIsNone(from_struct(struct))
