--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -25,7 +25,7 @@
 from fireflyward.quarantine import Quarantine
 from fireflyward.retries import RetryBudget
 from fireflyward.routes import RouteTable
-from fireflyward.weights import LoadNews, WeightTask
+from fireflyward.weights import LoadAnnouncer, WeightTask
 
 from ._callers import CallerDoor
 from ._gauges import link_gauges
@@ -89,7 +89,7 @@
             settings, clock=clock, pool=self._pool, aggregators=self._aggregators
         )
         self._directory = self._known.directory
-        self._news = LoadNews(
+        self._news = LoadAnnouncer(
             clock=clock,
             directory=self._directory,
             peer_addresses=self._aggregators.everyone,
--- a/fireflyward/weights/_news.py
+++ b/fireflyward/weights/_news.py
@@ -14,7 +14,7 @@
 _MOST_IN_DATAGRAM = 250
 
 
-class LoadNews:
+class LoadAnnouncer:
     """Sends and takes word of replicas that load weights.
 
     Datagrams may be lost; a node that missed one learns it from the replica's
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -11,7 +11,7 @@
 from fireflyward.replicas import ReplicaDirectory, ReplicaState
 
 from ._load_times import LoadTimes
-from ._news import LoadNews
+from ._news import LoadAnnouncer
 from ._plan import Order, RolloutView, WeightPlan
 
 log = logging.getLogger("fireflyward.weights")
@@ -64,7 +64,7 @@
         api: ReplicaApi,
         directory: ReplicaDirectory,
         weights: WeightBook,
-        news: LoadNews,
+        news: LoadAnnouncer,
         busy_ms: Callable[[int, ReplicaState], float],
         node: str,
         lease_ms: int,
--- a/tests/weights/test_news.py
+++ b/tests/weights/test_news.py
@@ -5,7 +5,7 @@
 from fireflyward.clock import ManualClock
 from fireflyward.peers import pack
 from fireflyward.replicas import ReplicaDirectory
-from fireflyward.weights import LoadNews
+from fireflyward.weights import LoadAnnouncer
 from tests.replicas.makers import entry
 
 
@@ -28,7 +28,7 @@
         entries = [entry(name, version=1) for name in self.names]
         self.directory.on_whole(0, entries, after_outage=False)
         self.link = _Link()
-        self.news = LoadNews(
+        self.news = LoadAnnouncer(
             clock=ManualClock(),
             directory=self.directory,
             peer_addresses=lambda: [("10.0.0.1", n) for n in range(77)],
