--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -123,7 +123,7 @@
         longest_ms = self._lease_ms * _MOST_FRESH_SHARE
         return min(longest_ms, max(_LEAST_FRESH_MS, self._lease_ms * _FRESH_SHARE))
 
-    def look_ms(self) -> float:
+    def lease_poll_ms(self) -> float:
         """Return how long to wait for the next look at the lease."""
         usual_ms = self._lease_ms // _LOOKS_PER_LEASE
         return min(_LOOK_MS, usual_ms) if self._models_behind() else usual_ms
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -262,7 +262,7 @@
 
     async def test_the_lease_is_looked_at_as_its_duty_asks(self):
         look_ms = self.node._lease._look_ms
-        self.node._weight_task.look_ms = lambda: 123.0
+        self.node._weight_task.lease_poll_ms = lambda: 123.0
         self.assertEqual(look_ms(), 123.0)
 
     async def test_a_replica_that_starts_again_under_its_name_is_another_one(self):
--- a/tests/weights/test_task.py
+++ b/tests/weights/test_task.py
@@ -148,8 +148,8 @@
         self.assertTrue(view.is_evacuated)
 
     def test_a_lapsed_lease_is_noticed_sooner_while_a_rollout_is_under_way(self):
-        self.assertEqual(self.task.look_ms(), LEASE_MS // 3)
+        self.assertEqual(self.task.lease_poll_ms(), LEASE_MS // 3)
         self.name_a_version()
-        self.assertEqual(self.task.look_ms(), 400)
+        self.assertEqual(self.task.lease_poll_ms(), 400)
         self.directory.find("r1").on_loaded("m", 2)
-        self.assertEqual(self.task.look_ms(), LEASE_MS // 3)
+        self.assertEqual(self.task.lease_poll_ms(), LEASE_MS // 3)
