--- a/fireflyward/weights/__init__.py
+++ b/fireflyward/weights/__init__.py
@@ -1,7 +1,7 @@
-"""Bringing replicas to the named version of their weights."""
+"""Orders replicas to load the target version of their weights."""
 
-from ._news import LoadAnnouncer
-from ._plan import Order, RolloutView, WeightPlan
+from ._announcer import LoadAnnouncer
+from ._plan import Order, ReplicaView, WeightPlan
 from ._task import WeightTask
 
-__all__ = ["LoadAnnouncer", "Order", "RolloutView", "WeightPlan", "WeightTask"]
+__all__ = ["LoadAnnouncer", "Order", "ReplicaView", "WeightPlan", "WeightTask"]
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -1,4 +1,4 @@
-"""The task of the one node that orders replicas to load weights."""
+"""The task that orders replicas to load weights, on the node with the lease."""
 
 import asyncio
 import logging
@@ -10,50 +10,51 @@
 from fireflyward.platform import ReplicaApi, ReplicaReport
 from fireflyward.replicas import ReplicaDirectory, ReplicaState
 
+from ._announcer import LoadAnnouncer
 from ._load_times import LoadTimes
-from ._news import LoadAnnouncer
-from ._plan import Order, RolloutView, WeightPlan
+from ._plan import Order, ReplicaView, WeightPlan
 
 log = logging.getLogger("fireflyward.weights")
 
-_PERIOD_MS = 100
-# Whoever holds no lease looks less often whether it does; a new holder may order only
-# after longer than this. A wake-up is some 0.1 ms of processor time at every node.
+_ORDER_PERIOD_MS = 100
+# A node without the lease checks less often, since each check costs every node about
+# 0.1 ms of CPU time. A new holder may order only after a longer wait than this.
 _IDLE_PERIOD_MS = 400
-# A holder orders only within this part of the lease after it renewed it, and renews it
-# for the purpose: the sooner its last order is known to be past, the sooner the next
-# holder may order. With a long one a rollout stands still after its holder is lost.
-_FRESH_SHARE = 0.1
-# News, a report and an order take some 60 ms; a window shorter than this would close
-# before them. It is never more than a third of the lease.
-_LEAST_FRESH_MS = 250.0
-_MOST_FRESH_SHARE = 1 / 3
-# While a rollout is under way other nodes look for a lapsed lease this often, so that
-# one whose holder is lost goes on half a second sooner.
-_LOOK_MS = 400
-_LOOKS_PER_LEASE = 3
-_REPORT_MS = 400
-_ORDER_MS = 800
-# Time for the news to reach the other nodes before the replica turns away what
-# they send.
-_NEWS_MS = 40
-# How long others keep away from a replica of which no further word comes.
-_LOADING_MS = 5_000
-# A replica that is ready and gets nothing is capacity lost, so looks come soon after
-# each other.
-_LOOK_PERIOD_MS = 80
-# Runs that have begun end before the load: what they make afterwards would be
-# worth nothing, and cancelled ones are computed twice.
-_MODE = "wait"
+# A holder orders only within this share of the lease after a renewal, and renews the
+# lease when it wants to order. The next holder has to wait until this window of the
+# last one has passed, so a long window delays a rollout whose holder is lost.
+_ORDER_WINDOW_SHARE = 0.1
+# An announcement, a report and an order take about 60 ms together and have to fit into
+# the window. The window is never longer than a third of the lease.
+_MIN_ORDER_WINDOW_MS = 250.0
+_MAX_ORDER_WINDOW_SHARE = 1 / 3
+# During a rollout the other nodes check this often whether the lease has expired, so
+# that a rollout whose holder is lost continues half a second sooner.
+_ROLLOUT_LEASE_POLL_MS = 400
+_LEASE_POLLS_PER_LEASE = 3
+_REPORT_TIMEOUT_MS = 400
+_ORDER_TIMEOUT_MS = 800
+# Wait for the announcement to reach the other nodes before the order makes the replica
+# reject the requests that they send.
+_ANNOUNCEMENT_DELAY_MS = 40
+# How long the other nodes send a loading replica no requests if they receive no
+# announcement that it has loaded.
+_LOADING_ASSUMED_MS = 5_000
+# Replicas are polled frequently, since a loaded replica gets no requests until a poll
+# has shown that it is ready.
+_REPORT_POLL_MS = 80
+# The replica finishes the requests in flight before it loads: their output after a load
+# would be worthless, and cancelled requests would have to be computed again.
+_LOAD_MODE = "wait"
 
 
 class WeightTask:
-    """Orders loads while it holds the lease, and only while that is fresh.
+    """Orders loads while this node holds the lease and has just renewed it.
 
-    Replicas that do not check fencing tokens obey whoever speaks. Two holders
-    that order within one lease's length of each other would load a replica back
-    and forth. So a new holder waits until the last one's orders are that old, and
-    a holder stops well before its lease ends.
+    Replicas that do not check fencing tokens obey any node. Two holders that order
+    within one lease duration of each other could make a replica load two versions
+    alternately. So a new holder waits until the last holder's orders are older than
+    that, and a holder stops ordering well before its lease expires.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         self._api = api
         self._directory = directory
         self._weights = weights
-        self._news = news
+        self._announcer = news
         self._busy_ms = busy_ms
         self._node = node
         self._lease_ms = lease_ms
@@ -86,54 +87,63 @@
         self._loads: set[asyncio.Task[None]] = set()
 
     def on_change(self, change: Gained | Lost) -> None:
-        """Hear of a lease gained or lost."""
+        """Handle a lease that was gained or lost."""
         if not isinstance(change, Gained):
             return
-        self._plan.forget()
+        self._plan.clear()
         wait_ms = self._lease_ms + self._slack_ms
         if change.claim.fencing == 1:
             wait_ms = 0
         elif change.claim.after_lapse:
-            # The last holder stopped a tenth of a lease after its last renewal,
-            # and that was a whole lease ago.
-            wait_ms = int(self._fresh_ms) + self._slack_ms
+            # The last holder renewed the lease at least one lease duration ago, and
+            # stopped ordering one order window after that.
+            wait_ms = int(self._order_window_ms) + self._slack_ms
         self._may_order_at_ms = self._clock.now_ms() + wait_ms
-        log.info("weights: may order in %d ms", wait_ms)
+        log.info("weights: this node may give orders in %d ms", wait_ms)
 
     async def run(self) -> None:
-        """Give the orders that are due, until cancelled."""
+        """Give pending orders periodically, until cancelled."""
         while True:
-            holds = self._lease.claim() is not None
-            await self._clock.sleep_ms(_PERIOD_MS if holds else _IDLE_PERIOD_MS)
-            self._order_due()
+            is_holder = self._lease.claim() is not None
+            await self._clock.sleep_ms(
+                _ORDER_PERIOD_MS if is_holder else _IDLE_PERIOD_MS
+            )
+            self._give_pending_orders()
 
     def _fencing(self) -> int | None:
-        """Return the fencing token to order with, None if none may be given now."""
+        """Return the fencing token for an order, None if no order may be given now."""
         now_ms = self._clock.now_ms()
         claim = self._lease.claim()
         if claim is None or now_ms < self._may_order_at_ms:
             return None
-        if claim.until_ms - now_ms < self._lease_ms - self._fresh_ms:
+        if claim.until_ms - now_ms < self._lease_ms - self._order_window_ms:
             return None
         return claim.fencing
 
     @property
-    def _fresh_ms(self) -> float:
+    def _order_window_ms(self) -> float:
         """Return how long after a renewal an order may be given."""
-        longest_ms = self._lease_ms * _MOST_FRESH_SHARE
-        return min(longest_ms, max(_LEAST_FRESH_MS, self._lease_ms * _FRESH_SHARE))
+        max_window_ms = self._lease_ms * _MAX_ORDER_WINDOW_SHARE
+        return min(
+            max_window_ms,
+            max(_MIN_ORDER_WINDOW_MS, self._lease_ms * _ORDER_WINDOW_SHARE),
+        )
 
     def lease_poll_ms(self) -> float:
-        """Return how long to wait for the next look at the lease."""
-        usual_ms = self._lease_ms // _LOOKS_PER_LEASE
-        return min(_LOOK_MS, usual_ms) if self._models_behind() else usual_ms
+        """Return how long to wait before the next check of the lease."""
+        default_ms = self._lease_ms // _LEASE_POLLS_PER_LEASE
+        return (
+            min(_ROLLOUT_LEASE_POLL_MS, default_ms)
+            if self._outdated_models()
+            else default_ms
+        )
 
-    def _order_due(self) -> None:
+    def _give_pending_orders(self) -> None:
         now_ms = self._clock.now_ms()
         if self._lease.claim() is None or now_ms < self._may_order_at_ms:
             return
         target_by_model = self._weights.targets()
-        for model in self._models_behind():
+        for model in self._outdated_models():
             version = target_by_model[model]
             views = self._views(now_ms, model)
             orders = self._plan.next(now_ms, model, version, views)
@@ -141,28 +151,32 @@
                 self._lease.freshen()
                 return
             for order in orders:
-                self._plan.on_begun(now_ms, order)
+                self._plan.on_order_started(now_ms, order)
             if orders:
-                self._spawn(self._begin(model, version, orders))
+                self._spawn(self._announce_and_order(model, version, orders))
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         load = asyncio.create_task(work)
         self._loads.add(load)
         load.add_done_callback(self._loads.discard)
 
-    async def _begin(self, model: str, version: int, orders: list[Order]) -> None:
-        """Have every node keep away from the replicas, and order them."""
-        replicas = [order.number for order in orders]
-        await self._news.loading(replicas, model, version, _LOADING_MS)
-        await self._clock.sleep_ms(_NEWS_MS)
+    async def _announce_and_order(
+        self, model: str, version: int, orders: list[Order]
+    ) -> None:
+        """Announce the loads, so that nodes avoid the replicas, then send orders."""
+        replicas = [order.incarnation_id for order in orders]
+        await self._announcer.announce_loading(
+            replicas, model, version, _LOADING_ASSUMED_MS
+        )
+        await self._clock.sleep_ms(_ANNOUNCEMENT_DELAY_MS)
         for order in orders:
             self._spawn(self._load(order))
 
-    def _models_behind(self) -> set[str]:
-        """Return the models of which some replica has older weights than named.
+    def _outdated_models(self) -> set[str]:
+        """Return the models of which some replica has older weights than the target.
 
-        It is asked for all the time and looks at each replica once; how busy they
-        are, which takes 10 us for each, is worked out only when one is behind.
+        This is called frequently, so it only compares versions. How busy a replica
+        is, which takes 10 us to calculate, is needed only when a version is outdated.
         """
         target_by_model = self._weights.targets()
         return {
@@ -173,7 +187,7 @@
             if version < target_by_model.get(model, version)
         }
 
-    def _views(self, now_ms: int, model: str) -> list[RolloutView]:
+    def _views(self, now_ms: int, model: str) -> list[ReplicaView]:
         views = []
         least = self._weights.least(now_ms, model)
         evacuated = self._directory.evacuated
@@ -182,7 +196,7 @@
             if version is not None and not state.is_leaving:
                 entry = state.entry
                 views.append(
-                    RolloutView(
+                    ReplicaView(
                         entry.incarnation,
                         state.number,
                         entry.address,
@@ -195,41 +209,42 @@
         return views
 
     async def _load(self, order: Order) -> None:
-        """Order one replica and see it through."""
+        """Order one replica to load, and poll it until it has."""
         report = await self._api.report(
-            order.address, order.incarnation, limit_ms=_REPORT_MS
+            order.address, order.incarnation, limit_ms=_REPORT_TIMEOUT_MS
         )
         if report is None:
-            self._unreached(order, "no report")
+            self._on_order_failed(order, "no load report")
             return
-        if self._is_over(order, report):
-            self._unreached(order, "started again")
+        if self._is_replaced(order, report):
+            self._on_order_failed(order, "restarted")
             return
-        has_it = report.version_by_model.get(order.model) == order.version
-        if not has_it and not report.is_loading:
-            if not await self._order(order, report.orders):
-                self._unreached(order, "not ordered")
+        has_version = report.version_by_model.get(order.model) == order.version
+        if not has_version and not report.is_loading:
+            if not await self._send_order(order, report.orders):
+                self._on_order_failed(order, "order not accepted")
                 return
-        await self._see_through(order)
+        await self._wait_until_loaded(order)
 
-    def _is_over(self, order: Order, report: ReplicaReport) -> bool:
-        """Tell whether the start that was ordered is over.
+    def _is_replaced(self, order: Order, report: ReplicaReport) -> bool:
+        """Return whether the incarnation that the order is for no longer exists.
 
-        What another start under the same name reports says nothing of this one: its
-        count of orders begins anew, and it gets orders of its own once it is listed.
+        The report of a later incarnation with the same name must not be used for this
+        order: its count of orders starts at zero again, and it gets orders of its own
+        as soon as the list contains it.
         """
-        state = self._directory.find_start(order.number)
+        state = self._directory.find_start(order.incarnation_id)
         if state is None:
             return True
         started_ms = state.entry.started_ms
         return bool(report.started_ms) and report.started_ms != started_ms
 
-    def _unreached(self, order: Order, why: str) -> None:
-        log.info("weights: %s not reached: %s", order.incarnation, why)
-        self._plan.on_unreached(self._clock.now_ms(), order)
+    def _on_order_failed(self, order: Order, reason: str) -> None:
+        log.info("weights: order to %s failed: %s", order.incarnation, reason)
+        self._plan.on_order_failed(self._clock.now_ms(), order)
 
-    async def _order(self, order: Order, orders_seen: int) -> bool:
-        """Give the order; return False if the replica surely has not taken it."""
+    async def _send_order(self, order: Order, orders_seen: int) -> bool:
+        """Send the order; return False if the replica definitely did not accept it."""
         fencing = self._fencing()
         if fencing is None:
             return False
@@ -238,11 +253,11 @@
             order.incarnation,
             model=order.model,
             version=order.version,
-            mode=_MODE,
+            mode=_LOAD_MODE,
             holder=self._node,
             fencing=fencing,
             orders_seen=orders_seen,
-            limit_ms=_ORDER_MS,
+            limit_ms=_ORDER_TIMEOUT_MS,
         )
         log.info(
             "weights: %s ordered to %s version %d, token %d: %s",
@@ -254,22 +269,24 @@
         )
         return result.is_accepted or not result.is_known
 
-    async def _see_through(self, order: Order) -> None:
-        """Look at the replica's reports until it has the weights."""
+    async def _wait_until_loaded(self, order: Order) -> None:
+        """Poll the replica until it reports the ordered weights."""
         ordered_ms = self._clock.now_ms()
-        await self._clock.sleep_ms(self._load_times.first_look_ms)
+        await self._clock.sleep_ms(self._load_times.first_poll_ms)
         while self._plan.is_loading(self._clock.now_ms(), order):
-            await self._clock.sleep_ms(_LOOK_PERIOD_MS)
+            await self._clock.sleep_ms(_REPORT_POLL_MS)
             report = await self._api.report(
-                order.address, order.incarnation, limit_ms=_REPORT_MS
+                order.address, order.incarnation, limit_ms=_REPORT_TIMEOUT_MS
             )
             if report is None or report.is_loading:
                 continue
-            if self._is_over(order, report):
+            if self._is_replaced(order, report):
                 return
             if report.version_by_model.get(order.model) == order.version:
-                await self._news.loaded(order.number, order.model, order.version)
+                await self._announcer.announce_loaded(
+                    order.incarnation_id, order.model, order.version
+                )
                 self._load_times.on_loaded(self._clock.now_ms() - ordered_ms)
-                self._plan.on_done(order)
-                self._order_due()
+                self._plan.on_loaded(order)
+                self._give_pending_orders()
                 return
--- a/tests/weights/test_starts.py
+++ b/tests/weights/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Orders to a replica that starts again under its name meanwhile."""
+"""Orders to a replica that has restarted under the same name."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class _Api:
-    """Reports of a replica that started at ``started_ms``; keeps orders."""
+    """Reports a replica that started at ``started_ms``, and records orders."""
 
     def __init__(self):
         self.started_ms = 1_000
@@ -31,7 +31,7 @@
         return OrderResult(False, True, "409")
 
 
-class StartTests(unittest.IsolatedAsyncioTestCase):
+class RestartTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.api = _Api()
         self.directory = ReplicaDirectory()
@@ -51,27 +51,27 @@
             slack_ms=0,
         )
 
-    async def test_the_start_that_was_meant_is_ordered(self):
+    async def test_the_planned_incarnation_is_ordered(self):
         await self.task._load(self.order)
         self.assertEqual(len(self.api.orders), 1)
 
-    async def test_another_start_gets_no_order_that_was_meant_for_the_former(self):
-        """Symptom: a replica loads twice, or loads what it has.
+    async def test_a_later_incarnation_gets_no_order_for_the_former(self):
+        """Guards against a replica that loads twice, or loads the version it has.
 
-        It crashed and came back between the plan and the order. Its count of orders
-        began anew, so that the order looked like the one that it expected.
+        It restarted between the plan and the order. Its count of orders started at
+        zero again, so that the order had the number that it expected.
         """
         self.api.started_ms = 2_000
         await self.task._load(self.order)
         self.assertEqual(self.api.orders, [])
 
-    async def test_a_start_that_the_list_has_replaced_gets_no_order(self):
+    async def test_an_incarnation_replaced_in_the_list_gets_no_order(self):
         again = entry("r1", version=1, started_ms=2_000)
         self.directory.on_changes(0, [again], [], after_outage=False)
         await self.task._load(self.order)
         self.assertEqual(self.api.orders, [])
 
-    async def test_a_replica_that_tells_no_start_is_ordered(self):
+    async def test_a_replica_that_reports_no_start_time_is_ordered(self):
         self.api.started_ms = 0
         await self.task._load(self.order)
         self.assertEqual(len(self.api.orders), 1)
--- a/tests/weights/test_task.py
+++ b/tests/weights/test_task.py
@@ -1,4 +1,4 @@
-"""When a holder of the lease may order."""
+"""When a holder of the lease may give orders."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class Lease:
-    """A lease that holds what it is told to."""
+    """A lease whose claim is set by the test."""
 
     def __init__(self):
         self.held = None
@@ -52,7 +52,7 @@
         self.task.on_change(Gained(claim))
 
     def renew(self):
-        """Renew the claim at the time that it is now."""
+        """Renew the claim at the current time."""
         held = self.lease.held
         self.lease.held = Claim(
             held.fencing, self.clock.now_ms() + LEASE_MS, held.after_lapse
@@ -63,41 +63,41 @@
         self.renew()
         return self.task._fencing()
 
-    def test_a_replica_that_said_that_it_leaves_is_not_behind(self):
-        """Guards against loads of weights at replicas that are about to end."""
+    def test_a_leaving_replica_is_not_ordered(self):
+        """Guards against loads of weights at replicas that are about to exit."""
         weights = (ModelWeights("m", 1),)
         entry = ReplicaEntry("r1", "s", "r1:80", "a", 4, False, weights=weights)
         self.directory.on_whole(0, [entry], after_outage=False)
         self.weights.take(0, WeightTarget("m", 2), at_start=False)
-        self.assertEqual(self.task._models_behind(), {"m"})
+        self.assertEqual(self.task._outdated_models(), {"m"})
         self.directory.on_leaving(self.directory.find("r1"))
-        self.assertEqual(self.task._models_behind(), set())
+        self.assertEqual(self.task._outdated_models(), set())
         self.assertEqual(self.task._views(0, "m"), [])
 
-    def test_the_first_holder_orders_at_once(self):
+    def test_the_first_holder_may_order_immediately(self):
         self.gain(1, after_lapse=False)
         self.assertEqual(self.task._fencing(), 1)
 
-    def test_after_a_hand_over_the_last_orders_are_waited_out(self):
-        """Symptom: a replica loads weights back and forth.
+    def test_after_a_hand_over_the_new_holder_waits_one_lease(self):
+        """Guards against a replica that loads two versions alternately.
 
-        A holder orders and hands over; its successor orders within one lease's
-        length, and replicas that check no token obey both in turns.
+        A holder orders and hands over, and its successor orders within one lease
+        duration. Replicas that do not check fencing tokens obey both.
         """
         self.gain(2, after_lapse=False)
         self.assertIsNone(self.may_order_after(LEASE_MS + SLACK_MS - 1))
         self.assertEqual(self.may_order_after(1), 2)
 
-    def test_after_a_lapse_the_rest_is_waited_out(self):
+    def test_after_an_expiry_the_new_holder_waits_one_order_window(self):
         self.gain(2, after_lapse=True)
         self.assertIsNone(self.may_order_after(LEASE_MS // 10 + SLACK_MS - 1))
         self.assertEqual(self.may_order_after(1), 2)
 
-    def test_a_holder_whose_renewal_is_old_orders_nothing(self):
-        """Symptom: as above.
+    def test_a_holder_with_an_old_renewal_may_not_order(self):
+        """Guards against a replica that loads two versions alternately.
 
-        The holder is cut off from the store and goes on ordering until its lease
-        ends, just before another takes it.
+        A holder that is cut off from the store would order until its lease expires,
+        just before another node gains the lease.
         """
         self.gain(1, after_lapse=False)
         self.clock._now_ms += LEASE_MS // 10
@@ -105,51 +105,51 @@
         self.clock._now_ms += 1
         self.assertIsNone(self.task._fencing())
 
-    def test_without_the_lease_nothing_is_ordered(self):
+    def test_no_orders_without_the_lease(self):
         self.gain(1, after_lapse=False)
         self.lease.held = None
         self.task.on_change(Lost(1))
         self.assertIsNone(self.task._fencing())
 
-    def name_a_version(self):
+    def set_target_version(self):
         entry = ReplicaEntry(
             "r1", "s", "r1:80", "a", 4, False, weights=(ModelWeights("m", 1),)
         )
         self.directory.on_whole(0, [entry], after_outage=False)
         self.weights.take(0, WeightTarget("m", 2))
 
-    def test_a_lease_is_renewed_for_an_order(self):
-        """Symptom: a rollout stands still for four seconds after its holder was lost.
+    def test_the_lease_is_renewed_before_an_order(self):
+        """Guards against a rollout that stops for four seconds after a lost holder.
 
-        The holder might order for a third of the lease after each renewal, and its
-        successor had to wait that out. Now it orders only just after a renewal, which
-        it asks for when an order is due.
+        When a holder might order for a third of the lease after each renewal, its
+        successor had to wait for that long. A holder therefore orders only just after
+        a renewal, and requests a renewal when an order is pending.
         """
         self.gain(1, after_lapse=False)
         self.clock._now_ms += LEASE_MS // 10 + 1
-        self.task._order_due()
+        self.task._give_pending_orders()
         self.assertEqual(self.lease.freshened, 0)
-        self.name_a_version()
-        self.task._order_due()
+        self.set_target_version()
+        self.task._give_pending_orders()
         self.assertEqual(self.lease.freshened, 1)
         self.assertFalse(self.task._loads)
 
-    def test_an_evacuated_domain_loads_beside_the_share(self):
-        """Symptom: a rollout took as long as if nothing were evacuated.
+    def test_replicas_of_an_evacuated_domain_are_marked_in_views(self):
+        """Guards against a rollout that gains no time from an evacuated domain.
 
-        The replicas of the evacuated domain, which serve nobody, waited for their
-        turn among those that did.
+        Replicas of the evacuated domain serve no requests, so they need not wait for
+        the share of the replicas that do.
         """
-        self.name_a_version()
+        self.set_target_version()
         (view,) = self.task._views(0, "m")
         self.assertFalse(view.is_evacuated)
         self.directory.set_evacuated(0, frozenset("a"))
         (view,) = self.task._views(0, "m")
         self.assertTrue(view.is_evacuated)
 
-    def test_a_lapsed_lease_is_noticed_sooner_while_a_rollout_is_under_way(self):
+    def test_the_lease_is_checked_more_often_during_a_rollout(self):
         self.assertEqual(self.task.lease_poll_ms(), LEASE_MS // 3)
-        self.name_a_version()
+        self.set_target_version()
         self.assertEqual(self.task.lease_poll_ms(), 400)
         self.directory.find("r1").on_loaded("m", 2)
         self.assertEqual(self.task.lease_poll_ms(), LEASE_MS // 3)
