--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -178,7 +178,7 @@
             api=self._api,
             directory=self._directory,
             weights=self._weights,
-            news=self._news,
+            announcer=self._news,
             busy_ms=self._known.chooser.queue_ms,
             node=settings.node,
             lease_ms=bounds.lease_ms,
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -65,7 +65,7 @@
         api: ReplicaApi,
         directory: ReplicaDirectory,
         weights: WeightBook,
-        news: LoadAnnouncer,
+        announcer: LoadAnnouncer,
         busy_ms: Callable[[int, ReplicaState], float],
         node: str,
         lease_ms: int,
@@ -76,7 +76,7 @@
         self._api = api
         self._directory = directory
         self._weights = weights
-        self._announcer = news
+        self._announcer = announcer
         self._busy_ms = busy_ms
         self._node = node
         self._lease_ms = lease_ms
--- a/tests/weights/test_incarnations.py
+++ b/tests/weights/test_incarnations.py
@@ -44,7 +44,7 @@
             api=self.api,
             directory=self.directory,
             weights=WeightBook(version_ms=12_000),
-            news=None,
+            announcer=None,
             busy_ms=lambda now_ms, state: 0.0,
             node="entry-1",
             lease_ms=1_000_000,
--- a/tests/weights/test_task.py
+++ b/tests/weights/test_task.py
@@ -39,7 +39,7 @@
             api=None,
             directory=self.directory,
             weights=self.weights,
-            news=None,
+            announcer=None,
             busy_ms=lambda now_ms, state: 0.0,
             node="entry-1",
             lease_ms=LEASE_MS,
