--- a/fireflyward/daemon/_rollout_duty.py
+++ b/fireflyward/daemon/_rollout_duty.py
@@ -168,7 +168,7 @@
     async def _read_row(self) -> None:
         row = await self._table.get(ROLLOUT_KEY)
         if isinstance(row, Row):
-            self.versions.offer(row.version, decode_row(row.value))
+            self.versions.update(row.version, decode_row(row.value))
 
     def _confirmed_versions(self, model: str) -> frozenset[str]:
         """Return the versions that replicas confirm; worked out ten times a second
--- a/fireflyward/rollout/_serving.py
+++ b/fireflyward/rollout/_serving.py
@@ -26,7 +26,7 @@
     >>> versions.of_request("clauses", "v2", "v2", "bridge-team", "beam 7?")
     'v2'
     >>> row = RolloutRow(shares_by_model={"clauses": (VersionShare("v1", 100),)})
-    >>> versions.offer(1, row)
+    >>> versions.update(1, row)
     True
     >>> versions.of_request("clauses", "v2", "v2", "bridge-team", "beam 7?")
     'v1'
@@ -47,7 +47,7 @@
     def row(self) -> RolloutRow:
         return self._row
 
-    def offer(self, row_version: int, row: RolloutRow) -> bool:
+    def update(self, row_version: int, row: RolloutRow) -> bool:
         """Take a row that was read, if it is newer than the one that is held."""
         if row_version <= self._row_version:
             return False
--- a/tests/rollout/test_serving.py
+++ b/tests/rollout/test_serving.py
@@ -20,7 +20,7 @@
 
     def offer(self, version, shares, claims=()):
         row = RolloutRow(shares_by_model={"clauses": shares}, claims=claims)
-        return self.versions.offer(version, row)
+        return self.versions.update(version, row)
 
     def test_version_that_no_replica_serves_yet_is_not_asked_for(self):
         self.offer(1, (VersionShare("v2", 0), VersionShare("v1", 100)))
@@ -36,7 +36,7 @@
         self.confirmed = frozenset({"v1", "v2"})
         other = ServingVersions(lambda model: self.confirmed)
         self.offer(1, HALF)
-        other.offer(1, self.versions.row)
+        other.update(1, self.versions.row)
         prompts = [f"beam {index}?" for index in range(400)]
         chosen = [self.ask(prompt) for prompt in prompts]
         again = [
