--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -121,7 +121,7 @@
 
     @singledispatchmethod
     def _decide(self, message: Message, now_ms: int) -> list[Action]:
-        raise AssertionError(f"no rule for {message!r}")
+        raise AssertionError(f"no handler for {message!r}")
 
     @_decide.register
     def _(self, message: Tick, now_ms: int) -> list[Action]:
--- a/fireflyward/membership/_task.py
+++ b/fireflyward/membership/_task.py
@@ -131,7 +131,7 @@
 
     @singledispatchmethod
     def _perform(self, action: Action) -> None:
-        raise AssertionError(f"no rule for {action!r}")
+        raise AssertionError(f"no handler for {action!r}")
 
     @_perform.register
     def _(self, action: Send) -> None:
--- a/fireflyward/membership/membership.thrift
+++ b/fireflyward/membership/membership.thrift
@@ -1,4 +1,4 @@
-/* Datagrams between the membership of two nodes; kinds and states are the numbers
+/* Membership datagrams between two nodes. The values of kind and state are the numbers
    of PacketKind and MemberState. */
 namespace py fireflyward.membership
 
--- a/fireflyward/rollout/__init__.py
+++ b/fireflyward/rollout/__init__.py
@@ -1,20 +1,20 @@
-"""Rollouts: replicas become what the bundle says, keeping capacity."""
+"""Rollouts: bring replicas to the state of the bundle while keeping capacity."""
 
 from ._budget import LoadBudget
-from ._health import Health, HealthWatch, WatchedEngine, worse
+from ._health import Health, HealthWatch, WatchedEngine, regression
 from ._limits import RolloutLimits
 from ._messages import (
-    Began,
-    Ended,
-    HealthSeen,
+    DriverStarted,
+    DriverStopped,
+    HealthUpdated,
     OrderAnswered,
-    PlanSeen,
-    Reached,
+    PlanUpdated,
     ReadRow,
     ReadState,
-    RowSeen,
+    RowAnswered,
     SendOrder,
-    StateSeen,
+    StateAnswered,
+    StepReached,
     Tick,
     WriteAnswered,
     WriteRow,
@@ -39,18 +39,18 @@
 __all__ = [
     "LEASE_NAME",
     "ROLLOUT_KEY",
-    "Began",
-    "Ended",
+    "DriverStarted",
+    "DriverStopped",
     "Health",
-    "HealthSeen",
+    "HealthUpdated",
     "HealthWatch",
     "LoadBudget",
     "LoadClaim",
     "OrderAnswered",
     "Phase",
     "Plan",
-    "PlanSeen",
-    "Reached",
+    "PlanUpdated",
+    "StepReached",
     "ReadRow",
     "ReadState",
     "Rollout",
@@ -58,10 +58,10 @@
     "RolloutRow",
     "RolloutStep",
     "RolloutTask",
-    "RowSeen",
+    "RowAnswered",
     "SendOrder",
     "ServingVersions",
-    "StateSeen",
+    "StateAnswered",
     "Target",
     "Tick",
     "VersionShare",
@@ -73,5 +73,5 @@
     "plan_of",
     "shares_of",
     "status_lines",
-    "worse",
+    "regression",
 ]
--- a/fireflyward/rollout/_health.py
+++ b/fireflyward/rollout/_health.py
@@ -1,4 +1,4 @@
-"""How runs go by weight version, and whether a new version goes worse."""
+"""Health of runs by weight version, and comparison of a new version with the old."""
 
 from collections.abc import AsyncIterator
 from contextlib import aclosing
@@ -14,21 +14,22 @@
     Refused,
 )
 
-# Below these counts a difference is more likely chance than the new weights.
-_LEAST_RUNS = 20
-_LEAST_FAILURES = 3
+# With fewer runs or failures a difference is more likely due to chance than to the
+# new weights.
+_MIN_RUNS = 20
+_MIN_FAILURES = 3
 _ERROR_MARGIN = 0.05
 _SLOWER_FACTOR = 2.0
 _SLOWER_MARGIN_MS = 50.0
-# A new version has nothing cached, so its first tokens come later whatever the
-# weights. What is compared is time per token that had to be computed; this many
-# tokens stand for what a run costs besides.
+# A new version has nothing in the cache, so its first tokens are later whatever the
+# weights. The comparison therefore uses the time per computed token; this many tokens
+# are added for the fixed cost of a run.
 _FIXED_TOKENS = 256
 
 
 @dataclass(slots=True)
 class Health:
-    """Counts of ended runs; ``refused`` ones did not run and are not counted."""
+    """Counts of finished runs; a run that an engine rejected is not counted."""
 
     runs: int = 0
     failures: int = 0
@@ -48,16 +49,16 @@
         return self.first_token_ms / max(1, self.computed_tokens)
 
 
-def worse(new: Health, old: Health) -> str:
-    """Return in what way ``new`` is worse than ``old``; empty if it is not.
+def regression(new: Health, old: Health) -> str:
+    """Describe how ``new`` is worse than ``old``; empty if it is not worse.
 
-    >>> worse(Health(40, 8), Health(40, 0))
+    >>> regression(Health(40, 8), Health(40, 0))
     'errors in 20.0% of runs, before 0.0%'
     """
-    if new.runs < _LEAST_RUNS or old.runs < _LEAST_RUNS:
+    if new.runs < _MIN_RUNS or old.runs < _MIN_RUNS:
         return ""
     more_errors = new.error_share > old.error_share + _ERROR_MARGIN
-    if new.failures >= _LEAST_FAILURES and more_errors:
+    if new.failures >= _MIN_FAILURES and more_errors:
         return f"errors in {new.error_share:.1%} of runs, before {old.error_share:.1%}"
     longer_ms = new.mean_first_token_ms - old.mean_first_token_ms
     if (
@@ -73,21 +74,21 @@
 
 @dataclass(slots=True)
 class HealthWatch:
-    """Counts this node's runs by model and weight version."""
+    """Counts the runs of this node by model and weight version."""
 
     health_by_version: dict[tuple[str, str], Health] = field(default_factory=dict)
 
     def of(self, model: str, version: str) -> Health:
-        """Return the counts of a version, which begin at zero."""
+        """Return the counts of a version, which start at zero."""
         return self.health_by_version.setdefault((model, version), Health())
 
-    def restart(self) -> None:
-        """Forget the counts, since another rollout begins."""
+    def reset(self) -> None:
+        """Clear the counts, since another rollout begins."""
         self.health_by_version = {}
 
 
 class WatchedEngine:
-    """An engine whose runs are counted; it passes everything else on."""
+    """An engine whose runs are counted; all else is delegated to ``engine``."""
 
     __slots__ = ("_clock", "_engine", "_watch")
 
@@ -103,14 +104,14 @@
         return f"WatchedEngine({self._engine!r})"
 
     async def generate(self, call: EngineCall) -> AsyncIterator[EngineEvent]:
-        """Start a run and count how it ended, unless its reader left early."""
-        began_ms = self._clock.now_ms()
+        """Start a run and count its result, unless the consumer stops early."""
+        started_ms = self._clock.now_ms()
         first_ms: int | None = None
         event: EngineEvent | None = None
         async with aclosing(self._engine.generate(call)) as events:
             async for event in events:
                 if first_ms is None and isinstance(event, Piece):
-                    first_ms = self._clock.now_ms() - began_ms
+                    first_ms = self._clock.now_ms() - started_ms
                 if isinstance(event, Finished):
                     self._count(call, event, first_ms or 0)
                 yield event
--- a/fireflyward/rollout/_limits.py
+++ b/fireflyward/rollout/_limits.py
@@ -1,4 +1,4 @@
-"""The numbers by which a rollout keeps capacity and time."""
+"""Limits on the capacity and time that a rollout may use."""
 
 from dataclasses import dataclass
 
@@ -8,9 +8,10 @@
     """Limits of a deployment's rollouts; times in milliseconds.
 
     ``floor_percent`` of a model's replicas stay in service, or all but one where
-    that is fewer. ``drain_ms`` is how long nodes get to take their runs off a
-    replica before it is ordered to swap; the engine itself ends those that are
-    left. ``order_flight_ms`` is the longest that an order is on its way.
+    that is fewer. ``drain_ms`` is how long a replica's runs may take to finish after
+    the replica was claimed; then it is ordered to load, and the engine itself ends the
+    remaining runs. ``order_flight_ms`` is the longest time that an order can take to
+    arrive.
     """
 
     loads_at_once: int = 2
@@ -23,7 +24,7 @@
     sweep_ms: int = 2_000
     reads_at_once: int = 25
     order_flight_ms: int = 5_000
-    status_gap_ms: int = 5_000
+    status_interval_ms: int = 5_000
 
     def floor_of(self, replicas: int) -> int:
         """Return how many of a model's replicas stay in service.
--- a/fireflyward/rollout/_messages.py
+++ b/fireflyward/rollout/_messages.py
@@ -1,4 +1,4 @@
-"""What passes between the decisions of a rollout and its task."""
+"""The messages and actions between a rollout's decisions and its task."""
 
 from dataclasses import dataclass
 
@@ -20,31 +20,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
-    """This process drives from now on, under ``claim``."""
+class DriverStarted:
+    """This process drives the rollout from now on, under ``claim``."""
 
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """This process does not drive any more."""
+class DriverStopped:
+    """This process no longer drives the rollout."""
 
 
 @dataclass(frozen=True, slots=True)
-class PlanSeen:
-    """A bundle is in force here; a lower number than before is ignored."""
+class PlanUpdated:
+    """The plan of the bundle in force on this node; an older one is ignored."""
 
     plan: Plan
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """The periodic timer fired."""
 
 
 @dataclass(frozen=True, slots=True)
-class RowSeen:
+class RowAnswered:
     """The answer to ``ReadRow``."""
 
     result: Row | Missing | Unavailable
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StateSeen:
+class StateAnswered:
     """The answer to ``ReadState``."""
 
     replica: str
@@ -75,8 +75,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HealthSeen:
-    """How runs went lately, by model and weight version."""
+class HealthUpdated:
+    """The counts of this node's runs, by model and weight version."""
 
     health_by_version: dict[tuple[str, str], Health]
 
@@ -97,36 +97,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadState:
-    """Ask a replica what it is."""
+    """Request the state of a replica."""
 
     replica: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Give an order, if the lease is still held when it goes out."""
+    """Send an order, if this process still holds the lease at that time."""
 
     replica: str
     order: EngineOrder
 
 
 @dataclass(frozen=True, slots=True)
-class Reached:
-    """A step was reached that is no call."""
+class StepReached:
+    """A step was reached that is not a call to a replica or the table."""
 
     step: RolloutStep
     detail: str = ""
 
 
 Message = (
-    Began
-    | Ended
-    | PlanSeen
+    DriverStarted
+    | DriverStopped
+    | PlanUpdated
     | Tick
-    | RowSeen
+    | RowAnswered
     | WriteAnswered
-    | StateSeen
+    | StateAnswered
     | OrderAnswered
-    | HealthSeen
+    | HealthUpdated
 )
-Action = ReadRow | WriteRow | ReadState | SendOrder | Reached
+Action = ReadRow | WriteRow | ReadState | SendOrder | StepReached
--- a/fireflyward/rollout/_next_row.py
+++ b/fireflyward/rollout/_next_row.py
@@ -1,10 +1,10 @@
-"""The row that follows from a bundle, the row before and the replicas' states."""
+"""Computes the next row from the bundle, the current row and the replicas' states."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
 from ._fleet import Fleet
-from ._health import Health, worse
+from ._health import Health, regression
 from ._limits import RolloutLimits
 from ._plan import Plan, Target
 from ._progress import Progress, Verdict
@@ -16,8 +16,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Observed:
-    """Everything that the next row depends on."""
+class RolloutSnapshot:
+    """All inputs from which the next row is computed."""
 
     row: RolloutRow
     plan: Plan
@@ -25,7 +25,7 @@
     limits: RolloutLimits
     progress_by_order: Mapping[str, Progress]
     verdict_by_order: Mapping[str, Verdict]
-    untouched_by_order: Mapping[str, bool]
+    cancellable_by_order: Mapping[str, bool]
     health_by_version: Mapping[tuple[str, str], Health]
     is_watching: bool
     next_version: int
@@ -42,181 +42,187 @@
 
 @dataclass(frozen=True, slots=True)
 class _Hold:
-    """Why nothing new begins, and what an operator can do."""
+    """The reason for holding the rollout, and what an operator can do."""
 
-    because: str
+    reason: str
     next_step: str
 
 
-def next_row(seen: Observed) -> tuple[RolloutRow, RolloutStep] | None:
-    """Return the next row and the step of writing it; None if nothing is due."""
-    claims = _claims_left(seen)
-    if seen.is_superseded:
-        return _superseding_row(seen, claims)
-    hold = _hold(seen)
-    row = seen.row.changed(claims=claims)
+def next_row(snapshot: RolloutSnapshot) -> tuple[RolloutRow, RolloutStep] | None:
+    """Return the next row and the step of its write; None if none is needed."""
+    claims = _remaining_claims(snapshot)
+    if snapshot.is_superseded:
+        return _superseding_row(snapshot, claims)
+    hold = _hold(snapshot)
+    row = snapshot.row.changed(claims=claims)
     if hold and row.phase != Phase.HELD:
         row = row.changed(
-            phase=Phase.HELD, held_because=hold.because, next_step=hold.next_step
+            phase=Phase.HELD, held_because=hold.reason, next_step=hold.next_step
         )
-    elif seen.is_own_bundle and row.phase != Phase.HELD:
-        row = _going_on(seen, row)
-    return _step_of(seen, _with_status(seen, row))
+    elif snapshot.is_own_bundle and row.phase != Phase.HELD:
+        row = _continue_rollout(snapshot, row)
+    return _with_step(snapshot, _with_status(snapshot, row))
 
 
 def _superseding_row(
-    seen: Observed, claims: tuple[LoadClaim, ...]
+    snapshot: RolloutSnapshot, claims: tuple[LoadClaim, ...]
 ) -> tuple[RolloutRow, RolloutStep] | None:
-    """Begin the newer bundle once no load of the older one can go on.
+    """Start the newer bundle once no load of the older one can be in progress.
 
-    That is the safe point: each replica is wholly what one of the bundles says,
-    so the two rollouts never have a replica between them. A claim whose replica
-    is out of reach stays and goes on counting against the loads at once.
+    At that point each replica fully matches one of the two bundles, so a replica is
+    never part of both rollouts. A claim whose replica is unreachable stays and
+    keeps counting towards ``loads_at_once``.
     """
-    verdicts = seen.verdict_by_order
+    verdicts = snapshot.verdict_by_order
     if any(verdicts[claim.order_id] is not Verdict.STUCK for claim in claims):
-        return _step_of(seen, seen.row.changed(claims=claims))
-    if not seen.fleet.is_complete(seen.plan.target_by_replica):
-        return _step_of(seen, seen.row.changed(claims=claims))
-    row = seen.row.changed(
-        bundle_number=seen.plan.bundle_number,
+        return _with_step(snapshot, snapshot.row.changed(claims=claims))
+    if not snapshot.fleet.is_complete(snapshot.plan.target_by_replica):
+        return _with_step(snapshot, snapshot.row.changed(claims=claims))
+    row = snapshot.row.changed(
+        bundle_number=snapshot.plan.bundle_number,
         claims=claims,
         held_because="",
         next_step="",
     )
-    phase = Phase.RUNNING if claims or _lagging(seen, claims) else Phase.DONE
-    row = row.changed(phase=phase, shares_by_model=_shares(seen, row))
-    return _with_status(seen, row), RolloutStep.BEGIN_SENT
+    phase = Phase.RUNNING if claims or _outdated(snapshot, claims) else Phase.DONE
+    row = row.changed(phase=phase, shares_by_model=_shares(snapshot, row))
+    return _with_status(snapshot, row), RolloutStep.BEGIN_SENT
 
 
-def _claims_left(seen: Observed) -> tuple[LoadClaim, ...]:
-    halting = seen.is_superseded or seen.row.phase == Phase.HELD
+def _remaining_claims(snapshot: RolloutSnapshot) -> tuple[LoadClaim, ...]:
+    halting = snapshot.is_superseded or snapshot.row.phase == Phase.HELD
     return tuple(
-        claim for claim in seen.row.claims if not _is_over(seen, claim, halting)
+        claim
+        for claim in snapshot.row.claims
+        if not _is_finished(snapshot, claim, halting)
     )
 
 
-def _is_over(seen: Observed, claim: LoadClaim, halting: bool) -> bool:
-    verdict = seen.verdict_by_order[claim.order_id]
+def _is_finished(snapshot: RolloutSnapshot, claim: LoadClaim, halting: bool) -> bool:
+    verdict = snapshot.verdict_by_order[claim.order_id]
     if verdict in (Verdict.CONFIRMED, Verdict.FAILED):
         return True
-    if halting and seen.untouched_by_order[claim.order_id]:
+    if halting and snapshot.cancellable_by_order[claim.order_id]:
         return True
-    is_dropped = claim.replica not in seen.plan.target_by_replica
-    return verdict is Verdict.STUCK and is_dropped and not seen.is_superseded
+    is_dropped = claim.replica not in snapshot.plan.target_by_replica
+    return verdict is Verdict.STUCK and is_dropped and not snapshot.is_superseded
 
 
-def _going_on(seen: Observed, row: RolloutRow) -> RolloutRow:
-    """Claim what may load next; done is when nothing differs any more."""
-    if not seen.fleet.is_complete(seen.plan.target_by_replica):
+def _continue_rollout(snapshot: RolloutSnapshot, row: RolloutRow) -> RolloutRow:
+    """Claim the next loads; the rollout is done when no replica differs."""
+    if not snapshot.fleet.is_complete(snapshot.plan.target_by_replica):
         return row
-    lagging = _lagging(seen, row.claims)
-    if not seen.is_watching:
-        row = row.changed(claims=row.claims + _new_claims(seen, row.claims, lagging))
-    phase = Phase.RUNNING if row.claims or lagging else Phase.DONE
-    return row.changed(phase=phase, shares_by_model=_shares(seen, row))
+    outdated = _outdated(snapshot, row.claims)
+    if not snapshot.is_watching:
+        row = row.changed(
+            claims=row.claims + _new_claims(snapshot, row.claims, outdated)
+        )
+    phase = Phase.RUNNING if row.claims or outdated else Phase.DONE
+    return row.changed(phase=phase, shares_by_model=_shares(snapshot, row))
 
 
-def _lagging(seen: Observed, claims: tuple[LoadClaim, ...]) -> list[str]:
-    """Return the replicas that answer and are not what the bundle says."""
+def _outdated(snapshot: RolloutSnapshot, claims: tuple[LoadClaim, ...]) -> list[str]:
+    """Return the replicas that answer and do not match the bundle."""
     claimed = {claim.replica for claim in claims}
     names = []
-    for name, target in seen.plan.target_by_replica.items():
-        state = seen.fleet.state_of(name)
+    for name, target in snapshot.plan.target_by_replica.items():
+        state = snapshot.fleet.state_of(name)
         if state and name not in claimed and not target.is_met_by(state):
             names.append(name)
     return names
 
 
 def _new_claims(
-    seen: Observed, claims: tuple[LoadClaim, ...], lagging: list[str]
+    snapshot: RolloutSnapshot, claims: tuple[LoadClaim, ...], outdated: list[str]
 ) -> tuple[LoadClaim, ...]:
     claimed = {claim.replica for claim in claims}
-    loading = {name for name in lagging if seen.fleet.state_of(name).loading}
-    slots = seen.limits.loads_at_once - len(claims) - len(loading)
+    loading = {name for name in outdated if snapshot.fleet.state_of(name).loading}
+    slots = snapshot.limits.loads_at_once - len(claims) - len(loading)
     new: list[LoadClaim] = []
-    for name in lagging:
+    for name in outdated:
         if len(new) >= slots:
             break
         busy = claimed | loading | {claim.replica for claim in new}
-        if name not in busy and _keeps_floor(seen, name, busy):
-            new.append(_claim(seen, name))
+        if name not in busy and _keeps_floor(snapshot, name, busy):
+            new.append(_new_claim(snapshot, name))
     return tuple(new)
 
 
-def _keeps_floor(seen: Observed, name: str, busy: set[str]) -> bool:
-    """Tell whether every model keeps enough replicas while this one loads."""
-    serves = seen.fleet.state_of(name).version_by_model
-    target = seen.plan.target_by_replica[name]
-    changes = target.changes_from(seen.fleet.state_of(name))
+def _keeps_floor(snapshot: RolloutSnapshot, name: str, busy: set[str]) -> bool:
+    """Return whether every model keeps enough replicas while this one loads."""
+    serves = snapshot.fleet.state_of(name).version_by_model
+    target = snapshot.plan.target_by_replica[name]
+    changes = target.changes_from(snapshot.fleet.state_of(name))
     return all(
-        _serving(seen, model, busy | {name})
-        >= seen.limits.floor_of(_replicas(seen, model))
+        _serving(snapshot, model, busy | {name})
+        >= snapshot.limits.floor_of(_replicas(snapshot, model))
         for model in changes
         if model in serves and model in target.version_by_model
     )
 
 
-def _serving(seen: Observed, model: str, without: set[str]) -> int:
-    names = seen.plan.target_by_replica
-    return seen.fleet.counts(model, names, without).total()
+def _serving(snapshot: RolloutSnapshot, model: str, without: set[str]) -> int:
+    names = snapshot.plan.target_by_replica
+    return snapshot.fleet.counts(model, names, without).total()
 
 
-def _replicas(seen: Observed, model: str) -> int:
-    targets = seen.plan.target_by_replica.values()
+def _replicas(snapshot: RolloutSnapshot, model: str) -> int:
+    targets = snapshot.plan.target_by_replica.values()
     return sum(model in target.version_by_model for target in targets)
 
 
-def _claim(seen: Observed, name: str) -> LoadClaim:
-    target: Target = seen.plan.target_by_replica[name]
+def _new_claim(snapshot: RolloutSnapshot, name: str) -> LoadClaim:
+    target: Target = snapshot.plan.target_by_replica[name]
     return LoadClaim(
         name,
-        seen.plan.bundle_number,
-        f"{seen.plan.bundle_number}.{seen.next_version}.{name}",
+        snapshot.plan.bundle_number,
+        f"{snapshot.plan.bundle_number}.{snapshot.next_version}.{name}",
         target.version_by_model,
         target.adapters,
         target.role,
-        target.changes_from(seen.fleet.state_of(name)),
+        target.changes_from(snapshot.fleet.state_of(name)),
     )
 
 
-def _shares(seen: Observed, row: RolloutRow) -> dict[str, tuple[VersionShare, ...]]:
-    names = seen.plan.target_by_replica
+def _shares(
+    snapshot: RolloutSnapshot, row: RolloutRow
+) -> dict[str, tuple[VersionShare, ...]]:
+    names = snapshot.plan.target_by_replica
     without = {claim.replica for claim in row.claims}
     return {
         model: shares_of(
             wanted,
             row.shares_by_model.get(model, ()),
-            seen.fleet.counts(model, names, without),
+            snapshot.fleet.counts(model, names, without),
         )
-        for model, wanted in seen.plan.versions_by_model.items()
+        for model, wanted in snapshot.plan.versions_by_model.items()
     }
 
 
-def _hold(seen: Observed) -> _Hold | None:
-    for order_id, verdict in seen.verdict_by_order.items():
-        progress = seen.progress_by_order[order_id]
-        if progress.claim.bundle_number != seen.row.bundle_number:
+def _hold(snapshot: RolloutSnapshot) -> _Hold | None:
+    for order_id, verdict in snapshot.verdict_by_order.items():
+        progress = snapshot.progress_by_order[order_id]
+        if progress.claim.bundle_number != snapshot.row.bundle_number:
             continue
         if verdict is Verdict.FAILED:
-            return _replica_hold(seen, progress, _failure(seen, progress))
+            return _replica_hold(snapshot, progress, _failure(snapshot, progress))
         if verdict is Verdict.STUCK:
-            limit_s = seen.limits.load_limit_ms // 1_000
+            limit_s = snapshot.limits.load_limit_ms // 1_000
             detail = f"did not confirm its load within {limit_s} s"
-            return _replica_hold(seen, progress, detail)
-    return _worse_hold(seen)
+            return _replica_hold(snapshot, progress, detail)
+    return _regression_hold(snapshot)
 
 
-def _failure(seen: Observed, progress: Progress) -> str:
-    state = seen.fleet.state_of(progress.claim.replica)
+def _failure(snapshot: RolloutSnapshot, progress: Progress) -> str:
+    state = snapshot.fleet.state_of(progress.claim.replica)
     if progress.refusal:
         return progress.refusal
     return state.failed if state and state.failed else "did not take its order"
 
 
-def _replica_hold(seen: Observed, progress: Progress, detail: str) -> _Hold:
+def _replica_hold(snapshot: RolloutSnapshot, progress: Progress, detail: str) -> _Hold:
     name = progress.claim.replica
-    after = seen.row.bundle_number + 1
+    after = snapshot.row.bundle_number + 1
     return _Hold(
         f"{name}: {detail}",
         f"Look at {name}. Then submit bundle {after}: without {name} to go on with "
@@ -224,28 +230,28 @@
     )
 
 
-def _worse_hold(seen: Observed) -> _Hold | None:
-    for model, shares in seen.row.shares_by_model.items():
+def _regression_hold(snapshot: RolloutSnapshot) -> _Hold | None:
+    for model, shares in snapshot.row.shares_by_model.items():
         if len(shares) < 2:
             continue
-        new = seen.health_by_version.get((model, shares[0].version), Health())
-        old = _sum_of(
-            seen.health_by_version.get((model, share.version), Health())
+        new = snapshot.health_by_version.get((model, shares[0].version), Health())
+        old = _total_health(
+            snapshot.health_by_version.get((model, share.version), Health())
             for share in shares[1:]
         )
-        how = worse(new, old)
+        how = regression(new, old)
         if how:
             return _Hold(
                 f"{model} {shares[0].version} answers worse: {how}",
                 f"{shares[0].version} gets no more than its {shares[0].up_to}% of "
-                f"new requests. Submit bundle {seen.row.bundle_number + 1}: with "
+                f"new requests. Submit bundle {snapshot.row.bundle_number + 1}: with "
                 f"{model} at {shares[1].version} to go back, or with "
                 f"{shares[0].version} again to go on all the same.",
             )
     return None
 
 
-def _sum_of(healths) -> Health:
+def _total_health(healths) -> Health:
     total = Health()
     for health in healths:
         total.runs += health.runs
@@ -255,23 +261,27 @@
     return total
 
 
-def _with_status(seen: Observed, row: RolloutRow) -> RolloutRow:
-    states = {name: seen.fleet.state_of(name) for name in seen.plan.target_by_replica}
+def _with_status(snapshot: RolloutSnapshot, row: RolloutRow) -> RolloutRow:
+    states = {
+        name: snapshot.fleet.state_of(name) for name in snapshot.plan.target_by_replica
+    }
     met = sum(
-        state is not None and seen.plan.target_by_replica[name].is_met_by(state)
+        state is not None and snapshot.plan.target_by_replica[name].is_met_by(state)
         for name, state in states.items()
     )
-    away = sorted(name for name, state in states.items() if state is None)
-    if not seen.is_own_bundle and not seen.is_superseded:
+    unreachable = sorted(name for name, state in states.items() if state is None)
+    if not snapshot.is_own_bundle and not snapshot.is_superseded:
         return row
     return row.changed(
-        confirmed=met, total=len(states), unreachable=tuple(away[:_NAMES_SHOWN])
+        confirmed=met, total=len(states), unreachable=tuple(unreachable[:_NAMES_SHOWN])
     )
 
 
-def _step_of(seen: Observed, row: RolloutRow) -> tuple[RolloutRow, RolloutStep] | None:
-    """Return the row with its step, unless only figures changed a moment ago."""
-    before = seen.row
+def _with_step(
+    snapshot: RolloutSnapshot, row: RolloutRow
+) -> tuple[RolloutRow, RolloutStep] | None:
+    """Return the row and its step; status alone is written only when it is due."""
+    before = snapshot.row
     if row == before:
         return None
     if row.phase != before.phase and row.phase == Phase.HELD:
@@ -281,6 +291,6 @@
     if any(claim not in before.claims for claim in row.claims):
         return row, RolloutStep.CLAIM_SENT
     is_urgent = row.claims != before.claims or row.phase != before.phase
-    if is_urgent or seen.is_status_due:
+    if is_urgent or snapshot.is_status_due:
         return row, RolloutStep.ADVANCE_SENT
     return None
--- a/fireflyward/rollout/_plan.py
+++ b/fireflyward/rollout/_plan.py
@@ -1,4 +1,4 @@
-"""What a bundle wants each replica to be."""
+"""The target state of each replica according to a bundle."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """What one replica is to be; ``adapters`` are ``model/adapter``, sorted."""
+    """The target state of one replica; ``adapters`` are ``model/adapter``, sorted."""
 
     version_by_model: dict[str, str]
     adapters: tuple[str, ...] = ()
@@ -18,7 +18,7 @@
     honours_fencing: bool = False
 
     def is_met_by(self, state: EngineState) -> bool:
-        """Tell whether the replica itself says that it is this."""
+        """Return whether the state that a replica reported matches this target."""
         return (
             not state.loading
             and state.version_by_model == self.version_by_model
@@ -27,7 +27,7 @@
         )
 
     def changes_from(self, state: EngineState) -> tuple[str, ...]:
-        """Return the models that the replica must load anew or drop."""
+        """Return the models that the replica must load again or remove."""
         lacking = set(self.adapters) - set(state.adapters)
         reloads = {adapter.partition("/")[0] for adapter in lacking}
         both = set(self.version_by_model) | set(state.version_by_model)
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A bundle as its driver reads it.
+    """The parts of a bundle that the driver of a rollout uses.
 
-    ``versions_by_model`` has the version that new requests of a model are to use;
-    one that single accounts or callers are given is not shared out to others.
+    ``versions_by_model`` has the version that new requests of a model are to use; a
+    version assigned to single accounts or callers gets no share of other requests.
     """
 
     bundle_number: int
--- a/fireflyward/rollout/_progress.py
+++ b/fireflyward/rollout/_progress.py
@@ -1,4 +1,4 @@
-"""How far one claimed load is, as the driver that is at it knows."""
+"""The progress of one claimed load, as the current driver observes it."""
 
 import enum
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Verdict(enum.Enum):
-    """What is to be done about a claim."""
+    """The state of a claimed load, from which the driver's next action follows."""
 
     WAIT = "wait"
     SEND = "send"
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Progress:
-    """One claim's progress; ``inherited`` ones may have been ordered by others."""
+    """One claim's progress; an earlier driver may have ordered an ``inherited`` one."""
 
     claim: LoadClaim
     claimed_ms: int
@@ -45,7 +45,7 @@
         is_fresh: bool,
         limits: RolloutLimits,
     ) -> Verdict:
-        """Judge by the replica's own state; ``is_fresh``: asked after the answer."""
+        """Decide by the replica's state; ``is_fresh``: requested after the answer."""
         if self.refusal:
             return Verdict.FAILED
         if state is not None and not self.in_flight:
@@ -53,8 +53,8 @@
                 return Verdict.CONFIRMED
             if state.order_id == self.claim.order_id and not state.loading:
                 return Verdict.FAILED
-        begun_ms = self.claimed_ms if self.ordered_ms is None else self.ordered_ms
-        if now_ms - begun_ms >= limits.load_limit_ms:
+        started_ms = self.claimed_ms if self.ordered_ms is None else self.ordered_ms
+        if now_ms - started_ms >= limits.load_limit_ms:
             idle = state is not None and not state.loading and not self.in_flight
             return Verdict.FAILED if idle else Verdict.STUCK
         if state is None or self.in_flight:
@@ -62,23 +62,23 @@
         if state.order_id == self.claim.order_id:
             return Verdict.WAIT
         if self.ordered_ms is not None:
-            # The order was lost on its way, or its answer was and the replica has
-            # another order by now. Sending it again under the same id is safe.
+            # Either the order was lost, or its answer was lost and the replica has
+            # received another order since. Resending it with the same id is safe.
             return Verdict.SEND if is_fresh else Verdict.WAIT
         return Verdict.SEND if self._is_drained(now_ms, state, limits) else Verdict.WAIT
 
-    def is_untouched(self, state: EngineState | None, *, is_settled: bool) -> bool:
-        """Tell whether the claim can be given up, since no order can arrive.
+    def is_cancellable(self, state: EngineState | None, *, is_current: bool) -> bool:
+        """Return whether the claim can be cancelled, since no order can arrive.
 
-        ``is_settled`` says that ``state`` was asked for after everything that an
-        earlier driver may have sent has arrived.
+        ``is_current`` says that ``state`` was requested after the latest time at which
+        an order of an earlier driver can arrive.
         """
         if self.ordered_ms is not None or self.in_flight:
             return False
         if not self.inherited:
             return True
         return (
-            is_settled
+            is_current
             and state is not None
             and not state.loading
             and state.order_id != self.claim.order_id
--- a/fireflyward/rollout/_rollout.py
+++ b/fireflyward/rollout/_rollout.py
@@ -1,4 +1,4 @@
-"""The decisions of the one process that drives a rollout."""
+"""The decisions of the process that drives a rollout."""
 
 from functools import singledispatchmethod
 
@@ -18,30 +18,30 @@
 from ._limits import RolloutLimits
 from ._messages import (
     Action,
-    Began,
-    Ended,
-    HealthSeen,
+    DriverStarted,
+    DriverStopped,
+    HealthUpdated,
     Message,
     OrderAnswered,
-    PlanSeen,
-    Reached,
+    PlanUpdated,
     ReadRow,
     ReadState,
-    RowSeen,
+    RowAnswered,
     SendOrder,
-    StateSeen,
+    StateAnswered,
+    StepReached,
     Tick,
     WriteAnswered,
     WriteRow,
 )
-from ._next_row import Observed, next_row
+from ._next_row import RolloutSnapshot, next_row
 from ._plan import Plan
 from ._progress import Progress, Verdict
 from ._row import LoadClaim, Phase
-from ._row_keeper import RowKeeper
+from ._row_tracker import RowTracker
 from ._steps import RolloutStep
 
-_STEP_AFTER = {
+_STEP_AFTER_WRITE = {
     RolloutStep.TAKE_OVER_SENT: RolloutStep.TAKEN_OVER,
     RolloutStep.BEGIN_SENT: RolloutStep.BEGUN,
     RolloutStep.CLAIM_SENT: RolloutStep.CLAIMED,
@@ -52,116 +52,116 @@
 
 
 class Rollout:
-    """Decides without I/O how replicas become what the bundle says.
+    """Decides without I/O how the replicas reach the state that the bundle defines.
 
-    After every message it compares three things: the bundle, the row in the
-    table, and what the replicas say they are. What differs gives the next actions,
-    so a successor that has only the row and the replicas goes on from any point.
+    After every message it compares the bundle, the row in the table and the states
+    that the replicas report. The next actions follow from the differences, so a new
+    driver that has only the row and the replicas can continue from any point.
 
         rollout = Rollout(RolloutLimits())
-        rollout.decide(now_ms, PlanSeen(plan_of(bundle)))
-        for action in rollout.decide(now_ms, Began(claim)):
+        rollout.decide(now_ms, PlanUpdated(plan_of(bundle)))
+        for action in rollout.decide(now_ms, DriverStarted(claim)):
             ...
     """
 
     def __init__(self, limits: RolloutLimits) -> None:
         self._limits = limits
         self._plan: Plan | None = None
-        self._stop()
+        self._reset()
 
     def __repr__(self) -> str:
-        return f"Rollout({self._claim}, {self._keeper.row})"
+        return f"Rollout({self._claim}, {self._row_tracker.row})"
 
-    def _stop(self) -> None:
+    def _reset(self) -> None:
         self._claim: Claim | None = None
-        self._keeper = RowKeeper()
+        self._row_tracker = RowTracker()
         self._fleet = Fleet(self._limits)
         self._progress_by_order: dict[str, Progress] = {}
         self._health: dict[tuple[str, str], Health] = {}
         self._watch_until_ms: int | None = None
-        self._flight_over_ms = 0
-        self._last_lost_ms: int | None = None
-        self._written_ms = 0
+        self._earlier_orders_arrived_ms = 0
+        self._last_lost_order_ms: int | None = None
+        self._last_write_ms = 0
 
     def decide(self, now_ms: int, message: Message) -> list[Action]:
-        """Take a message; return what to do, in order."""
-        actions = self._on(message, now_ms)
-        return actions + self._next(now_ms)
+        """Process a message; return the actions in the order of their execution."""
+        actions = self._handle(message, now_ms)
+        return actions + self._next_actions(now_ms)
 
-    def is_quiet(self, now_ms: int) -> bool:
-        """Tell whether no order of this process can still be on its way."""
+    def has_no_orders_in_flight(self, now_ms: int) -> bool:
+        """Return whether no order of this process can still be in flight."""
         if any(progress.in_flight for progress in self._progress_by_order.values()):
             return False
-        if self._last_lost_ms is None:
+        if self._last_lost_order_ms is None:
             return True
-        return now_ms - self._last_lost_ms >= self._limits.order_flight_ms
+        return now_ms - self._last_lost_order_ms >= self._limits.order_flight_ms
 
     @singledispatchmethod
-    def _on(self, message: Message, now_ms: int) -> list[Action]:
-        raise TypeError(f"no decision for {message!r}")
+    def _handle(self, message: Message, now_ms: int) -> list[Action]:
+        raise TypeError(f"no handler for {message!r}")
 
-    @_on.register
-    def _(self, message: PlanSeen, now_ms: int) -> list[Action]:
+    @_handle.register
+    def _(self, message: PlanUpdated, now_ms: int) -> list[Action]:
         if self._plan is None or message.plan.bundle_number > self._plan.bundle_number:
             self._plan = message.plan
         return []
 
-    @_on.register
-    def _(self, message: Began, now_ms: int) -> list[Action]:
-        self._stop()
+    @_handle.register
+    def _(self, message: DriverStarted, now_ms: int) -> list[Action]:
+        self._reset()
         self._claim = message.claim
         self._budget = LoadBudget(
             per_minute=self._limits.loads_per_minute, now_ms=now_ms
         )
         wait_ms = self._limits.order_flight_ms if message.claim.after_lapse else 0
-        self._flight_over_ms = now_ms + wait_ms
+        self._earlier_orders_arrived_ms = now_ms + wait_ms
         return [ReadRow()]
 
-    @_on.register
-    def _(self, message: Ended, now_ms: int) -> list[Action]:
-        self._stop()
+    @_handle.register
+    def _(self, message: DriverStopped, now_ms: int) -> list[Action]:
+        self._reset()
         return []
 
-    @_on.register
+    @_handle.register
     def _(self, message: Tick, now_ms: int) -> list[Action]:
-        return self._keeper.on_tick() if self._claim else []
+        return self._row_tracker.on_tick() if self._claim else []
 
-    @_on.register
-    def _(self, message: HealthSeen, now_ms: int) -> list[Action]:
+    @_handle.register
+    def _(self, message: HealthUpdated, now_ms: int) -> list[Action]:
         self._health = dict(message.health_by_version)
         return []
 
-    @_on.register
-    def _(self, message: RowSeen, now_ms: int) -> list[Action]:
+    @_handle.register
+    def _(self, message: RowAnswered, now_ms: int) -> list[Action]:
         if self._claim is None:
             return []
-        actions: list[Action] = [Reached(RolloutStep.ROW_SEEN)]
-        write = self._keeper.on_row(message.result)
-        if write and self._keeper.is_settled:
-            actions += self._accepted(now_ms, write)
+        actions: list[Action] = [StepReached(RolloutStep.ROW_SEEN)]
+        write = self._row_tracker.on_row(message.result)
+        if write and self._row_tracker.is_settled:
+            actions += self._on_row_written(now_ms, write)
         elif write:
             actions.append(write)
-        if isinstance(message.result, Row) and self._is_followed():
-            self._stop()
-            actions.append(Reached(RolloutStep.FOLLOWED))
+        if isinstance(message.result, Row) and self._has_later_driver():
+            self._reset()
+            actions.append(StepReached(RolloutStep.FOLLOWED))
         return actions
 
-    @_on.register
+    @_handle.register
     def _(self, message: WriteAnswered, now_ms: int) -> list[Action]:
         if self._claim is None:
             return []
-        result = self._keeper.on_answer(message.result)
+        result = self._row_tracker.on_answer(message.result)
         if isinstance(result, WriteRow):
-            return self._accepted(now_ms, result)
+            return self._on_row_written(now_ms, result)
         return [result] if result else []
 
-    @_on.register
-    def _(self, message: StateSeen, now_ms: int) -> list[Action]:
+    @_handle.register
+    def _(self, message: StateAnswered, now_ms: int) -> list[Action]:
         if self._claim:
             self._fleet.on_state(now_ms, message.replica, message.result)
         return []
 
-    @_on.register
+    @_handle.register
     def _(self, message: OrderAnswered, now_ms: int) -> list[Action]:
         progress = self._progress_by_order.get(message.order_id)
         if progress is None:
@@ -174,71 +174,71 @@
     def _answered(
         self, result: object, progress: Progress, now_ms: int
     ) -> list[Action]:
-        raise TypeError(f"no decision for {result!r}")
+        raise TypeError(f"no handler for {result!r}")
 
     @_answered.register
     def _(self, result: EngineState, progress: Progress, now_ms: int) -> list[Action]:
         self._fleet.on_state(now_ms, progress.claim.replica, result)
-        return [Reached(RolloutStep.ORDER_TAKEN, progress.claim.replica)]
+        return [StepReached(RolloutStep.ORDER_TAKEN, progress.claim.replica)]
 
     @_answered.register
     def _(self, result: Broken, progress: Progress, now_ms: int) -> list[Action]:
         if result.may_have_run:
-            self._last_lost_ms = now_ms
-        return [Reached(RolloutStep.ORDER_LOST, progress.claim.replica)]
+            self._last_lost_order_ms = now_ms
+        return [StepReached(RolloutStep.ORDER_LOST, progress.claim.replica)]
 
     @_answered.register
     def _(self, result: OrderRefused, progress: Progress, now_ms: int) -> list[Action]:
         if result.reason is OrderReason.OLD_FENCING:
-            # A replica knows a later holder: this one has lost its lease without
-            # having noticed, and must not touch anything any more.
-            self._stop()
-            return [Reached(RolloutStep.FOLLOWED, result.detail)]
+            # The replica has an order of a later holder: this process has lost its
+            # lease without noticing, and must not change anything any more.
+            self._reset()
+            return [StepReached(RolloutStep.FOLLOWED, result.detail)]
         progress.refusal = f"refused: {result.reason.value} {result.detail}".strip()
         return []
 
-    def _is_followed(self) -> bool:
-        row = self._keeper.row
+    def _has_later_driver(self) -> bool:
+        row = self._row_tracker.row
         return row is not None and row.fencing > self._claim.fencing
 
-    def _accepted(self, now_ms: int, write: WriteRow) -> list[Action]:
-        """Take in a row that is in the table now."""
-        self._written_ms = now_ms
+    def _on_row_written(self, now_ms: int, write: WriteRow) -> list[Action]:
+        """Adopt a row that has been written to the table."""
+        self._last_write_ms = now_ms
         inherited = write.step is RolloutStep.TAKE_OVER_SENT
-        known = self._progress_by_order
+        current = self._progress_by_order
         self._progress_by_order = {
-            claim.order_id: known.get(claim.order_id)
+            claim.order_id: current.get(claim.order_id)
             or Progress(claim, now_ms, inherited)
             for claim in write.row.claims
         }
         if write.step is RolloutStep.BEGIN_SENT:
             self._watch_until_ms = None
             self._health = {}
-        return [Reached(_STEP_AFTER[write.step])]
+        return [StepReached(_STEP_AFTER_WRITE[write.step])]
 
-    def _next(self, now_ms: int) -> list[Action]:
-        """Compare bundle, row and replicas; return what follows from it."""
-        row = self._keeper.row
+    def _next_actions(self, now_ms: int) -> list[Action]:
+        """Compare bundle, row and replicas; return the actions that follow."""
+        row = self._row_tracker.row
         if self._claim is None or row is None:
             return []
         if row.fencing != self._claim.fencing:
             return self._take_over()
-        actions = self._reads(now_ms)
+        actions = self._read_actions(now_ms)
         verdicts = self._verdicts(now_ms)
-        actions += self._orders(now_ms, verdicts)
-        if self._keeper.may_write and self._plan:
-            actions += self._writes(now_ms, verdicts)
+        actions += self._order_actions(now_ms, verdicts)
+        if self._row_tracker.may_write and self._plan:
+            actions += self._write_actions(now_ms, verdicts)
         return actions
 
     def _take_over(self) -> list[Action]:
-        """Make the row this holder's, so that an earlier one's writes conflict."""
-        if not self._keeper.may_write:
+        """Write this holder's fencing number: earlier holders' writes then conflict."""
+        if not self._row_tracker.may_write:
             return []
-        row = self._keeper.row.changed(fencing=self._claim.fencing)
-        return [self._keeper.write(row, RolloutStep.TAKE_OVER_SENT)]
+        row = self._row_tracker.row.changed(fencing=self._claim.fencing)
+        return [self._row_tracker.write(row, RolloutStep.TAKE_OVER_SENT)]
 
-    def _reads(self, now_ms: int) -> list[Action]:
-        claimed = {claim.replica for claim in self._keeper.row.claims}
+    def _read_actions(self, now_ms: int) -> list[Action]:
+        claimed = {claim.replica for claim in self._row_tracker.row.claims}
         names = sorted({*self._names(), *claimed})
         return [ReadState(name) for name in self._fleet.due(now_ms, names, claimed)]
 
@@ -250,7 +250,7 @@
             order_id: progress.verdict(
                 now_ms,
                 self._fleet.state_of(progress.claim.replica),
-                is_fresh=self._fleet.asked_since(
+                is_fresh=self._fleet.requested_since(
                     progress.claim.replica, progress.answered_ms
                 ),
                 limits=self._limits,
@@ -258,7 +258,7 @@
             for order_id, progress in self._progress_by_order.items()
         }
 
-    def _orders(self, now_ms: int, verdicts: dict[str, Verdict]) -> list[Action]:
+    def _order_actions(self, now_ms: int, verdicts: dict[str, Verdict]) -> list[Action]:
         actions: list[Action] = []
         for order_id, verdict in verdicts.items():
             progress = self._progress_by_order[order_id]
@@ -270,17 +270,17 @@
         targets = self._plan.target_by_replica if self._plan else {}
         target = targets.get(progress.claim.replica)
         honours_fencing = target is not None and target.honours_fencing
-        if now_ms < self._flight_over_ms and not honours_fencing:
+        if now_ms < self._earlier_orders_arrived_ms and not honours_fencing:
             return False
         if progress.ordered_ms is not None:
             return True
         if self._is_halting():
             return False
-        return self._budget.take(now_ms)
+        return self._budget.try_acquire(now_ms)
 
     def _is_halting(self) -> bool:
-        """Tell whether nothing new may begin: a hold, or a newer bundle waits."""
-        row = self._keeper.row
+        """Return whether no new load may start: a hold, or a newer bundle waits."""
+        row = self._row_tracker.row
         superseded = self._plan and self._plan.bundle_number > row.bundle_number
         return bool(superseded) or row.phase == Phase.HELD
 
@@ -290,47 +290,50 @@
         progress.in_flight = True
         order = _order_of(progress.claim, self._claim.fencing)
         send = SendOrder(progress.claim.replica, order)
-        drained = Reached(RolloutStep.DRAINED, progress.claim.replica)
+        drained = StepReached(RolloutStep.DRAINED, progress.claim.replica)
         return [drained, send] if first else [send]
 
-    def _writes(self, now_ms: int, verdicts: dict[str, Verdict]) -> list[Action]:
-        """Write the row that follows from what is known, if it differs."""
+    def _write_actions(self, now_ms: int, verdicts: dict[str, Verdict]) -> list[Action]:
+        """Write the row that follows from the current state, if it differs."""
         actions: list[Action] = []
         for order_id, verdict in verdicts.items():
             progress = self._progress_by_order[order_id]
             if verdict is Verdict.CONFIRMED:
-                actions.append(Reached(RolloutStep.CONFIRMED, progress.claim.replica))
+                actions.append(
+                    StepReached(RolloutStep.CONFIRMED, progress.claim.replica)
+                )
                 if self._watch_until_ms is None:
                     self._watch_until_ms = now_ms + self._limits.watch_ms
-        following = next_row(self._observed(now_ms, verdicts))
-        if following is None:
+        next_write = next_row(self._snapshot(now_ms, verdicts))
+        if next_write is None:
             return []
-        row, step = following
-        return [*actions, self._keeper.write(row, step)]
+        row, step = next_write
+        return [*actions, self._row_tracker.write(row, step)]
 
-    def _observed(self, now_ms: int, verdicts: dict[str, Verdict]) -> Observed:
-        settled = {
-            order_id: progress.is_untouched(
+    def _snapshot(self, now_ms: int, verdicts: dict[str, Verdict]) -> RolloutSnapshot:
+        cancellable = {
+            order_id: progress.is_cancellable(
                 self._fleet.state_of(progress.claim.replica),
-                is_settled=self._fleet.asked_since(
-                    progress.claim.replica, self._flight_over_ms
+                is_current=self._fleet.requested_since(
+                    progress.claim.replica, self._earlier_orders_arrived_ms
                 ),
             )
             for order_id, progress in self._progress_by_order.items()
         }
-        watching = self._watch_until_ms is not None and now_ms < self._watch_until_ms
-        return Observed(
-            row=self._keeper.row,
+        is_watching = self._watch_until_ms is not None and now_ms < self._watch_until_ms
+        return RolloutSnapshot(
+            row=self._row_tracker.row,
             plan=self._plan,
             fleet=self._fleet,
             limits=self._limits,
             progress_by_order=self._progress_by_order,
             verdict_by_order=verdicts,
-            untouched_by_order=settled,
+            cancellable_by_order=cancellable,
             health_by_version=self._health,
-            is_watching=watching,
-            next_version=self._keeper.next_version,
-            is_status_due=now_ms - self._written_ms >= self._limits.status_gap_ms,
+            is_watching=is_watching,
+            next_version=self._row_tracker.next_version,
+            is_status_due=now_ms - self._last_write_ms
+            >= self._limits.status_interval_ms,
         )
 
 
--- a/fireflyward/rollout/_row.py
+++ b/fireflyward/rollout/_row.py
@@ -1,4 +1,4 @@
-"""The row in which a rollout is kept: whatever a successor needs."""
+"""The table row of a rollout: the state that the next driver needs."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Phase:
-    """The states of a rollout, as they stand in the row."""
+    """The phases of a rollout, as they are stored in the row."""
 
     IDLE = "idle"
     RUNNING = "running"
@@ -15,11 +15,11 @@
 
 
 class LoadClaim(msgspec.Struct, frozen=True):
-    """One of the two loads that may go on: a replica and its whole order.
+    """One of the two loads that may be in progress: a replica and its full order.
 
-    The claim is in the table before the order is sent and leaves it after the
-    replica confirmed or refused. Whoever drives next sends the same order under
-    the same id, so an order that was lost or is late cannot act twice.
+    The claim is written to the table before the order is sent, and removed after the
+    replica has confirmed or rejected it. The next driver sends the same order with the
+    same id, so an order that was lost or is late can't have an effect twice.
     """
 
     replica: str
@@ -43,7 +43,7 @@
 
 
 class RolloutRow(msgspec.Struct, frozen=True):
-    """The whole state of rollouts: one at a time, so they cannot interleave."""
+    """The state of the one current rollout; rollouts never overlap."""
 
     fencing: int = 0
     bundle_number: int = 0
@@ -62,10 +62,10 @@
 
 
 def encode_row(row: RolloutRow) -> bytes:
-    """Return the row as the table keeps it."""
+    """Return the row as it is stored in the table."""
     return msgspec.json.encode(row)
 
 
 def decode_row(value: bytes) -> RolloutRow:
-    """Return the row that ``encode_row`` gave."""
+    """Return the row that ``encode_row`` encoded."""
     return msgspec.json.decode(value, type=RolloutRow)
--- a/fireflyward/rollout/_row_keeper.py
+++ b/fireflyward/rollout/_row_tracker.py
@@ -1,4 +1,4 @@
-"""The rollout's row as the driver keeps it: one write at a time, none lost."""
+"""Tracks the rollout's row in the table: one write at a time, none lost."""
 
 from dataclasses import dataclass
 
@@ -23,50 +23,52 @@
     may_resend: bool = False
 
 
-class RowKeeper:
-    """Knows the row, its version, and the write whose effect is not known yet.
+class RowTracker:
+    """Holds the row, its version, and the write whose effect is not known yet.
 
-    ``row`` is None until it was read. A write names the version that it follows,
-    so of two drivers that both believe at most one moves the row on, and what a
-    paused one had sent finds another version.
+    ``row`` is None until it was read. A write contains the version that it replaces.
+    So when two processes both assume that they hold the lease, the write of at most
+    one takes effect, and a write that a paused driver has sent meets another version.
     """
 
-    __slots__ = ("_is_away", "_pending", "_version", "row")
+    __slots__ = ("_is_unavailable", "_pending", "_version", "row")
 
     def __init__(self) -> None:
         self.row: RolloutRow | None = None
         self._version = 0
         self._pending: _Pending | None = None
-        self._is_away = False
+        self._is_unavailable = False
 
     def __repr__(self) -> str:
-        return f"RowKeeper({self.row!r})"
+        return f"RowTracker({self.row!r})"
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether the row is known and no write is under way."""
+        """Return whether the row is known and no write is pending."""
         return self.row is not None and self._pending is None
 
     @property
     def may_write(self) -> bool:
-        """Tell whether a write may go out: one at a time, and one a tick to a
-        table that is away, which would be asked without a pause otherwise.
+        """Return whether a write may be sent.
+
+        Only one write is pending at a time. While the table is unavailable, at most
+        one write is sent per tick, since the retries would otherwise never pause.
         """
-        return self.is_settled and not self._is_away
+        return self.is_settled and not self._is_unavailable
 
     @property
     def next_version(self) -> int:
-        """Return the version that the next write will have."""
+        """Return the version that the next write will create."""
         return self._version + 1
 
     def write(self, row: RolloutRow, step: RolloutStep) -> WriteRow:
-        """Return the write of ``row`` after the known one."""
+        """Return the write that replaces the last known row by ``row``."""
         self._pending = _Pending(WriteRow(self._version, row, step))
         return self._pending.write
 
     def on_tick(self) -> list[ReadRow]:
-        """Ask for the row if it is not known, or a write's effect is in doubt."""
-        self._is_away = False
+        """Request the row if it is not known or the effect of a write is in doubt."""
+        self._is_unavailable = False
         if self._pending and not self._pending.in_doubt:
             return []
         if self._pending:
@@ -76,22 +78,27 @@
     def on_answer(
         self, result: Committed | Conflict | Unavailable | Uncertain
     ) -> WriteRow | ReadRow | None:
-        """Take a write's answer; return the write if it took effect."""
+        """Process a write's answer; return the write if it took effect.
+
+        Returns a read of the row if the answer leaves the effect in doubt.
+        """
         if self._pending is None:
             return None
         if isinstance(result, Committed):
             (version,) = result.version_by_key.values()
             return self._accept(version)
-        self._is_away = isinstance(result, Unavailable)
-        if self._is_away and not self._pending.in_doubt:
+        self._is_unavailable = isinstance(result, Unavailable)
+        if self._is_unavailable and not self._pending.in_doubt:
             self._pending = None
             return None
         self._pending.in_doubt = True
-        return None if self._is_away else ReadRow()
+        return None if self._is_unavailable else ReadRow()
 
     def on_row(self, result: Row | Missing | Unavailable) -> WriteRow | None:
-        """Take the row as read; return a write that it shows to have taken effect,
-        or one to send again, which ``is_settled`` tells apart.
+        """Process the row as read.
+
+        Returns a write that has taken effect according to the row, or a write to
+        resend. ``is_settled`` is true only after the former.
         """
         if isinstance(result, Unavailable):
             return None
--- a/fireflyward/rollout/_serving.py
+++ b/fireflyward/rollout/_serving.py
@@ -1,4 +1,4 @@
-"""Which weight version a new request uses, the same on every node."""
+"""Chooses the weight version of a new request in the same way on every node."""
 
 import hashlib
 from collections.abc import Callable, Mapping
@@ -6,21 +6,21 @@
 from ._row import RolloutRow, VersionShare
 
 _POINTS = 100
-_VERSIONS_KNOWN = 4
+_MAX_WANTED_VERSIONS = 4
 
 
 class ServingVersions:
     """Chooses the weight version of new requests from the published shares.
 
-    A bundle that names another version does not by itself move requests to it:
-    until replicas have confirmed it, they would all be refused. The driver
-    publishes the shares, and each request is at a point of its own, worked out
-    from its account and prompt, so that nodes agree, a repeated prompt stays with
+    A bundle with another version does not by itself move requests to it: until
+    replicas have confirmed the version, all of them would be rejected. The driver
+    publishes the shares. Each request is at a point that is calculated from its
+    account and prompt. So all nodes choose the same version, a repeated prompt keeps
     its version, and a share that grows moves requests in one direction only.
 
-    ``confirmed`` returns the versions of a model that replicas confirm towards
-    this node. A node that cannot read the table goes by what it read last, and by
-    what replicas confirm where that is no longer served by any.
+    ``confirmed`` returns the versions of a model that replicas confirm to this node. A
+    node that can't read the table uses the row that it read last, and skips versions
+    that no replica confirms.
 
     >>> versions = ServingVersions(lambda model: frozenset({"v1"}))
     >>> versions.of_request("clauses", "v2", "v2", "bridge-team", "beam 7?")
@@ -48,7 +48,7 @@
         return self._row
 
     def update(self, row_version: int, row: RolloutRow) -> bool:
-        """Take a row that was read, if it is newer than the one that is held."""
+        """Use a row that was read, if it is newer than the current one."""
         if row_version <= self._row_version:
             return False
         self._row = row
@@ -56,48 +56,48 @@
         return True
 
     def on_bundle(self, version_by_model: Mapping[str, str]) -> None:
-        """Remember what a bundle wants of each model.
+        """Record the version that a bundle defines for each model.
 
-        A node that learnt this only from requests would, after a change that came
-        before its first request, know no version but the new one and refuse
-        everybody until the first replica has loaded it.
+        If a node recorded versions only with requests, it would know just the new
+        version after a change before its first request, and would reject all requests
+        until the first replica has loaded that version.
         """
         for model, version in version_by_model.items():
-            self._known(model, version)
+            self._wanted_versions(model, version)
 
     def of_request(
         self, model: str, wanted: str, default: str, account: str, prompt: str
     ) -> str:
         """Return the version for a new request.
 
-        ``wanted`` is what the bundle gives this caller, ``default`` what it gives
-        the model; where they differ, the caller's own goes before the shares.
+        ``wanted`` is the bundle's version for this caller, ``default`` its version for
+        the model. Where they differ, the caller's own version precedes the shares.
         """
         shares = self._row.shares_by_model.get(model, ())
         confirmed = self._confirmed(model)
         point = _point(account, prompt) if len(shares) > 1 else 0
-        known = self._known(model, default)
+        known = self._wanted_versions(model, default)
         own = (wanted,) if wanted != default else ()
-        for version in (*own, *_in_turn(shares, point), *known):
+        for version in (*own, *_by_preference(shares, point), *known):
             if version in confirmed:
                 return version
         return wanted
 
-    def _known(self, model: str, wanted: str) -> tuple[str, ...]:
-        """Return what bundles wanted of a model, the latest first.
+    def _wanted_versions(self, model: str, wanted: str) -> tuple[str, ...]:
+        """Return the versions that bundles defined for a model, the latest first.
 
-        This is for a node that has a new bundle but no row yet, since the table is
-        away or the driver has not begun: the version before is still served.
+        A node that has a new bundle but no row yet, because the table is unavailable
+        or the driver has not started, uses them to keep serving the version before.
         """
         known = self._wanted_by_model.get(model, ())
         if known[:1] != (wanted,):
             others = tuple(version for version in known if version != wanted)
-            known = (wanted, *others)[:_VERSIONS_KNOWN]
+            known = (wanted, *others)[:_MAX_WANTED_VERSIONS]
             self._wanted_by_model[model] = known
         return known
 
     def loading_models(self, replica: str) -> frozenset[str]:
-        """Return the models for which a replica gets no new runs now."""
+        """Return the models for which a replica gets no new runs, as it loads them."""
         return frozenset(
             model
             for claim in self._row.claims
@@ -106,7 +106,7 @@
         )
 
 
-def _in_turn(shares: tuple[VersionShare, ...], point: int) -> list[str]:
+def _by_preference(shares: tuple[VersionShare, ...], point: int) -> list[str]:
     """Return the version at ``point``, then the others, newest first."""
     first = [share.version for share in shares if point < share.up_to][:1]
     return first + [share.version for share in shares if share.version not in first]
--- a/fireflyward/rollout/_status.py
+++ b/fireflyward/rollout/_status.py
@@ -1,4 +1,4 @@
-"""The state of rollouts in the words that operators read."""
+"""The status of a rollout as text for operators."""
 
 from collections.abc import Iterator
 
--- a/fireflyward/rollout/_steps.py
+++ b/fireflyward/rollout/_steps.py
@@ -1,10 +1,10 @@
-"""The points of a rollout at which a process may be struck."""
+"""The steps of a rollout, at which tests can inject faults."""
 
 from fireflyward.steps import Step
 
 
 class RolloutStep(Step):
-    """Every step of a driver, in the order in which a rollout visits them."""
+    """Every step of a driver, in the order in which a rollout reaches them."""
 
     ROW_SEEN = "rollout: row seen"
     TAKE_OVER_SENT = "rollout: take over sent"
--- a/fireflyward/rollout/_task.py
+++ b/fireflyward/rollout/_task.py
@@ -1,4 +1,4 @@
-"""The task that drives rollouts while it holds the lease."""
+"""The task that drives rollouts while this node holds the lease."""
 
 import asyncio
 import logging
@@ -14,18 +14,18 @@
 from ._health import HealthWatch
 from ._messages import (
     Action,
-    Began,
-    Ended,
-    HealthSeen,
+    DriverStarted,
+    DriverStopped,
+    HealthUpdated,
     Message,
     OrderAnswered,
-    PlanSeen,
-    Reached,
+    PlanUpdated,
     ReadRow,
     ReadState,
-    RowSeen,
+    RowAnswered,
     SendOrder,
-    StateSeen,
+    StateAnswered,
+    StepReached,
     Tick,
     WriteAnswered,
     WriteRow,
@@ -39,18 +39,18 @@
 
 LEASE_NAME = "rollout"
 _TICK_MS = 250
-_QUIET_PAUSE_MS = 100
-_QUIET_LIMIT_MS = 10_000
-_GONE = Broken(False, "no longer an upstream")
-_NOT_SENT = Broken(False, "the lease lapsed before the order went out")
+_HAND_OVER_POLL_MS = 100
+_HAND_OVER_TIMEOUT_MS = 10_000
+_NO_LONGER_UPSTREAM = Broken(False, "no longer an upstream")
+_NOT_SENT = Broken(False, "the lease expired before the order was sent")
 
 
 class RolloutTask:
-    """Owns the lease ``rollout`` and gives ``Rollout`` its messages.
+    """Drives ``Rollout`` with messages while it holds the lease ``rollout``.
 
-    ``plan`` returns the plan of the bundle in force here, or None;
-    ``engine_by_name`` is read anew for every order. Calls to replicas go on beside
-    each other, calls to the table one after the other.
+    ``plan`` returns the plan of the bundle in force on this node, or None.
+    ``engine_by_name`` is looked up for every call. Calls to replicas run
+    concurrently, calls to the table one after the other.
     """
 
     def __init__(
@@ -73,84 +73,86 @@
         self._plan = plan
         self._watch = watch
         self._observe = observe
-        self._driving = 0
+        self._driving_fencing = 0
         self._calls: set[asyncio.Task[None]] = set()
         self._inbox: list[Message] = []
-        self._taking = False
-        self._broken: BaseException | None = None
+        self._is_processing = False
+        self._call_error: BaseException | None = None
 
     def __repr__(self) -> str:
         return f"RolloutTask({self._rollout!r})"
 
     async def run(self) -> None:
-        """Drive whenever the lease is held, until cancelled."""
+        """Drive rollouts whenever this node holds the lease, until cancelled."""
         while True:
             await self.step()
             await self._clock.sleep_ms(_TICK_MS)
 
     async def step(self) -> None:
-        """Do what is due now; raise what a call raised since the last step."""
-        if self._broken:
-            raise self._broken
-        self._follow_lease()
+        """Run one step; raise an exception that a call raised since the last step."""
+        if self._call_error:
+            raise self._call_error
+        self._update_driving()
         plan = self._plan()
         if plan is not None:
-            await self._take(PlanSeen(plan))
-        if self._driving:
-            await self._take(HealthSeen(self._watch.health_by_version))
-            await self._take(Tick())
+            await self._process(PlanUpdated(plan))
+        if self._driving_fencing:
+            await self._process(HealthUpdated(self._watch.health_by_version))
+            await self._process(Tick())
 
     async def hand_over(self) -> bool:
-        """End what is in flight, then give the lease to the next driver.
+        """Wait for the calls in flight, then hand the lease to the next driver.
 
-        A driver whose order may still be on its way lets its lease lapse instead:
-        a successor that acted at once could be overtaken by it.
+        A driver with an order that may still be in flight lets its lease expire
+        instead: otherwise that order could arrive after the orders of the next driver.
         """
-        limit_ms = self._clock.now_ms() + _QUIET_LIMIT_MS
+        limit_ms = self._clock.now_ms() + _HAND_OVER_TIMEOUT_MS
         while self._clock.now_ms() < limit_ms:
-            if not self._calls and self._rollout.is_quiet(self._clock.now_ms()):
-                self._driving = 0
-                await self._take(Ended())
+            if not self._calls and self._rollout.has_no_orders_in_flight(
+                self._clock.now_ms()
+            ):
+                self._driving_fencing = 0
+                await self._process(DriverStopped())
                 return await self._lease.hand_over()
-            await self._clock.sleep_ms(_QUIET_PAUSE_MS)
+            await self._clock.sleep_ms(_HAND_OVER_POLL_MS)
         return False
 
     async def close(self) -> None:
-        """Drop the calls that are under way."""
+        """Cancel the calls that are in flight."""
         for call in self._calls:
             call.cancel()
         await asyncio.gather(*self._calls, return_exceptions=True)
 
-    def _follow_lease(self) -> None:
-        """Begin or end with the lease, by its claim and not by its news."""
+    def _update_driving(self) -> None:
+        """Start or stop driving by the claim of the lease, not by its notifications."""
         claim = self._lease.claim()
         fencing = claim.fencing if claim else 0
-        if fencing == self._driving:
+        if fencing == self._driving_fencing:
             return
-        if self._driving:
-            self._inbox.append(Ended())
+        if self._driving_fencing:
+            self._inbox.append(DriverStopped())
         if claim:
-            self._inbox.append(Began(claim))
-        self._driving = fencing
+            self._inbox.append(DriverStarted(claim))
+        self._driving_fencing = fencing
 
-    def _may_act(self) -> bool:
-        """Ask the holder's own clock, right before something goes out."""
+    def _holds_lease(self) -> bool:
+        """Return whether the claim is still valid by the clock, just before a send."""
         claim = self._lease.claim()
-        return claim is not None and claim.fencing == self._driving
+        return claim is not None and claim.fencing == self._driving_fencing
 
-    async def _take(self, message: Message) -> None:
-        """Decide on messages in the order in which they came, one at a time."""
+    async def _process(self, message: Message) -> None:
+        """Process messages one at a time, in the order of their arrival."""
         self._inbox.append(message)
-        if self._taking:
+        if self._is_processing:
             return
-        self._taking = True
+        self._is_processing = True
         try:
             while self._inbox:
-                await self._take_one(self._inbox.pop(0))
+                await self._process_one(self._inbox.pop(0))
         finally:
-            self._taking = False
+            self._is_processing = False
 
-    async def _take_one(self, message: Message) -> None:
+    async def _process_one(self, message: Message) -> None:
         now_ms = self._clock.now_ms()
         for action in self._rollout.decide(now_ms, message):
             answer = await self._perform(action)
@@ -159,16 +161,16 @@
 
     @singledispatchmethod
     async def _perform(self, action: Action) -> Message | None:
-        raise TypeError(f"no way to do {action!r}")
+        raise TypeError(f"no handler for {action!r}")
 
     @_perform.register
     async def _(self, action: ReadRow) -> Message | None:
-        return RowSeen(await self._table.get(ROLLOUT_KEY))
+        return RowAnswered(await self._table.get(ROLLOUT_KEY))
 
     @_perform.register
     async def _(self, action: WriteRow) -> Message | None:
-        if not self._may_act():
-            return Ended()
+        if not self._holds_lease():
+            return DriverStopped()
         self._observe(action.step)
         result = await self._table.commit(
             expected={ROLLOUT_KEY: action.expected},
@@ -186,34 +188,36 @@
         self._start(self._send_order(action))
 
     @_perform.register
-    async def _(self, action: Reached) -> Message | None:
+    async def _(self, action: StepReached) -> Message | None:
         if action.step is RolloutStep.BEGUN:
-            self._watch.restart()
+            self._watch.reset()
         self._observe(action.step)
         log.info("rollout: %s %s", action.step.value, action.detail)
 
     async def _read_state(self, replica: str) -> None:
         engine = self._engine_by_name.get(replica)
-        result = await engine.state() if engine else _GONE
-        await self._take(StateSeen(replica, result))
+        result = await engine.state() if engine else _NO_LONGER_UPSTREAM
+        await self._process(StateAnswered(replica, result))
 
     async def _send_order(self, action: SendOrder) -> None:
         engine = self._engine_by_name.get(action.replica)
         if engine is None:
-            result = _GONE
-        elif not self._may_act() or action.order.fencing != self._driving:
+            result = _NO_LONGER_UPSTREAM
+        elif not self._holds_lease() or action.order.fencing != self._driving_fencing:
             result = _NOT_SENT
         else:
             result = await engine.take(action.order)
-        await self._take(OrderAnswered(action.replica, action.order.order_id, result))
+        await self._process(
+            OrderAnswered(action.replica, action.order.order_id, result)
+        )
 
     def _start(self, call: Coroutine[object, object, None]) -> None:
         task = asyncio.create_task(call)
         self._calls.add(task)
-        task.add_done_callback(self._call_ended)
+        task.add_done_callback(self._on_call_done)
 
-    def _call_ended(self, task: asyncio.Task[None]) -> None:
-        """Keep what a call raised; it would be lost with the task otherwise."""
+    def _on_call_done(self, task: asyncio.Task[None]) -> None:
+        """Store the exception of a call; it would otherwise be lost with the task."""
         self._calls.discard(task)
         if not task.cancelled() and task.exception():
-            self._broken = task.exception()
+            self._call_error = task.exception()
--- a/fireflyward/weights/weights.thrift
+++ b/fireflyward/weights/weights.thrift
@@ -1,5 +1,6 @@
-/* The node that orders loads tells all others, so that they send a loading
-   replica nothing and use it again at once. A replica goes by the number of its start. */
+/* The node that orders loads announces them to all other nodes. They send a loading
+   replica no requests, and use it again as soon as it has loaded. Replicas are
+   identified by their incarnation ids. */
 namespace py fireflyward.weights
 
 struct LoadingNews {
--- a/tests/rollout/rollout_fixtures.py
+++ b/tests/rollout/rollout_fixtures.py
@@ -1,4 +1,4 @@
-"""Drivers and replicas in memory on one faked clock."""
+"""Simulation of drivers and replicas in memory on one manual clock."""
 
 import asyncio
 import unittest
@@ -27,11 +27,11 @@
 
 
 class Crash(Exception):
-    """Stands for the death of a process."""
+    """Raised in a step to simulate the crash of a process."""
 
 
 class JumpingClock(ManualClock):
-    """A clock that passes ``paused_ms`` at once, as a VM's that was frozen does."""
+    """A clock that jumps by ``paused_ms``, like that of a VM that was paused."""
 
     def __init__(self):
         super().__init__()
@@ -47,43 +47,43 @@
 
 
 class Driver:
-    """One node's lease and rollout; ``paused`` stops it as a frozen VM stops."""
+    """The lease and rollout of one node."""
 
-    def __init__(self, world, name, observe=ignore_step):
-        self.world = world
-        self.plan = world.plan
+    def __init__(self, simulation, name, observe=ignore_step):
+        self.simulation = simulation
+        self.plan = simulation.plan
         self.watch = HealthWatch()
-        self.dead = False
+        self.is_stopped = False
         self.lease = LeaseTask(
-            LEASE_NAME, clock=world.clock, table=world.table, holder=name
+            LEASE_NAME, clock=simulation.clock, table=simulation.table, holder=name
         )
         self.task = RolloutTask(
-            Rollout(world.limits),
-            clock=world.clock,
-            table=world.table,
+            Rollout(simulation.limits),
+            clock=simulation.clock,
+            table=simulation.table,
             lease=self.lease,
-            engine_by_name=world.fleet.engine_by_name,
+            engine_by_name=simulation.fleet.engine_by_name,
             plan=lambda: self.plan,
             watch=self.watch,
             observe=observe,
         )
 
     async def step(self):
-        if self.dead:
+        if self.is_stopped:
             return
         try:
             await self.lease.step()
             await self.task.step()
         except Crash:
-            await self.die()
+            await self.stop()
 
-    async def die(self):
-        self.dead = True
+    async def stop(self):
+        self.is_stopped = True
         await self.task.close()
 
 
-class World:
-    """Replicas, a table and any number of drivers; checks hold at every turn."""
+class Simulation:
+    """Replicas, a table and any number of drivers; checks the limits at every turn."""
 
     def __init__(self, *, names=REPLICAS, honours_fencing=True, version="v1"):
         self.clock = JumpingClock()
@@ -96,7 +96,7 @@
         )
         self.plan = self.make_plan(1, version)
         self.drivers = []
-        self.least_serving = len(names)
+        self.min_serving = len(names)
 
     def make_plan(self, number, version):
         return make_plan(
@@ -108,7 +108,7 @@
         return self.drivers[-1]
 
     def accept(self, number, version):
-        """Put a bundle in force at every driver."""
+        """Put a bundle in force on every driver."""
         self.plan = self.make_plan(number, version)
         for driver in self.drivers:
             driver.plan = self.plan
@@ -129,14 +129,14 @@
         return {name: o.loads for name, o in self.fleet.orders_by_name.items()}
 
     async def run(self, duration_ms, turn_ms=250):
-        """Let every driver that is not paused take its turns."""
+        """Run every driver for a time, turn by turn."""
         for _ in range(duration_ms // turn_ms):
             turns = [driver.step() for driver in self.drivers]
             await asyncio.wait_for(self._turn(turns, turn_ms), 30)
             self.check()
 
     async def finish(self, limit_ms=90_000):
-        """Run until the rollout of the bundle in force is done or held, and on."""
+        """Run until the rollout of the current bundle is done or held, then for 1 s."""
         for _ in range(0, limit_ms, 1_000):
             row = self.row
             is_own = row.bundle_number == self.plan.bundle_number
@@ -153,37 +153,37 @@
     def check(self):
         now_ms = self.clock.now_ms()
         serving = self.fleet.serving(now_ms, MODEL)
-        self.least_serving = min(self.least_serving, serving)
+        self.min_serving = min(self.min_serving, serving)
         assert self.fleet.weights.most_at_once <= 2, "more than two loads at once"
         floor = self.limits.floor_of(len(self.names))
-        assert self.least_serving >= floor, f"{self.least_serving} serve"
+        assert self.min_serving >= floor, f"{self.min_serving} serve"
 
     async def close(self):
         for driver in self.drivers:
-            await driver.die()
+            await driver.stop()
 
 
 class RolloutCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        # The loop's debug mode records a stack for each of the many short tasks of
-        # these simulated minutes, which makes them ten times as long.
+        # The debug mode of the event loop records a stack for each of the many short
+        # tasks, which makes these tests ten times slower.
         asyncio.get_running_loop().set_debug(False)
 
-    def make_world(self, **options):
-        self.world = World(**options)
-        self.addAsyncCleanup(self.world.close)
-        return self.world
+    def make_simulation(self, **options):
+        self.simulation = Simulation(**options)
+        self.addAsyncCleanup(self.simulation.close)
+        return self.simulation
 
-    async def begin(self, world, observe=lambda step: None):
-        """Serve v1 under bundle 1, then put bundle 2 with v2 in force."""
-        driver = world.add_driver("a", observe)
-        await world.run(1_000)
-        world.accept(2, "v2")
+    async def begin(self, simulation, observe=lambda step: None):
+        """Start with v1 in bundle 1, then put bundle 2 with v2 in force."""
+        driver = simulation.add_driver("a", observe)
+        await simulation.run(1_000)
+        simulation.accept(2, "v2")
         return driver
 
-    def assert_done(self, world, version="v2", loads=1):
-        self.assertEqual(world.row.phase, Phase.DONE, world.row)
-        self.assertEqual(world.versions, {version})
-        self.assertEqual(world.loads, dict.fromkeys(world.names, loads))
-        share = world.row.shares_by_model[MODEL]
+    def assert_done(self, simulation, version="v2", loads=1):
+        self.assertEqual(simulation.row.phase, Phase.DONE, simulation.row)
+        self.assertEqual(simulation.versions, {version})
+        self.assertEqual(simulation.loads, dict.fromkeys(simulation.names, loads))
+        share = simulation.row.shares_by_model[MODEL]
         self.assertEqual(share, (VersionShare(version, 100),))
--- a/tests/rollout/test_health.py
+++ b/tests/rollout/test_health.py
@@ -2,7 +2,7 @@
 
 from fireflyward.clock import ManualClock
 from fireflyward.outcomes import Reason, Usage
-from fireflyward.rollout import Health, HealthWatch, WatchedEngine, worse
+from fireflyward.rollout import Health, HealthWatch, WatchedEngine, regression
 from fireflyward.upstreams import (
     Accepted,
     Broken,
@@ -30,25 +30,27 @@
         return "a report"
 
 
-class WorseTests(unittest.TestCase):
-    def test_too_few_runs_say_nothing(self):
-        self.assertEqual(worse(Health(19, 19), Health(100, 0)), "")
+class RegressionTests(unittest.TestCase):
+    def test_too_few_runs_are_not_compared(self):
+        self.assertEqual(regression(Health(19, 19), Health(100, 0)), "")
 
     def test_more_errors_are_worse(self):
-        self.assertIn("errors in 10.0%", worse(Health(40, 4), Health(40, 0)))
+        self.assertIn("errors in 10.0%", regression(Health(40, 4), Health(40, 0)))
 
-    def test_cold_cache_is_not_taken_for_slow_weights(self):
-        """Symptom: every rollout is held. Sequence: the new version has nothing
-        cached, so its first tokens come ten times as late. Cause: times were
-        compared without what had to be computed for them."""
+    def test_cold_cache_does_not_count_as_slow_weights(self):
+        """Guards against a hold of every rollout.
+
+        A new version has nothing in the cache, so its first tokens take ten times as
+        long. The comparison must take the number of computed tokens into account.
+        """
         warm = Health(40, 0, 40 * 20.0, 40 * 300)
         cold = Health(40, 0, 40 * 200.0, 40 * 3_000)
-        self.assertEqual(worse(cold, warm), "")
+        self.assertEqual(regression(cold, warm), "")
 
-    def test_slower_at_the_same_work_is_worse(self):
+    def test_slower_with_the_same_work_is_worse(self):
         fast = Health(40, 0, 40 * 50.0, 40 * 1_000)
         slow = Health(40, 0, 40 * 150.0, 40 * 1_000)
-        self.assertIn("first token after 150 ms", worse(slow, fast))
+        self.assertIn("first token after 150 ms", regression(slow, fast))
 
 
 class WatchedEngineTests(unittest.IsolatedAsyncioTestCase):
@@ -60,7 +62,7 @@
         self.assertEqual(await engine.load(), "a report")
         return watch.of("clauses", "v2")
 
-    async def test_answer_counts_its_first_token(self):
+    async def test_finished_run_counts_its_first_token(self):
         finished = Finished(Usage(1_000, 1, 400))
         health = await self.count(Accepted("v2", 0), Piece(0, 1, "a"), finished)
         self.assertEqual((health.runs, health.failures), (1, 0))
@@ -70,6 +72,6 @@
         health = await self.count(Accepted("v2", 0), Broken(True, "cut"))
         self.assertEqual((health.runs, health.failures), (1, 1))
 
-    async def test_refused_run_is_no_run(self):
+    async def test_rejected_run_is_not_counted(self):
         health = await self.count(Refused(Reason.OVERLOADED))
         self.assertEqual(health.runs, 0)
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -6,21 +6,21 @@
 
 from fireflyward.rollout import Phase
 
-from .rollout_fixtures import MODEL, REPLICAS, World
+from .rollout_fixtures import MODEL, REPLICAS, Simulation
 
 DRIVERS = 2
-# A lease that lapses, a load that is given up after a minute, and six loads.
-MEND_LIMIT_MS = 240_000
+# Enough for a lease that expires, a load that times out after a minute, and six loads.
+RECOVERY_LIMIT_MS = 240_000
 
 
 def version_of(number):
     return f"v{1 + (number - 1) % 3}"
 
 
-class StruckWorld(World):
-    """A world whose faults reach beyond what capacity and loads are promised for.
+class FaultySimulation(Simulation):
+    """A simulation with faults under which the limits need not hold.
 
-    Until such a fault the checks of ``World`` hold at every turn.
+    The limits on capacity and loads are checked at every turn until such a fault.
     """
 
     is_floor_checked = True
@@ -32,37 +32,38 @@
 
 
 class RolloutMachine(RuleBasedStateMachine):
-    """Drivers that die, pause and race over replicas and a table that fail.
+    """Concurrent drivers that crash and pause, and replicas and a table that fail.
 
-    It looks for more than two loads at once, for orders of two holders that cross
-    at a replica, for steps back, and for capacity lost below the floor. At the end
-    everything is mended, and the last bundle has to be what every replica is.
+    It searches for more than two loads at once, for orders of two holders that reach a
+    replica in the wrong order, for values that decrease, and for capacity below the
+    floor. At the end all faults are repaired, and every replica has to match the last
+    bundle.
     """
 
     def __init__(self):
         super().__init__()
         self.loop = asyncio.new_event_loop()
-        self.world = StruckWorld()
-        # An engine that forgets order ids shows an order that comes too late.
-        for orders in self.world.fleet.orders_by_name.values():
+        self.simulation = FaultySimulation()
+        # An engine that forgets order ids executes an order that arrives too late.
+        for orders in self.simulation.fleet.orders_by_name.values():
             orders.remembers_ids = False
         self.number = 1
-        self.born = 0
-        self.is_whole = True
-        self.seen = (0, 0, 0)
+        self.drivers_started = 0
+        self.is_capacity_checked = True
+        self.previous = (0, 0, 0)
         self.loop.run_until_complete(self.begin())
 
     async def begin(self):
         for _ in range(DRIVERS):
             self.add_driver()
-        await self.world.run(1_000)
+        await self.simulation.run(1_000)
 
     def add_driver(self):
-        self.born += 1
-        self.world.add_driver(f"entry-{self.born}")
+        self.drivers_started += 1
+        self.simulation.add_driver(f"entry-{self.drivers_started}")
 
     def run_ms(self, duration_ms):
-        self.loop.run_until_complete(self.world.run(duration_ms))
+        self.loop.run_until_complete(self.simulation.run(duration_ms))
 
     @rule(duration_ms=st.sampled_from((250, 1_000, 3_000, 15_000)))
     def go_on(self, duration_ms):
@@ -71,118 +72,122 @@
     @rule(after_ms=st.sampled_from((250, 1_000, 2_000)))
     def accept(self, after_ms):
         self.number += 1
-        self.world.accept(self.number, version_of(self.number))
+        self.simulation.accept(self.number, version_of(self.number))
         self.run_ms(after_ms)
 
     @rule(waits=st.booleans())
-    def kill_the_holder(self, waits):
-        for driver in list(self.world.drivers):
+    def kill_lease_holder(self, waits):
+        for driver in list(self.simulation.drivers):
             if driver.lease.claim():
-                self.world.drivers.remove(driver)
-                self.loop.run_until_complete(driver.die())
+                self.simulation.drivers.remove(driver)
+                self.loop.run_until_complete(driver.stop())
                 self.add_driver()
         if waits:
             self.run_ms(15_000)
 
     @rule(paused_ms=st.sampled_from((4_000, 9_500, 30_000)))
     def pause(self, paused_ms):
-        self.world.clock.paused_ms += paused_ms
+        self.simulation.clock.paused_ms += paused_ms
 
     @rule()
     def lose_answers(self):
-        self.world.table.lose_answers = 1
-        for orders in self.world.fleet.orders_by_name.values():
+        self.simulation.table.lose_answers = 1
+        for orders in self.simulation.fleet.orders_by_name.values():
             orders.lose_answers = 1
 
     @rule(duration_ms=st.sampled_from((1_000, 15_000)))
-    def table_away(self, duration_ms):
-        self.world.table.away = True
+    def table_unavailable(self, duration_ms):
+        self.simulation.table.away = True
         self.run_ms(duration_ms)
-        self.world.table.away = False
+        self.simulation.table.away = False
 
     @rule(name=st.sampled_from(REPLICAS), duration_ms=st.sampled_from((3_000, 70_000)))
-    def replica_away(self, name, duration_ms):
-        self.is_whole = self.world.is_floor_checked = False
-        self.world.fleet.orders_by_name[name].away = True
+    def replica_unavailable(self, name, duration_ms):
+        self.is_capacity_checked = self.simulation.is_floor_checked = False
+        self.simulation.fleet.orders_by_name[name].away = True
         self.run_ms(duration_ms)
-        self.world.fleet.orders_by_name[name].away = False
+        self.simulation.fleet.orders_by_name[name].away = False
 
     @rule(duration_ms=st.sampled_from((500, 1_500)), kills=st.booleans())
     def hold_orders(self, duration_ms, kills):
-        """Keep the orders that go out now on their way until they are delivered,
-        and have a successor act before that if the holder is killed."""
-        engines = self.world.fleet.engine_by_name.values()
+        """Delay the orders that are sent now until they are delivered.
+
+        If the holder is killed, its successor acts before the delivery.
+        """
+        engines = self.simulation.fleet.engine_by_name.values()
         for engine in engines:
             engine.hold_orders = True
         self.accept(duration_ms)
         for engine in engines:
             engine.hold_orders = False
         if kills:
-            self.kill_the_holder(True)
+            self.kill_lease_holder(True)
 
     @rule()
     def deliver_held_orders(self):
-        # These come later than any flight that the driver waits for. Where a claim
-        # was given up and nothing ordered there since, one may be a third load,
-        # as docs/design/rollout.md says under "What remains".
-        self.is_whole = self.world.is_floor_checked = False
-        self.world.are_loads_checked = False
-        for engine in self.world.fleet.engine_by_name.values():
+        # These orders arrive later than the driver waits for them. Where a claim was
+        # cancelled and no order was sent since, one may cause a third load, as
+        # docs/design/rollout.md says under "What remains".
+        self.is_capacity_checked = self.simulation.is_floor_checked = False
+        self.simulation.are_loads_checked = False
+        for engine in self.simulation.fleet.engine_by_name.values():
             engine.let_go()
 
     @rule(name=st.sampled_from(REPLICAS))
     def fail_a_load(self, name):
-        self.is_whole = self.world.is_floor_checked = False
-        self.world.fleet.orders_by_name[name].fail_loads = 1
+        self.is_capacity_checked = self.simulation.is_floor_checked = False
+        self.simulation.fleet.orders_by_name[name].fail_loads = 1
 
     @invariant()
-    def two_loads_at_most(self):
-        if self.world.are_loads_checked:
-            assert self.world.fleet.weights.most_at_once <= 2
-        assert len(self.world.row.claims) <= 2
+    def at_most_two_loads(self):
+        if self.simulation.are_loads_checked:
+            assert self.simulation.fleet.weights.most_at_once <= 2
+        assert len(self.simulation.row.claims) <= 2
 
     @invariant()
-    def orders_of_holders_do_not_cross(self):
-        for orders in self.world.fleet.orders_by_name.values():
+    def orders_arrive_in_order_of_holders(self):
+        for orders in self.simulation.fleet.orders_by_name.values():
             numbers = [order.fencing for order in orders.taken]
             assert numbers == sorted(numbers), numbers
 
     @invariant()
-    def nothing_steps_back(self):
-        row = self.world.row
+    def values_never_decrease(self):
+        row = self.simulation.row
         share = row.shares_by_model[MODEL][0].up_to if row.shares_by_model else 0
-        seen = (row.fencing, row.bundle_number, share)
-        assert seen[:2] >= self.seen[:2], (seen, self.seen)
-        if seen[1] == self.seen[1]:
-            assert share >= self.seen[2], (seen, self.seen)
-        self.seen = seen
+        current = (row.fencing, row.bundle_number, share)
+        assert current[:2] >= self.previous[:2], (current, self.previous)
+        if current[1] == self.previous[1]:
+            assert share >= self.previous[2], (current, self.previous)
+        self.previous = current
 
     @invariant()
     def capacity_stays_above_the_floor(self):
-        if self.is_whole:
-            serving = self.world.fleet.serving(self.world.clock.now_ms(), MODEL)
-            assert serving >= self.world.limits.floor_of(len(REPLICAS)), serving
+        if self.is_capacity_checked:
+            serving = self.simulation.fleet.serving(
+                self.simulation.clock.now_ms(), MODEL
+            )
+            assert serving >= self.simulation.limits.floor_of(len(REPLICAS)), serving
 
     def teardown(self):
-        self.loop.run_until_complete(self.mend())
+        self.loop.run_until_complete(self.recover())
         self.loop.close()
 
-    async def mend(self):
-        self.world.table.away = False
-        self.world.table.lose_answers = 0
-        self.world.are_loads_checked = self.world.is_floor_checked = False
-        for name, orders in self.world.fleet.orders_by_name.items():
+    async def recover(self):
+        self.simulation.table.away = False
+        self.simulation.table.lose_answers = 0
+        self.simulation.are_loads_checked = self.simulation.is_floor_checked = False
+        for name, orders in self.simulation.fleet.orders_by_name.items():
             orders.fail_loads = orders.lose_answers = 0
             orders.away = False
-            self.world.fleet.engine_by_name[name].let_go()
-        await self.world.finish(MEND_LIMIT_MS)
-        if self.world.row.phase == Phase.HELD:
+            self.simulation.fleet.engine_by_name[name].let_go()
+        await self.simulation.finish(RECOVERY_LIMIT_MS)
+        if self.simulation.row.phase == Phase.HELD:
             self.number += 1
-            self.world.accept(self.number, version_of(self.number))
-            await self.world.finish(MEND_LIMIT_MS)
-        assert self.world.row.phase == Phase.DONE, self.world.row
-        assert self.world.versions == {version_of(self.number)}
-        await self.world.close()
+            self.simulation.accept(self.number, version_of(self.number))
+            await self.simulation.finish(RECOVERY_LIMIT_MS)
+        assert self.simulation.row.phase == Phase.DONE, self.simulation.row
+        assert self.simulation.versions == {version_of(self.number)}
+        await self.simulation.close()
 
 
 RolloutMachine.TestCase.settings = settings(
