--- a/fireflyward/membership/__init__.py
+++ b/fireflyward/membership/__init__.py
@@ -30,7 +30,6 @@
 
 __all__ = [
     "Action",
-    "LinkOpened",
     "Address",
     "Alarm",
     "AlarmKind",
@@ -38,8 +37,9 @@
     "DomainAge",
     "DomainDigest",
     "IncarnationRaised",
-    "LeaveStarted",
     "LeaveDone",
+    "LeaveStarted",
+    "LinkOpened",
     "Member",
     "MemberState",
     "Members",
--- a/fireflyward/membership/_domain_watch.py
+++ b/fireflyward/membership/_domain_watch.py
@@ -24,10 +24,10 @@
     """
 
     __slots__ = (
+        "_domain_counter",
         "_last_contact_ms_by_domain",
         "_limit_ms",
         "_own_domain",
-        "_domain_counter",
     )
 
     def __init__(self, own_domain: str, limit_ms: int) -> None:
--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -83,7 +83,7 @@
         self._sync = Sync(
             now_ms,
             roster=self._roster,
-            domains=self._domain_watch,
+            domain_watch=self._domain_watch,
             timings=self._timings,
             rng=self._random,
         )
--- a/fireflyward/membership/_roster.py
+++ b/fireflyward/membership/_roster.py
@@ -17,7 +17,7 @@
     so it can neither revive a dead node nor declare a live one dead.
     """
 
-    __slots__ = ("_dead_since_ms_by_name", "_others_by_distance", "members", "gossip")
+    __slots__ = ("_dead_since_ms_by_name", "_others_by_distance", "gossip", "members")
 
     def __init__(self, own: Member) -> None:
         self.members = Members(own)
--- a/fireflyward/membership/_sync.py
+++ b/fireflyward/membership/_sync.py
@@ -33,14 +33,14 @@
 
     __slots__ = (
         "_domain_watch",
-        "_next_ms",
         "_last_due_ms",
+        "_next_ms",
         "_random",
         "_roster",
+        "_row_tokens",
         "_seeds",
         "_started_ms",
         "_timings",
-        "_row_tokens",
     )
 
     def __init__(
@@ -48,12 +48,12 @@
         now_ms: int,
         *,
         roster: Roster,
-        domains: DomainWatch,
+        domain_watch: DomainWatch,
         timings: Timings,
         rng: random.Random,
     ) -> None:
         self._roster = roster
-        self._domain_watch = domains
+        self._domain_watch = domain_watch
         self._timings = timings
         self._random = rng
         self._seeds: tuple[Address, ...] = ()
--- a/fireflyward/rollout/_budget.py
+++ b/fireflyward/rollout/_budget.py
@@ -15,7 +15,7 @@
     (False, True, False)
     """
 
-    __slots__ = ("_per_ms", "_last_refill_ms", "_tokens")
+    __slots__ = ("_last_refill_ms", "_per_ms", "_tokens")
 
     def __init__(self, *, per_minute: int, now_ms: int) -> None:
         self._per_ms = per_minute / _MS_PER_MINUTE
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -37,8 +37,8 @@
 # Wait for the announcement to reach the other nodes before the order makes the replica
 # reject the requests that they send.
 _ANNOUNCEMENT_DELAY_MS = 40
-# How long the other nodes send a loading replica no requests if they receive no
-# announcement that it has loaded.
+# How long the other nodes avoid a loading replica if they receive no announcement that
+# it has loaded.
 _LOADING_ASSUMED_MS = 5_000
 # Replicas are polled frequently, since a loaded replica gets no requests until a poll
 # has shown that it is ready.
@@ -51,10 +51,10 @@
 class WeightTask:
     """Orders loads while this node holds the lease and has just renewed it.
 
-    Replicas that do not check fencing tokens obey any node. Two holders that order
-    within one lease duration of each other could make a replica load two versions
-    alternately. So a new holder waits until the last holder's orders are older than
-    that, and a holder stops ordering well before its lease expires.
+    Replicas that do not check fencing tokens accept orders from any node. Two holders
+    that order within one lease duration of each other could make a replica load two
+    versions alternately. So a new holder waits until the last holder's orders are older
+    than that, and a holder stops ordering well before its lease expires.
     """
 
     def __init__(
@@ -189,7 +189,7 @@
 
     def _views(self, now_ms: int, model: str) -> list[ReplicaView]:
         views = []
-        least = self._weights.least(now_ms, model)
+        min_version = self._weights.least(now_ms, model)
         evacuated = self._directory.evacuated
         for state in self._directory.all():
             version = state.version_by_model.get(model)
@@ -202,7 +202,7 @@
                         entry.address,
                         version,
                         self._busy_ms(now_ms, state),
-                        may_serve=version >= least,
+                        may_serve=version >= min_version,
                         is_evacuated=entry.failure_domain in evacuated,
                     )
                 )
