--- a/fireflyward/membership/_gossip.py
+++ b/fireflyward/membership/_gossip.py
@@ -48,7 +48,7 @@
         """Return up to ``count`` rows for one datagram and count them as sent.
 
         Suspicions are sent only within the failure domain of the suspected member:
-        only the nodes there probe it, and in other domains a suspicion has no effect.
+        only the nodes there probe it regularly; elsewhere a suspicion has no effect.
         """
         candidates = [
             item
--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -189,7 +189,7 @@
 
         After a pause every deadline has passed although no other node failed. A node
         that relied on its timers then would declare its whole failure domain dead, so
-        all deadlines are moved back by the length of the pause.
+        all deadlines are postponed by the length of the pause.
         """
         passed_ms = now_ms - self._last_ms
         self._last_ms = now_ms
@@ -273,12 +273,12 @@
         return []
 
     def _refute(self, now_ms: int, row: Member) -> list[Action]:
-        minimum = self._roster.incarnation_to_exceed(row)
-        if minimum is None:
+        to_exceed = self._roster.incarnation_to_exceed(row)
+        if to_exceed is None:
             return []
-        self._roster.set_own(incarnation=minimum + 1)
+        self._roster.set_own(incarnation=to_exceed + 1)
         self._urgent = True
-        actions: list[Action] = [SetIncarnation(minimum + 1)]
+        actions: list[Action] = [SetIncarnation(to_exceed + 1)]
         has_other_address = (
             row.failure_domain and row.address != self.members.own.address
         )
--- a/fireflyward/rollout/_rollout.py
+++ b/fireflyward/rollout/_rollout.py
@@ -168,30 +168,31 @@
             return []
         progress.in_flight = False
         progress.answered_ms = now_ms
-        return self._answered(message.result, progress, now_ms)
+        return self._on_order_answer(message.result, progress, now_ms)
 
     @singledispatchmethod
-    def _answered(
+    def _on_order_answer(
         self, result: object, progress: Progress, now_ms: int
     ) -> list[Action]:
         raise TypeError(f"no handler for {result!r}")
 
-    @_answered.register
+    @_on_order_answer.register
     def _(self, result: EngineState, progress: Progress, now_ms: int) -> list[Action]:
         self._fleet.on_state(now_ms, progress.claim.replica, result)
         return [StepReached(RolloutStep.ORDER_TAKEN, progress.claim.replica)]
 
-    @_answered.register
+    @_on_order_answer.register
     def _(self, result: Broken, progress: Progress, now_ms: int) -> list[Action]:
         if result.may_have_run:
             self._last_lost_order_ms = now_ms
         return [StepReached(RolloutStep.ORDER_LOST, progress.claim.replica)]
 
-    @_answered.register
+    @_on_order_answer.register
     def _(self, result: OrderRefused, progress: Progress, now_ms: int) -> list[Action]:
         if result.reason is OrderReason.OLD_FENCING:
-            # The replica has an order of a later holder: this process has lost its
-            # lease without noticing, and must not change anything any more.
+            # The replica has received the fencing number of a later holder: this
+            # process has lost its lease without noticing, and must not change anything
+            # any more.
             self._reset()
             return [StepReached(RolloutStep.FOLLOWED, result.detail)]
         progress.refusal = f"refused: {result.reason.value} {result.detail}".strip()
