--- a/fireflyward/fleet/_known_replicas.py
+++ b/fireflyward/fleet/_known_replicas.py
@@ -12,7 +12,7 @@
 from fireflyward.replicas import (
     Chooser,
     ColdShares,
-    PeerUnderWay,
+    PeerLoad,
     RateLimits,
     ReplicaDirectory,
     UnderWayTask,
@@ -32,7 +32,7 @@
     ) -> None:
         self._clock = clock
         self.directory = ReplicaDirectory()
-        under_way = PeerUnderWay()
+        under_way = PeerLoad()
         self.under_way_task = UnderWayTask(
             clock=clock,
             directory=self.directory,
--- a/fireflyward/replicas/__init__.py
+++ b/fireflyward/replicas/__init__.py
@@ -6,13 +6,13 @@
 from ._rate_limits import RateLimits
 from ._state import ReplicaState
 from ._telling import UnderWayTask
-from ._under_way import PeerUnderWay, UnderWay
+from ._under_way import PeerLoad, UnderWay
 
 __all__ = [
     "Choice",
     "Chooser",
     "ColdShares",
-    "PeerUnderWay",
+    "PeerLoad",
     "RateLimits",
     "ReplicaDirectory",
     "ReplicaState",
--- a/fireflyward/replicas/_chooser.py
+++ b/fireflyward/replicas/_chooser.py
@@ -9,7 +9,7 @@
 from ._directory import ReplicaDirectory
 from ._rate_limits import RateLimits
 from ._state import FIRST_EVENT_MS, ReplicaState
-from ._under_way import PeerUnderWay
+from ._under_way import PeerLoad
 
 # The costs below are in milliseconds of waiting that the caller would rather have.
 # A replica in another failure domain: the way there and back, and priced bytes.
@@ -131,14 +131,14 @@
         directory: ReplicaDirectory,
         *,
         failure_domain: str,
-        peers: PeerUnderWay | None = None,
+        peers: PeerLoad | None = None,
         cold_shares: ColdShares | None = None,
         rate_limits: RateLimits | None = None,
         seed: int | None = None,
     ) -> None:
         self._cold_shares = cold_shares or ColdShares("")
         self._rate_limits = rate_limits or RateLimits("")
-        self._peers = peers or PeerUnderWay()
+        self._peers = peers or PeerLoad()
         self._directory = directory
         self._failure_domain = failure_domain
         self._random = random.Random(seed)
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -9,7 +9,7 @@
 
 from ._directory import ReplicaDirectory
 from ._replicas_structs import UnderWayNews
-from ._under_way import PeerUnderWay, Told, UnderWay
+from ._under_way import PeerLoad, Told, UnderWay
 
 log = logging.getLogger("fireflyward.aggregators")
 
@@ -86,7 +86,7 @@
         *,
         clock: Clock,
         directory: ReplicaDirectory,
-        peers: PeerUnderWay,
+        peers: PeerLoad,
         aggregators: Aggregators,
         node: str,
         failure_domain: str,
--- a/fireflyward/replicas/_under_way.py
+++ b/fireflyward/replicas/_under_way.py
@@ -66,7 +66,7 @@
                 total[replica] = total.get(replica, _NOTHING).plus(part)
 
 
-class PeerUnderWay:
+class PeerLoad:
     """What the other nodes have under way, by replica; no I/O.
 
     Few nodes each tell all others what is theirs. Many tell one aggregator of
@@ -74,7 +74,7 @@
     and their neighbours the total of all sums: one number for each replica, however
     many nodes and domains there are.
 
-    >>> peers = PeerUnderWay()
+    >>> peers = PeerLoad()
     >>> peers.take(0, "entry-2", {17: UnderWay(900, 1_200, 1)})
     >>> peers.at(500, 17).unread, peers.at(2_000, 17).unread
     (900, 0)
--- a/tests/replicas/test_chooser.py
+++ b/tests/replicas/test_chooser.py
@@ -5,7 +5,7 @@
 
 from fireflyward.replicas import (
     Chooser,
-    PeerUnderWay,
+    PeerLoad,
     ReplicaDirectory,
     UnderWay,
     Wanted,
@@ -23,7 +23,7 @@
     def make(self, *entries):
         self.directory = ReplicaDirectory()
         self.directory.on_whole(0, entries, after_outage=False)
-        self.peers = PeerUnderWay()
+        self.peers = PeerLoad()
         self.chooser = Chooser(
             self.directory, failure_domain="a", peers=self.peers, seed=1
         )
@@ -186,7 +186,7 @@
         news |= told("r0", UnderWay(0, 40_000, 4))
         self.choosers = []
         for seed in range(60):
-            peers = PeerUnderWay()
+            peers = PeerLoad()
             peers.take(0, "others", news)
             self.choosers.append(
                 Chooser(self.directory, failure_domain="a", peers=peers, seed=seed)
--- a/tests/replicas/test_telling.py
+++ b/tests/replicas/test_telling.py
@@ -5,7 +5,7 @@
 from fireflyward.aggregators import Aggregators, Member
 from fireflyward.clock import Clock
 from fireflyward.replicas import (
-    PeerUnderWay,
+    PeerLoad,
     ReplicaDirectory,
     UnderWay,
     UnderWayTask,
@@ -62,7 +62,7 @@
     def __init__(self, network, name, domain):
         self.member = Member(name, domain, (name, 1), 100)
         self.link = _Link(network, name)
-        self.peers = PeerUnderWay()
+        self.peers = PeerLoad()
         self.directory = ReplicaDirectory()
         entries = [entry(f"r{i}") for i in range(40)]
         self.directory.on_whole(0, entries, after_outage=False)
--- a/tests/replicas/test_under_way.py
+++ b/tests/replicas/test_under_way.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from fireflyward.replicas import PeerUnderWay, UnderWay
+from fireflyward.replicas import PeerLoad, UnderWay
 
 
 class MeshTests(unittest.TestCase):
     def test_the_newest_word_of_a_node_counts(self):
-        peers = PeerUnderWay()
+        peers = PeerLoad()
         peers.take(0, "n", {1: UnderWay(5, 5), 2: UnderWay(7, 7)})
         peers.take(1, "n", {1: UnderWay(2, 3)})
         self.assertEqual(peers.at(1, 1), UnderWay(2, 3))
@@ -18,14 +18,14 @@
 
         A node died with requests under way, and what it told last stays.
         """
-        peers = PeerUnderWay()
+        peers = PeerLoad()
         peers.take(0, "n", {1: UnderWay(50_000, 50_000)})
         self.assertEqual(peers.at(2_000, 1), UnderWay())
 
 
 class SumTests(unittest.TestCase):
     def setUp(self):
-        self.peers = PeerUnderWay()
+        self.peers = PeerLoad()
 
     def test_sums_of_all_aggregators_add_up(self):
         self.peers.take_sum(0, "a", {1: UnderWay(100, 200, 2)})
