--- a/fireflyward/fleet/_known_replicas.py
+++ b/fireflyward/fleet/_known_replicas.py
@@ -12,10 +12,10 @@
 from fireflyward.replicas import (
     Chooser,
     ColdShares,
+    LoadReportTask,
     PeerLoad,
     RateLimits,
     ReplicaDirectory,
-    UnderWayTask,
 )
 
 
@@ -33,7 +33,7 @@
         self._clock = clock
         self.directory = ReplicaDirectory()
         under_way = PeerLoad()
-        self.under_way_task = UnderWayTask(
+        self.under_way_task = LoadReportTask(
             clock=clock,
             directory=self.directory,
             peers=under_way,
--- a/fireflyward/replicas/__init__.py
+++ b/fireflyward/replicas/__init__.py
@@ -5,7 +5,7 @@
 from ._directory import ReplicaDirectory
 from ._rate_limits import RateLimits
 from ._state import ReplicaState
-from ._telling import UnderWayTask
+from ._telling import LoadReportTask
 from ._under_way import PeerLoad, UnderWay
 
 __all__ = [
@@ -17,6 +17,6 @@
     "ReplicaDirectory",
     "ReplicaState",
     "UnderWay",
-    "UnderWayTask",
+    "LoadReportTask",
     "Wanted",
 ]
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -78,7 +78,7 @@
         return changed
 
 
-class UnderWayTask:
+class LoadReportTask:
     """Speaks over a link, to all nodes or to the aggregator of its domain."""
 
     def __init__(
--- a/tests/replicas/test_telling.py
+++ b/tests/replicas/test_telling.py
@@ -5,10 +5,10 @@
 from fireflyward.aggregators import Aggregators, Member
 from fireflyward.clock import Clock
 from fireflyward.replicas import (
+    LoadReportTask,
     PeerLoad,
     ReplicaDirectory,
     UnderWay,
-    UnderWayTask,
 )
 
 from .makers import entry
@@ -67,7 +67,7 @@
         entries = [entry(f"r{i}") for i in range(40)]
         self.directory.on_whole(0, entries, after_outage=False)
         self.aggregators = Aggregators(name, domain, link_mbps=100)
-        self.task = UnderWayTask(
+        self.task = LoadReportTask(
             clock=network.clock,
             directory=self.directory,
             peers=self.peers,
