--- a/fireflyward/replicas/__init__.py
+++ b/fireflyward/replicas/__init__.py
@@ -6,7 +6,7 @@
 from ._rate_limits import RateLimits
 from ._state import ReplicaState
 from ._telling import LoadReportTask
-from ._under_way import PeerLoad, UnderWay
+from ._under_way import InFlightLoad, PeerLoad
 
 __all__ = [
     "Choice",
@@ -16,7 +16,7 @@
     "RateLimits",
     "ReplicaDirectory",
     "ReplicaState",
-    "UnderWay",
+    "InFlightLoad",
     "LoadReportTask",
     "Wanted",
 ]
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -9,7 +9,7 @@
 
 from ._directory import ReplicaDirectory
 from ._replicas_structs import UnderWayNews
-from ._under_way import PeerLoad, Told, UnderWay
+from ._under_way import InFlightLoad, PeerLoad, Told
 
 log = logging.getLogger("fireflyward.aggregators")
 
@@ -41,18 +41,18 @@
     """Works out what of a sum is to be told now; no I/O.
 
     >>> changes = SumChanges()
-    >>> changes.due(0, {17: UnderWay(5, 5, 1)})
-    {17: UnderWay(unread=5, held=5, requests=1)}
-    >>> changes.due(80, {17: UnderWay(5, 5, 1)}) is None
+    >>> changes.due(0, {17: InFlightLoad(5, 5, 1)})
+    {17: InFlightLoad(unread=5, held=5, requests=1)}
+    >>> changes.due(80, {17: InFlightLoad(5, 5, 1)}) is None
     True
     >>> changes.due(160, {})
-    {17: UnderWay(unread=0, held=0, requests=0)}
+    {17: InFlightLoad(unread=0, held=0, requests=0)}
     """
 
     __slots__ = ("_spoke_ms", "_told", "_whole_ms")
 
     def __init__(self) -> None:
-        self._told: dict[int, UnderWay] = {}
+        self._told: dict[int, InFlightLoad] = {}
         self._whole_ms: int | None = None
         self._spoke_ms = 0
 
@@ -61,9 +61,9 @@
         """Tell whether something was told that is not taken back yet."""
         return bool(self._told)
 
-    def due(self, now_ms: int, total: dict[int, UnderWay]) -> Told | None:
+    def due(self, now_ms: int, total: dict[int, InFlightLoad]) -> Told | None:
         """Return what to tell, an empty one as a sign of life, None for nothing."""
-        gone = {name: UnderWay() for name in self._told if name not in total}
+        gone = {name: InFlightLoad() for name in self._told if name not in total}
         if self._whole_ms is None or now_ms - self._whole_ms >= _SUM_REPEAT_MS:
             self._whole_ms = now_ms
             changed = {**total, **gone}
@@ -99,7 +99,7 @@
         self._node = node
         self._failure_domain = failure_domain
         self._link_mbps = link_mbps
-        self._told: dict[int, UnderWay] = {}
+        self._told: dict[int, InFlightLoad] = {}
         self._told_ms = 0
         self._told_to: Member | None = None
         self._sum_changes = SumChanges()
@@ -130,9 +130,9 @@
         else:
             self._tell_everyone(link)
 
-    def _own(self) -> dict[int, UnderWay]:
+    def _own(self) -> dict[int, InFlightLoad]:
         return {
-            state.number: UnderWay(
+            state.number: InFlightLoad(
                 int(state.unread_tokens), int(state.held_tokens), state.in_flight
             )
             for state in self._directory.all()
@@ -197,7 +197,7 @@
         return max(least_ms, carrying_ms / _LINK_SHARE)
 
     def _tell_other_aggregators(
-        self, link: PeerLink, now_ms: int, own_sum: dict[int, UnderWay]
+        self, link: PeerLink, now_ms: int, own_sum: dict[int, InFlightLoad]
     ) -> None:
         """Tell the sum of what nodes told this one to whoever makes a total of it.
 
@@ -226,10 +226,10 @@
         self._peers.take_total(self._clock.now_ms(), sender, _decoded(news))
 
 
-def _plus(total: dict[int, UnderWay], own: Told) -> dict[int, UnderWay]:
+def _plus(total: dict[int, InFlightLoad], own: Told) -> dict[int, InFlightLoad]:
     """Add what is this node's own to a sum."""
     for replica, more in own.items():
-        total[replica] = total.get(replica, UnderWay()).plus(more)
+        total[replica] = total.get(replica, InFlightLoad()).plus(more)
     return total
 
 
@@ -258,7 +258,7 @@
     )
 
 
-def _decoded(news: Any) -> dict[int, UnderWay]:
+def _decoded(news: Any) -> dict[int, InFlightLoad]:
     counts = zip(news.unread, news.held, news.requests, strict=False)
-    items = [UnderWay(*item) for item in counts]
+    items = [InFlightLoad(*item) for item in counts]
     return dict(zip(news.replicas, items, strict=False))
--- a/fireflyward/replicas/_under_way.py
+++ b/fireflyward/replicas/_under_way.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UnderWay:
+class InFlightLoad:
     """Tokens under way at a replica.
 
     ``unread`` are of prompts without a first token yet: whoever comes next waits
@@ -28,15 +28,15 @@
 
     def plus(self, other: "UnderWay", sign: int = 1) -> "UnderWay":
         """Return the sum with another, or the difference with ``sign`` -1."""
-        return UnderWay(
+        return InFlightLoad(
             self.unread + sign * other.unread,
             self.held + sign * other.held,
             self.requests + sign * other.requests,
         )
 
 
-_NOTHING = UnderWay()
-Told = Mapping[int, UnderWay]
+_NOTHING = InFlightLoad()
+Told = Mapping[int, InFlightLoad]
 
 
 class _Sums:
@@ -45,7 +45,7 @@
     __slots__ = ("_part_by_replica", "heard_ms")
 
     def __init__(self) -> None:
-        self._part_by_replica: dict[int, tuple[int, UnderWay]] = {}
+        self._part_by_replica: dict[int, tuple[int, InFlightLoad]] = {}
         self.heard_ms = 0
 
     def take(self, now_ms: int, told: Told) -> None:
@@ -56,11 +56,11 @@
             else:
                 self._part_by_replica[replica] = now_ms, part
 
-    def at(self, now_ms: int, replica: int) -> UnderWay:
+    def at(self, now_ms: int, replica: int) -> InFlightLoad:
         told_ms, part = self._part_by_replica.get(replica, (now_ms, _NOTHING))
         return part if now_ms - told_ms < _SUM_FORGET_MS else _NOTHING
 
-    def add_to(self, now_ms: int, total: dict[int, UnderWay]) -> None:
+    def add_to(self, now_ms: int, total: dict[int, InFlightLoad]) -> None:
         for replica, (told_ms, part) in self._part_by_replica.items():
             if now_ms - told_ms < _SUM_FORGET_MS:
                 total[replica] = total.get(replica, _NOTHING).plus(part)
@@ -75,7 +75,7 @@
     many nodes and domains there are.
 
     >>> peers = PeerLoad()
-    >>> peers.take(0, "entry-2", {17: UnderWay(900, 1_200, 1)})
+    >>> peers.take(0, "entry-2", {17: InFlightLoad(900, 1_200, 1)})
     >>> peers.at(500, 17).unread, peers.at(2_000, 17).unread
     (900, 0)
     """
@@ -91,7 +91,7 @@
 
     def __init__(self) -> None:
         self._by_node: dict[str, tuple[int, Told]] = {}
-        self._total_by_replica: dict[int, UnderWay] = {}
+        self._total_by_replica: dict[int, InFlightLoad] = {}
         self._sums_by_aggregator: dict[str, _Sums] = {}
         self._totals_by_aggregator: dict[str, _Sums] = {}
         self._followed: str | None = None
@@ -143,29 +143,29 @@
         for node in silent:
             self._remove(node)
 
-    def told(self, now_ms: int) -> dict[int, UnderWay]:
+    def told(self, now_ms: int) -> dict[int, InFlightLoad]:
         """Return the sum of what nodes told this one directly."""
         self.forget_silent(now_ms)
         return dict(self._total_by_replica)
 
-    def total(self, now_ms: int) -> dict[int, UnderWay]:
+    def total(self, now_ms: int) -> dict[int, InFlightLoad]:
         """Return the sum of what nodes and other aggregators told this one."""
         total = self.told(now_ms)
         for sums in self._sums_by_aggregator.values():
             sums.add_to(now_ms, total)
         return total
 
-    def at(self, now_ms: int, replica: int) -> UnderWay:
+    def at(self, now_ms: int, replica: int) -> InFlightLoad:
         """Return what other nodes have under way at a replica."""
         total = self._believed(now_ms, replica)
         own = self._own_in_total(now_ms).get(replica)
         if own is not None:
             total = total.plus(own, -1)
-        return UnderWay(
+        return InFlightLoad(
             max(0, total.unread), max(0, total.held), max(0, total.requests)
         )
 
-    def _believed(self, now_ms: int, replica: int) -> UnderWay:
+    def _believed(self, now_ms: int, replica: int) -> InFlightLoad:
         if self._followed is not None:
             totals = self._totals_by_aggregator.get(self._followed)
             return _NOTHING if totals is None else totals.at(now_ms, replica)
--- a/tests/replicas/test_chooser.py
+++ b/tests/replicas/test_chooser.py
@@ -5,9 +5,9 @@
 
 from fireflyward.replicas import (
     Chooser,
+    InFlightLoad,
     PeerLoad,
     ReplicaDirectory,
-    UnderWay,
     Wanted,
 )
 
@@ -95,7 +95,7 @@
         self.make(*(entry(f"r{n}", version=1) for n in range(3)))
         wanted = Wanted("s", prefix_key="p", prefix_tokens=9_000, model="m")
         home = self.chosen(wanted)
-        self.peers.take(0, "entry-2", told(home, UnderWay(60_000, 60_000)))
+        self.peers.take(0, "entry-2", told(home, InFlightLoad(60_000, 60_000)))
         choice = self.chooser.choose(0, wanted)
         self.assertNotEqual(choice.replica.entry.incarnation, home)
         self.assertEqual(choice.kv_source, f"{home}:80")
@@ -104,7 +104,7 @@
         self.make(*(entry(f"r{n}", version=1) for n in range(3)))
         wanted = Wanted("s", prefix_key="p", prefix_tokens=9_000, model="m")
         home = self.chosen(wanted)
-        self.peers.take(0, "entry-2", told(home, UnderWay(60_000, 60_000)))
+        self.peers.take(0, "entry-2", told(home, InFlightLoad(60_000, 60_000)))
         self.state(home).on_loaded("m", 2)
         self.assertIsNone(self.chooser.choose(0, wanted).kv_source)
 
@@ -125,7 +125,7 @@
     def test_the_queue_of_all_nodes_is_told(self):
         self.make(entry("r1", version=1))
         self.state("r1").unread_tokens = 900
-        self.peers.take(0, "entry-2", told("r1", UnderWay(900, 900)))
+        self.peers.take(0, "entry-2", told("r1", InFlightLoad(900, 900)))
         choice = self.chooser.choose(0, Wanted("s", model="m", new_tokens=900))
         self.assertEqual((choice.queue_ms, choice.first_token_ms), (20.0, 85.0))
 
@@ -138,11 +138,13 @@
         reads them again.
         """
         self.make(entry("r1", version=1), entry("r2", version=1))
-        self.peers.take(0, "entry-2", told("r1", UnderWay(0, 90_000)))
+        self.peers.take(0, "entry-2", told("r1", InFlightLoad(0, 90_000)))
         wanted = Wanted("s", model="m", tokens=12_000, kv_tokens=100_000)
         self.assertEqual({self.chosen(wanted) for _ in range(20)}, {"r2"})
         self.peers.take(
-            0, "entry-2", told("r1", UnderWay(0, 9)) | told("r2", UnderWay(0, 90_000))
+            0,
+            "entry-2",
+            told("r1", InFlightLoad(0, 9)) | told("r2", InFlightLoad(0, 90_000)),
         )
         choice = self.chooser.choose(0, wanted)
         self.assertEqual(choice.replica.entry.incarnation, "r1")
@@ -164,10 +166,12 @@
 
     def test_a_replica_without_a_free_slot_makes_wait(self):
         self.make(entry("r1", slots=4), entry("r2", slots=4))
-        self.peers.take(0, "entry-2", told("r1", UnderWay(0, 0, 6)))
+        self.peers.take(0, "entry-2", told("r1", InFlightLoad(0, 0, 6)))
         self.assertEqual({self.chosen() for _ in range(20)}, {"r2"})
         self.peers.take(
-            0, "entry-2", told("r1", UnderWay(0, 0, 6)) | told("r2", UnderWay(0, 0, 6))
+            0,
+            "entry-2",
+            told("r1", InFlightLoad(0, 0, 6)) | told("r2", InFlightLoad(0, 0, 6)),
         )
         self.assertEqual(self.chooser.choose(0, Wanted("s")).queue_ms, 75.0)
 
@@ -182,8 +186,8 @@
         # All are busy, and one of them a little less.
         news = {}
         for i in range(1, 40):
-            news |= told(f"r{i}", UnderWay(2_000, 90_000, 10))
-        news |= told("r0", UnderWay(0, 40_000, 4))
+            news |= told(f"r{i}", InFlightLoad(2_000, 90_000, 10))
+        news |= told("r0", InFlightLoad(0, 40_000, 4))
         self.choosers = []
         for seed in range(60):
             peers = PeerLoad()
--- a/tests/replicas/test_telling.py
+++ b/tests/replicas/test_telling.py
@@ -5,10 +5,10 @@
 from fireflyward.aggregators import Aggregators, Member
 from fireflyward.clock import Clock
 from fireflyward.replicas import (
+    InFlightLoad,
     LoadReportTask,
     PeerLoad,
     ReplicaDirectory,
-    UnderWay,
 )
 
 from .makers import entry
@@ -294,7 +294,8 @@
         network.step(1)
         peers = network.node_by_name["c2"].peers
         self.assertEqual(
-            peers.at(network.clock.now_ms(), entry("r0").number), UnderWay(0, 900, 0)
+            peers.at(network.clock.now_ms(), entry("r0").number),
+            InFlightLoad(0, 900, 0),
         )
 
     def test_many_replicas_take_several_datagrams(self):
@@ -310,5 +311,5 @@
 
 class ValueTests(unittest.TestCase):
     def test_a_difference_is_the_inverse_of_a_sum(self):
-        one, other = UnderWay(1, 2, 3), UnderWay(10, 20, 30)
+        one, other = InFlightLoad(1, 2, 3), InFlightLoad(10, 20, 30)
         self.assertEqual(one.plus(other).plus(other, -1), one)
