--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -140,7 +140,7 @@
         self._to_tell.add(replica.number)
 
     def _tell(self) -> None:
-        found = map(self._directory.find_start, sorted(self._to_tell))
+        found = map(self._directory.find_incarnation, sorted(self._to_tell))
         self._to_tell.clear()
         self._send(self._peers(), [state for state in found if state is not None])
 
@@ -155,14 +155,14 @@
         now_ms = self._clock.now_ms()
         columns = zip(news.replicas, news.limits, news.ages_ms, strict=False)
         for number, limit, age_ms in columns:
-            state = self._directory.find_start(number)
+            state = self._directory.find_incarnation(number)
             if state is None:
                 continue
             per_second = limit if limit >= 0 else None
             if state.backpressure.limit.on_told(now_ms - max(0, age_ms), per_second):
                 self._note_limit(state, sender)
         for number in news.leaving:
-            state = self._directory.find_start(number)
+            state = self._directory.find_incarnation(number)
             if state is not None and not state.backpressure.is_leaving:
                 self._note_leaving(state, sender)
 
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -202,7 +202,7 @@
 
         One that leaves as planned ends too, and so does one whose entry went first.
         """
-        state = self._directory.find_start(replica.number)
+        state = self._directory.find_incarnation(replica.number)
         return state is not None and not state.is_leaving
 
     async def _check(self, replica: ReplicaState) -> bool:
--- a/fireflyward/replicas/_directory.py
+++ b/fireflyward/replicas/_directory.py
@@ -124,7 +124,7 @@
         """Return the replica that is listed under a name, None once it is gone."""
         return self._state_by_incarnation.get(incarnation)
 
-    def find_start(self, number: int) -> ReplicaState | None:
+    def find_incarnation(self, number: int) -> ReplicaState | None:
         """Return one start of a replica, None once that is gone."""
         return self._state_by_number.get(number)
 
--- a/fireflyward/weights/_news.py
+++ b/fireflyward/weights/_news.py
@@ -69,11 +69,11 @@
 
     async def _on_loading(self, sender: str, news: Any) -> None:
         for replica in news.replicas:
-            state = self._directory.find_start(replica)
+            state = self._directory.find_incarnation(replica)
             if state is not None and state.entry.version_of(news.model) != news.version:
                 state.on_loading(self._clock.now_ms(), news.for_ms)
 
     async def _on_loaded(self, sender: str, news: Any) -> None:
-        state = self._directory.find_start(news.replica)
+        state = self._directory.find_incarnation(news.replica)
         if state is not None:
             state.on_loaded(news.model, news.version)
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -218,7 +218,7 @@
         What another start under the same name reports says nothing of this one: its
         count of orders begins anew, and it gets orders of its own once it is listed.
         """
-        state = self._directory.find_start(order.number)
+        state = self._directory.find_incarnation(order.number)
         if state is None:
             return True
         started_ms = state.entry.started_ms
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -129,9 +129,9 @@
 
     def test_a_former_start_is_found_no_more(self):
         self.put(2_000)
-        self.assertIsNone(self.directory.find_start(self.before.number))
+        self.assertIsNone(self.directory.find_incarnation(self.before.number))
         state = self.directory.find("r1")
-        self.assertIs(self.directory.find_start(state.number), state)
+        self.assertIs(self.directory.find_incarnation(state.number), state)
 
     def test_a_start_by_a_clock_that_was_set_back_counts(self):
         """Entries come in the order in which they were written, not by their clocks."""
@@ -160,7 +160,7 @@
         self.directory.set_services({"s": Service("s")})
         names = [state.entry.incarnation for state in self.directory.all()]
         self.assertEqual(names, ["r1", "r2"])
-        self.assertIsNone(self.directory.find_start(entry("x").number))
+        self.assertIsNone(self.directory.find_incarnation(entry("x").number))
 
     def test_a_service_that_comes_later_has_its_replicas(self):
         self.directory.set_services({"s": Service("s")})
