--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -92,7 +92,7 @@
         if not replica.backpressure.rest_ms(now_ms):
             name = replica.entry.incarnation
             log.info("notices: %s wants nothing for %.0f ms", name, rest_ms)
-        replica.backpressure.on_rest(now_ms, rest_ms)
+        replica.backpressure.on_backoff(now_ms, rest_ms)
 
     def _takes_limit(
         self, replica: ReplicaState, facts: ResponseFacts, sent_ms: int
--- a/fireflyward/replicas/_backpressure.py
+++ b/fireflyward/replicas/_backpressure.py
@@ -68,7 +68,7 @@
         self.is_misread = False
         self._rest_until_ms = 0.0
 
-    def on_rest(self, now_ms: int, for_ms: float) -> None:
+    def on_backoff(self, now_ms: int, for_ms: float) -> None:
         """Keep away for as long as the replica asked this node for."""
         self._rest_until_ms = max(self._rest_until_ms, now_ms + for_ms)
         self.changes += 1
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -121,7 +121,7 @@
     async def test_a_replica_that_asks_for_rest_meanwhile_gets_nothing(self):
         """Guards against requests that waited while their replica asked for rest."""
         replica = await self.begin()
-        replica.backpressure.on_rest(0, 3_000)
+        replica.backpressure.on_backoff(0, 3_000)
         replica.backpressure.changes += 1
         await self.assert_sent_elsewhere(replica)
 
@@ -149,7 +149,7 @@
 
     async def test_with_all_replicas_resting_it_is_refused_unsent(self):
         for state in self.directory.all():
-            state.backpressure.on_rest(0, 3_000)
+            state.backpressure.on_backoff(0, 3_000)
         outcome = await self.serve()
         self.assertIsInstance(outcome, NotRun)
         self.assertGreaterEqual(outcome.retry_after_ms, 3_000)
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -198,7 +198,7 @@
 
     def test_its_limit_and_its_rest_hold_on(self):
         self.asked.limit.on_named(0, 4.0)
-        self.asked.on_rest(0, 3_000)
+        self.asked.on_backoff(0, 3_000)
         state = self.relisted()
         self.assertEqual(state.backpressure.limit.per_second, 4.0)
         self.assertEqual(state.backpressure.rest_ms(1_000), 2_000)
