--- a/fireflyward/replicas/_under_way.py
+++ b/fireflyward/replicas/_under_way.py
@@ -26,7 +26,7 @@
     held: int = 0
     requests: int = 0
 
-    def plus(self, other: "UnderWay", sign: int = 1) -> "UnderWay":
+    def plus(self, other: "InFlightLoad", sign: int = 1) -> "InFlightLoad":
         """Return the sum with another, or the difference with ``sign`` -1."""
         return InFlightLoad(
             self.unread + sign * other.unread,
