--- a/fireflyward/fleet/_known_replicas.py
+++ b/fireflyward/fleet/_known_replicas.py
@@ -81,7 +81,7 @@
             "cold_sends_total": self.cold_shares.granted,
             "leaving_replicas": sum(state.is_leaving for state in states),
             "limited_replicas": sum(x.limit.per_second is not None for x in asked),
-            "resting_replicas": sum(x.rest_ms(now_ms) > 0 for x in asked),
+            "resting_replicas": sum(x.backoff_ms(now_ms) > 0 for x in asked),
             "evacuated_failure_domains": len(self.directory.evacuated),
             "unreachable_failure_domains": len(self.directory.unreachable),
         }
--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -66,7 +66,7 @@
         if facts.is_other_replica and not is_same:
             return
         self._warn_of(replica, facts.notices.unreadable)
-        self._take_rest(replica, facts.notices.rest_ms)
+        self._take_rest(replica, facts.notices.backoff_ms)
         if facts.notices.leaving is True and not replica.backpressure.is_leaving:
             self._note_leaving(replica, "its answer")
             self._tell_soon(replica)
@@ -84,15 +84,15 @@
             states = self._directory.all()
             self._send(chosen, [item for item in states if _is_told(now_ms, item)])
 
-    def _take_rest(self, replica: ReplicaState, rest_ms: float | Unreadable) -> None:
+    def _take_rest(self, replica: ReplicaState, backoff_ms: float | Unreadable) -> None:
         """Note what a refusal asks of this node; it says nothing to others."""
-        if isinstance(rest_ms, Unreadable) or not rest_ms:
+        if isinstance(backoff_ms, Unreadable) or not backoff_ms:
             return
         now_ms = self._clock.now_ms()
-        if not replica.backpressure.rest_ms(now_ms):
+        if not replica.backpressure.backoff_ms(now_ms):
             name = replica.entry.incarnation
-            log.info("notices: %s wants nothing for %.0f ms", name, rest_ms)
-        replica.backpressure.on_backoff(now_ms, rest_ms)
+            log.info("notices: %s wants nothing for %.0f ms", name, backoff_ms)
+        replica.backpressure.on_backoff(now_ms, backoff_ms)
 
     def _takes_limit(
         self, replica: ReplicaState, facts: ResponseFacts, sent_ms: int
--- a/fireflyward/platform/_notices.py
+++ b/fireflyward/platform/_notices.py
@@ -35,17 +35,17 @@
     """What a response asks for; ``limit`` is None where it names none.
 
     ``leaving`` tells that the replica leaves and is to get nothing more, and
-    ``rest_ms`` for how long it wants nothing from the node that it answered.
+    ``backoff_ms`` for how long it wants nothing from the node that it answered.
     """
 
     limit: RateLimit | Unreadable | None = None
     leaving: bool | Unreadable = False
-    rest_ms: float | Unreadable = 0.0
+    backoff_ms: float | Unreadable = 0.0
 
     @property
     def unreadable(self) -> tuple[Unreadable, ...]:
         """Return the headers that could not be read."""
-        found = self.limit, self.leaving, self.rest_ms
+        found = self.limit, self.leaving, self.backoff_ms
         return tuple(item for item in found if isinstance(item, Unreadable))
 
 
@@ -58,7 +58,7 @@
     return ReplicaNotices(
         limit=_limit(head.get(_LIMIT)),
         leaving=_leaving(head.get(_LEAVING)),
-        rest_ms=_rest_ms(head),
+        backoff_ms=_rest_ms(head),
     )
 
 
--- a/fireflyward/replicas/_backpressure.py
+++ b/fireflyward/replicas/_backpressure.py
@@ -73,6 +73,6 @@
         self._rest_until_ms = max(self._rest_until_ms, now_ms + for_ms)
         self.changes += 1
 
-    def rest_ms(self, now_ms: int) -> float:
+    def backoff_ms(self, now_ms: int) -> float:
         """Return for how long it still wants nothing from this node."""
         return max(0.0, self._rest_until_ms - now_ms)
--- a/fireflyward/replicas/_chooser.py
+++ b/fireflyward/replicas/_chooser.py
@@ -243,8 +243,8 @@
 
     def _wait_ms(self, now_ms: int, state: ReplicaState) -> float:
         """Return for how long a replica asked this node to send it nothing."""
-        rest_ms = state.backpressure.rest_ms(now_ms)
-        return max(rest_ms, self._rate_limits.wait_ms(now_ms, state))
+        backoff_ms = state.backpressure.backoff_ms(now_ms)
+        return max(backoff_ms, self._rate_limits.wait_ms(now_ms, state))
 
     def _count_send(self, now_ms: int, chosen: ReplicaState) -> None:
         """Count a request to a replica whose requests may be limited."""
--- a/tests/notices/test_task.py
+++ b/tests/notices/test_task.py
@@ -201,19 +201,21 @@
         self.answer(("x-not-executed", "1"), ("retry-after", "2.5"), status=503)
         await self.carry()
         now_ms = self.clock.now_ms()
-        self.assertGreater(self.first[0].find("r1").backpressure.rest_ms(now_ms), 2_000)
-        self.assertEqual(self.second[0].find("r1").backpressure.rest_ms(now_ms), 0)
+        self.assertGreater(
+            self.first[0].find("r1").backpressure.backoff_ms(now_ms), 2_000
+        )
+        self.assertEqual(self.second[0].find("r1").backpressure.backoff_ms(now_ms), 0)
 
     async def test_a_shorter_rest_does_not_end_a_longer_one(self):
         """Guards against refusals that overtake each other."""
         self.answer(("retry-after", "5"), status=503)
         self.answer(("retry-after", "0.1"), status=503)
         self.assertEqual(
-            self.first[0].find("r1").backpressure.rest_ms(self.clock.now_ms()), 5_000
+            self.first[0].find("r1").backpressure.backoff_ms(self.clock.now_ms()), 5_000
         )
 
     async def test_only_a_503_asks_for_rest(self):
         self.answer(SIGNED, ("retry-after", "5"), status=429)
         self.assertEqual(
-            self.first[0].find("r1").backpressure.rest_ms(self.clock.now_ms()), 0
+            self.first[0].find("r1").backpressure.backoff_ms(self.clock.now_ms()), 0
         )
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -201,7 +201,7 @@
         self.asked.on_backoff(0, 3_000)
         state = self.relisted()
         self.assertEqual(state.backpressure.limit.per_second, 4.0)
-        self.assertEqual(state.backpressure.rest_ms(1_000), 2_000)
+        self.assertEqual(state.backpressure.backoff_ms(1_000), 2_000)
 
     def test_another_start_asked_for_nothing_yet(self):
         self.asked.limit.on_named(0, 4.0)
