--- a/fireflyward/forwarding/_run.py
+++ b/fireflyward/forwarding/_run.py
@@ -189,7 +189,7 @@
         if not failure.is_refused:
             self._tools.reach.on_silent(replica)
         self._send_check.on_unreached(replica, is_refused=failure.is_refused)
-        self._tried.add(replica.number)
+        self._tried.add(replica.incarnation_id)
         self._end_late_wait(None)
         return Unsent(failure.detail)
 
@@ -238,7 +238,7 @@
         replica.on_cold_sent(self._sent_ms)
         self._trace.sends += 1
         self._trace.stored_tokens = headers.stored_tokens
-        self._tried.add(replica.number)
+        self._tried.add(replica.incarnation_id)
         try:
             connection.send(
                 self._caller.method,
@@ -304,7 +304,7 @@
             return Rejected(RejectedBecause.FULL)
         is_same = facts.incarnation == replica.entry.incarnation
         if is_same and choice.weights is not None:
-            self._tried.discard(replica.number)
+            self._tried.discard(replica.incarnation_id)
             self._correct_weights(replica, choice, facts)
             return Rejected(RejectedBecause.OTHER_WEIGHTS)
         replica.on_trouble(now_ms)
--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -137,7 +137,7 @@
     def _tell_soon(self, replica: ReplicaState) -> None:
         if not self._to_tell:
             self._clock.call_later_ms(_GATHER_MS, self._tell)
-        self._to_tell.add(replica.number)
+        self._to_tell.add(replica.incarnation_id)
 
     def _tell(self) -> None:
         found = map(self._directory.find_incarnation, sorted(self._to_tell))
@@ -186,8 +186,10 @@
     named = [state for state in states if state.backpressure.limit.as_of_ms is not None]
     limits = [state.backpressure.limit for state in named]
     return ReplicaNews(
-        replicas=[state.number for state in named],
+        replicas=[state.incarnation_id for state in named],
         limits=[_NO_LIMIT if x.per_second is None else x.per_second for x in limits],
         ages_ms=[min(now_ms - limit.as_of_ms, _MOST_AGE_MS) for limit in limits],
-        leaving=[state.number for state in states if state.backpressure.is_leaving],
+        leaving=[
+            state.incarnation_id for state in states if state.backpressure.is_leaving
+        ],
     )
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -144,11 +144,13 @@
         """
         if not self._may_crash(replica):
             return
-        found = self._cuts.on_cut(self._clock.now_ms(), fingerprint, replica.number)
+        found = self._cuts.on_cut(
+            self._clock.now_ms(), fingerprint, replica.incarnation_id
+        )
         if found:
             self._blame(replica, found)
-        elif not is_late and replica.number not in self._checked:
-            self._checked.add(replica.number)
+        elif not is_late and replica.incarnation_id not in self._checked:
+            self._checked.add(replica.incarnation_id)
             self._spawn(self._check(replica))
 
     def on_refused(self, replica: ReplicaState) -> None:
@@ -202,7 +204,7 @@
 
         One that leaves as planned ends too, and so does one whose entry went first.
         """
-        state = self._directory.find_incarnation(replica.number)
+        state = self._directory.find_incarnation(replica.incarnation_id)
         return state is not None and not state.is_leaving
 
     async def _check(self, replica: ReplicaState) -> bool:
@@ -210,7 +212,7 @@
         connection = await self._pool.take(
             replica.entry.address, connect_ms=_CONNECT_MS, fresh=True
         )
-        self._checked.discard(replica.number)
+        self._checked.discard(replica.incarnation_id)
         if not isinstance(connection, NotConnected):
             self._pool.give_back(connection)
             return True
@@ -224,7 +226,7 @@
         await self._rows.end_trial(trial, counts=not survived)
 
     def _on_end(self, replica: ReplicaState) -> None:
-        found = self._cuts.on_end(self._clock.now_ms(), replica.number)
+        found = self._cuts.on_end(self._clock.now_ms(), replica.incarnation_id)
         if found:
             self._blame(replica, found)
 
@@ -233,8 +235,8 @@
         now_ms = self._clock.now_ms()
         self.cut += len(fingerprints)
         for fingerprint in fingerprints:
-            self._suspects.on_ends(now_ms, fingerprint, [replica.number])
-        self._news.ended(replica.number, fingerprints)
+            self._suspects.on_ends(now_ms, fingerprint, [replica.incarnation_id])
+        self._news.ended(replica.incarnation_id, fingerprints)
         self._unsettled.update(fingerprints)
         self._has_work.set()
         self._look_soon()
--- a/fireflyward/replicas/_chooser.py
+++ b/fireflyward/replicas/_chooser.py
@@ -153,7 +153,7 @@
         listed = [
             state
             for state in self._directory.of_service(wanted.service)
-            if state.number not in without and _has_weights(state, wanted)
+            if state.incarnation_id not in without and _has_weights(state, wanted)
         ]
         able = [state for state in listed if self._bears_more(now_ms, state)]
         if not able:
@@ -254,7 +254,7 @@
 
     def queue_ms(self, now_ms: int, state: ReplicaState) -> float:
         """Return how long the prompts take that all nodes have sent there."""
-        others = self._peers.at(now_ms, state.number)
+        others = self._peers.at(now_ms, state.incarnation_id)
         return _reading_ms(state, state.unread_tokens + others.unread)
 
     def _choice(
@@ -287,7 +287,7 @@
         Nodes tell of their requests and replicas count all in their responses;
         either may be behind, so the larger number counts.
         """
-        others = self._peers.at(now_ms, state.number)
+        others = self._peers.at(now_ms, state.incarnation_id)
         requests = state.in_flight + max(others.requests, state.others_at(now_ms))
         return _Load(
             requests,
--- a/fireflyward/replicas/_cold.py
+++ b/fireflyward/replicas/_cold.py
@@ -48,7 +48,7 @@
 
     def may_send(self, now_ms: int, state: ReplicaState, per_second: float) -> bool:
         """Tell whether one more request may go to a cold replica now."""
-        allowance = self.allowance(state.number, per_second)
+        allowance = self.allowance(state.incarnation_id, per_second)
         return state.cold_sends_since(now_ms - _WINDOW_MS) < allowance
 
     def on_granted(self, now_ms: int, state: ReplicaState) -> None:
--- a/fireflyward/replicas/_directory.py
+++ b/fireflyward/replicas/_directory.py
@@ -117,7 +117,7 @@
         used: dict[tuple[str, int], set[int]] = {}
         for state in self.all():
             for weights in state.weights_it_may_have():
-                used.setdefault(weights, set()).add(state.number)
+                used.setdefault(weights, set()).add(state.incarnation_id)
         return used
 
     def find(self, incarnation: str) -> ReplicaState | None:
@@ -208,7 +208,7 @@
         for name, entry in copied_by_name.items():
             known = self._state_by_incarnation.get(name)
             if known is not None:
-                if known.number == entry.number and entry.is_leaving:
+                if known.incarnation_id == entry.number and entry.is_leaving:
                     news.append(entry)
             elif entry.number in self._backpressure_by_number:
                 doubted = self._doubted_by_name.get(name)
@@ -270,7 +270,7 @@
     def _keep(self, state: ReplicaState) -> None:
         """Keep what a start asks for, also in answers that are still on their way."""
         kept = self._backpressure_by_number
-        kept[state.number] = state.backpressure
+        kept[state.incarnation_id] = state.backpressure
         while len(kept) > _MOST_KEPT:
             del kept[next(iter(kept))]
 
@@ -282,7 +282,7 @@
             known = self._service_by_name
             if known is not None and service not in known:
                 continue
-            self._state_by_number[state.number] = state
+            self._state_by_number[state.incarnation_id] = state
             is_evacuated = state.entry.failure_domain in self.evacuated
             if not state.is_leaving and not is_evacuated:
                 self._by_service.setdefault(service, []).append(state)
--- a/fireflyward/replicas/_rate_limits.py
+++ b/fireflyward/replicas/_rate_limits.py
@@ -53,7 +53,7 @@
         limit = state.backpressure.limit
         if limit.per_second is None:
             return 0.0
-        pause_ms = self.pause_ms(state.number, limit.per_second)
+        pause_ms = self.pause_ms(state.incarnation_id, limit.per_second)
         if pause_ms is None:
             return _WINDOW_MS
         if limit.first_ms is None:
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -48,7 +48,7 @@
         "gone_at_ms",
         "in_flight",
         "held_tokens",
-        "number",
+        "incarnation_id",
         "pace",
         "refusals",
         "run_ms",
@@ -62,7 +62,7 @@
     ) -> None:
         self.backpressure = backpressure or Backpressure()
         self.entry = entry
-        self.number = entry.number
+        self.incarnation_id = entry.number
         # Late requests that wait for a slot behind all others are not in flight yet:
         # whoever is not late goes first.
         self.in_flight = 0
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -132,7 +132,7 @@
 
     def _own(self) -> dict[int, InFlightLoad]:
         return {
-            state.number: InFlightLoad(
+            state.incarnation_id: InFlightLoad(
                 int(state.unread_tokens), int(state.held_tokens), state.in_flight
             )
             for state in self._directory.all()
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -184,7 +184,7 @@
                 views.append(
                     RolloutView(
                         entry.incarnation,
-                        state.number,
+                        state.incarnation_id,
                         entry.address,
                         version,
                         self._busy_ms(now_ms, state),
--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -94,7 +94,7 @@
 
     def limited_node(self):
         """Return a node that has a part of the limit."""
-        number = self.nodes[0]._directory.find("p-1").number
+        number = self.nodes[0]._directory.find("p-1").incarnation_id
         return next(
             node
             for node in self.nodes
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -129,9 +129,9 @@
 
     def test_a_former_start_is_found_no_more(self):
         self.put(2_000)
-        self.assertIsNone(self.directory.find_incarnation(self.before.number))
+        self.assertIsNone(self.directory.find_incarnation(self.before.incarnation_id))
         state = self.directory.find("r1")
-        self.assertIs(self.directory.find_incarnation(state.number), state)
+        self.assertIs(self.directory.find_incarnation(state.incarnation_id), state)
 
     def test_a_start_by_a_clock_that_was_set_back_counts(self):
         """Entries come in the order in which they were written, not by their clocks."""
