--- a/fireflyward/forwarding/_unread.py
+++ b/fireflyward/forwarding/_unread.py
@@ -11,8 +11,8 @@
     def __init__(self, replica: ReplicaState, tokens: int) -> None:
         self._replica = replica
         self._tokens = tokens
-        replica.unread_tokens += tokens
+        replica.unprefilled_tokens += tokens
 
     def end(self) -> None:
-        self._replica.unread_tokens -= self._tokens
+        self._replica.unprefilled_tokens -= self._tokens
         self._tokens = 0
--- a/fireflyward/replicas/_chooser.py
+++ b/fireflyward/replicas/_chooser.py
@@ -255,7 +255,7 @@
     def queue_ms(self, now_ms: int, state: ReplicaState) -> float:
         """Return how long the prompts take that all nodes have sent there."""
         others = self._peers.at(now_ms, state.incarnation_id)
-        return _reading_ms(state, state.unread_tokens + others.unread)
+        return _reading_ms(state, state.unprefilled_tokens + others.unread)
 
     def _choice(
         self,
@@ -291,7 +291,7 @@
         requests = state.in_flight + max(others.requests, state.others_at(now_ms))
         return _Load(
             requests,
-            _reading_ms(state, state.unread_tokens + others.unread),
+            _reading_ms(state, state.unprefilled_tokens + others.unread),
             _memory_ms(state.held_tokens + others.held, wanted),
             _slot_ms(state, requests),
         )
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -52,7 +52,7 @@
         "pace",
         "refusals",
         "run_ms",
-        "unread_tokens",
+        "unprefilled_tokens",
         "waiting_late",
         "version_by_model",
     )
@@ -67,7 +67,7 @@
         # whoever is not late goes first.
         self.in_flight = 0
         self.waiting_late = 0
-        self.unread_tokens = 0
+        self.unprefilled_tokens = 0
         self.held_tokens = 0
         self.pace = 1.0
         self.run_ms = _FIRST_RUN_MS
--- a/tests/replicas/test_chooser.py
+++ b/tests/replicas/test_chooser.py
@@ -124,7 +124,7 @@
 
     def test_the_queue_of_all_nodes_is_told(self):
         self.make(entry("r1", version=1))
-        self.state("r1").unread_tokens = 900
+        self.state("r1").unprefilled_tokens = 900
         self.peers.take(0, "entry-2", told("r1", InFlightLoad(900, 900)))
         choice = self.chooser.choose(0, Wanted("s", model="m", new_tokens=900))
         self.assertEqual((choice.queue_ms, choice.first_token_ms), (20.0, 85.0))
@@ -161,7 +161,7 @@
         self.assertLess(state.pace, 0.6)
         for _ in range(40):
             state.on_first_token(expected_ms=155.0, took_ms=255.0)
-        state.unread_tokens = 900
+        state.unprefilled_tokens = 900
         self.assertGreater(self.chooser.queue_ms(0, state), 19.0)
 
     def test_a_replica_without_a_free_slot_makes_wait(self):
