--- a/fireflyward/forwarding/_run.py
+++ b/fireflyward/forwarding/_run.py
@@ -233,7 +233,7 @@
             replica.waiting_late += 1
         else:
             replica.in_flight += 1
-        replica.held_tokens += self._needs.held_tokens
+        replica.resident_tokens += self._needs.held_tokens
         self._sent_ms = self._clock.now_ms()
         replica.on_cold_sent(self._sent_ms)
         self._trace.sends += 1
@@ -254,7 +254,7 @@
         finally:
             self._end_late_wait(replica)
             replica.in_flight -= 1
-            replica.held_tokens -= self._needs.held_tokens
+            replica.resident_tokens -= self._needs.held_tokens
             unread.end()
         if isinstance(result, NotRunThere):
             return self._rejected(choice, result.facts)
--- a/fireflyward/replicas/_chooser.py
+++ b/fireflyward/replicas/_chooser.py
@@ -292,7 +292,7 @@
         return _Load(
             requests,
             _reading_ms(state, state.unprefilled_tokens + others.unread),
-            _memory_ms(state.held_tokens + others.held, wanted),
+            _memory_ms(state.resident_tokens + others.held, wanted),
             _slot_ms(state, requests),
         )
 
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -47,7 +47,7 @@
         "failed_share",
         "gone_at_ms",
         "in_flight",
-        "held_tokens",
+        "resident_tokens",
         "incarnation_id",
         "pace",
         "refusals",
@@ -68,7 +68,7 @@
         self.in_flight = 0
         self.waiting_late = 0
         self.unprefilled_tokens = 0
-        self.held_tokens = 0
+        self.resident_tokens = 0
         self.pace = 1.0
         self.run_ms = _FIRST_RUN_MS
         self.failed_share = 0.0
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -133,7 +133,9 @@
     def _own(self) -> dict[int, InFlightLoad]:
         return {
             state.incarnation_id: InFlightLoad(
-                int(state.unprefilled_tokens), int(state.held_tokens), state.in_flight
+                int(state.unprefilled_tokens),
+                int(state.resident_tokens),
+                state.in_flight,
             )
             for state in self._directory.all()
             if state.in_flight or state.waiting_late
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -95,7 +95,7 @@
         before.on_run(9_000)
         before.on_load(0, 12)
         before.in_flight, before.waiting_late = 4, 1
-        before.unprefilled_tokens, before.held_tokens = 900, 4_000
+        before.unprefilled_tokens, before.resident_tokens = 900, 4_000
         before.refusals = 3
         over = self.put(2_000)
         state = self.directory.find("r1")
--- a/tests/replicas/test_telling.py
+++ b/tests/replicas/test_telling.py
@@ -290,7 +290,7 @@
         """
         network = _Network(3)
         state = network.node_by_name["a0"].directory.find("r0")
-        state.waiting_late, state.held_tokens = 1, 900
+        state.waiting_late, state.resident_tokens = 1, 900
         network.step(1)
         peers = network.node_by_name["c2"].peers
         self.assertEqual(
