--- a/fireflyward/replicas/_directory.py
+++ b/fireflyward/replicas/_directory.py
@@ -298,4 +298,4 @@
     if entry.cold_ms != known.entry.cold_ms:
         # An entry that is merely read again says nothing new.
         known.on_cold(now_ms, entry.cold_ms)
-    known.take_entry(entry)
+    known.update_entry(entry)
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -88,7 +88,7 @@
     def __repr__(self) -> str:
         return f"ReplicaState({self.entry.incarnation!r}, in_flight={self.in_flight})"
 
-    def take_entry(self, entry: ReplicaEntry) -> None:
+    def update_entry(self, entry: ReplicaEntry) -> None:
         """Take a newer entry of the same start; it is listed again."""
         listed = _versions(entry)
         if listed != _versions(self.entry):
--- a/tests/replicas/test_state.py
+++ b/tests/replicas/test_state.py
@@ -22,13 +22,13 @@
         has. The second and the third had been named by then, and it was taken to
         have the third; it had the second, which others still fetched for it.
         """
-        self.state.take_entry(entry("r1", version=2))
+        self.state.update_entry(entry("r1", version=2))
         self.state.version_by_model["m"] = 3
         self.assertEqual(self.state.weights_it_may_have(), {("m", 2), ("m", 3)})
 
     def test_a_newer_entry_goes_before_an_old_report(self):
         self.state.on_loaded("m", 2)
-        self.state.take_entry(entry("r1", version=3))
+        self.state.update_entry(entry("r1", version=3))
         self.assertEqual(self.state.weights_it_may_have(), {("m", 3)})
 
 
--- a/tests/weights/test_news.py
+++ b/tests/weights/test_news.py
@@ -57,7 +57,7 @@
         self.assertEqual(self.are_loading(), self.names)
 
     async def test_one_that_has_the_version_is_not_loading(self):
-        self.directory.find(self.names[0]).take_entry(entry(self.names[0], version=2))
+        self.directory.find(self.names[0]).update_entry(entry(self.names[0], version=2))
         await self.news.loading(self.numbers[:2], "m", 2, 5_000)
         self.assertEqual(self.are_loading(), [self.names[1]])
 
