--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -161,7 +161,7 @@
             and now_ms - self._outage_end_ms < _AFTER_OUTAGE_MS
         )
         if news.is_whole:
-            gone = self._directory.on_whole(
+            gone = self._directory.on_full_read(
                 now_ms,
                 found.entries,
                 copied=copied,
--- a/fireflyward/replicas/_directory.py
+++ b/fireflyward/replicas/_directory.py
@@ -128,7 +128,7 @@
         """Return one start of a replica, None once that is gone."""
         return self._state_by_number.get(number)
 
-    def on_whole(
+    def on_full_read(
         self,
         now_ms: int,
         entries: Iterable[ReplicaEntry],
--- a/tests/notices/test_task.py
+++ b/tests/notices/test_task.py
@@ -39,7 +39,7 @@
     def node(self):
         directory = ReplicaDirectory()
         entries = [entry("r1", started_ms=5), entry("r2", started_ms=5)]
-        directory.on_whole(0, entries, after_outage=False)
+        directory.on_full_read(0, entries, after_outage=False)
         link = _Link()
         task = NoticeTask(
             clock=self.clock, directory=directory, peers=lambda: PEERS, seed=1
@@ -120,10 +120,10 @@
         """Guards against a long stream whose replica lapsed from the list meanwhile."""
         directory, task, _ = self.first
         before = directory.find("r1")
-        directory.on_whole(0, [], after_outage=False)
+        directory.on_full_read(0, [], after_outage=False)
         facts = decode_response(Head(200, "", (SIGNED, ("server-leaving", "1"))))
         task.on_response(before, facts, sent_ms=0)
-        directory.on_whole(0, [entry("r1", started_ms=5)], after_outage=False)
+        directory.on_full_read(0, [entry("r1", started_ms=5)], after_outage=False)
         self.assertEqual(directory.of_service("s"), [])
 
     async def test_an_unreadable_limit_changes_nothing_and_is_logged_once(self):
@@ -139,7 +139,7 @@
     async def test_word_of_another_start_meets_nobody(self):
         """Guards against a replica that starts again under its former limit."""
         self.answer(SIGNED, ("server-limit", "3.5"))
-        self.second[0].on_whole(0, [entry("r1", started_ms=6)], after_outage=False)
+        self.second[0].on_full_read(0, [entry("r1", started_ms=6)], after_outage=False)
         await self.carry()
         self.assertIsNone(self.limit(self.second))
 
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -27,7 +27,9 @@
         self.clock = ManualClock(1_000)
         self.pool = FakePool()
         self.directory = ReplicaDirectory()
-        self.directory.on_whole(0, [entry(name) for name in NAMES], after_outage=False)
+        self.directory.on_full_read(
+            0, [entry(name) for name in NAMES], after_outage=False
+        )
         self.table = table
         self.looks = 0
         self.link = FakeLink()
--- a/tests/reach/test_task.py
+++ b/tests/reach/test_task.py
@@ -61,7 +61,7 @@
         self.pool = Pool(self.clock)
         self.directory = ReplicaDirectory()
         entries = [entry(f"{zone}{n}", zone=zone) for zone in "ab" for n in range(6)]
-        self.directory.on_whole(0, entries, after_outage=False)
+        self.directory.on_full_read(0, entries, after_outage=False)
         self.link = Link()
         self.task = ReachTask(
             clock=self.clock,
@@ -228,7 +228,7 @@
     def test_replicas_that_leave_are_not_tried(self):
         directory = ReplicaDirectory()
         entries = [entry("r1"), entry("r2", leaving=True), entry("r3")]
-        directory.on_whole(0, entries, after_outage=False)
+        directory.on_full_read(0, entries, after_outage=False)
         directory.on_leaving(directory.find("r3"))
         tried = DomainCheck(seed=1).to_try(directory.all())
         self.assertEqual([state.entry.incarnation for state in tried], ["r1"])
--- a/tests/replicas/test_chooser.py
+++ b/tests/replicas/test_chooser.py
@@ -22,7 +22,7 @@
 class ChooserCase(unittest.TestCase):
     def make(self, *entries):
         self.directory = ReplicaDirectory()
-        self.directory.on_whole(0, entries, after_outage=False)
+        self.directory.on_full_read(0, entries, after_outage=False)
         self.peers = PeerLoad()
         self.chooser = Chooser(
             self.directory, failure_domain="a", peers=self.peers, seed=1
@@ -182,7 +182,7 @@
     def setUp(self):
         self.directory = ReplicaDirectory()
         entries = [entry(f"r{i}", slots=16) for i in range(40)]
-        self.directory.on_whole(0, entries, after_outage=False)
+        self.directory.on_full_read(0, entries, after_outage=False)
         # All are busy, and one of them a little less.
         news = {}
         for i in range(1, 40):
--- a/tests/replicas/test_cold.py
+++ b/tests/replicas/test_cold.py
@@ -71,7 +71,7 @@
     def node(self, name):
         directory = ReplicaDirectory()
         directory.set_services(SERVICE)
-        directory.on_whole(0, self.entries, after_outage=False)
+        directory.on_full_read(0, self.entries, after_outage=False)
         shares = ColdShares(name)
         shares.set_nodes(NODES)
         directory.set_evacuated(0, frozenset("b"))
@@ -240,7 +240,7 @@
     def setUp(self):
         self.directory = ReplicaDirectory()
         self.directory.set_services(SERVICE)
-        self.directory.on_whole(0, [entry("r1", cold_ms=3_000)], after_outage=False)
+        self.directory.on_full_read(0, [entry("r1", cold_ms=3_000)], after_outage=False)
         self.state = self.directory.find("r1")
         self.shares = ColdShares("n1")
         self.shares.set_nodes(NODES[:10] + ["n1"])
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -11,7 +11,7 @@
 class DirectoryTests(unittest.TestCase):
     def setUp(self):
         self.directory = ReplicaDirectory()
-        self.directory.on_whole(0, [entry("r1"), entry("r2")], after_outage=False)
+        self.directory.on_full_read(0, [entry("r1"), entry("r2")], after_outage=False)
 
     def names(self, service="s"):
         return sorted(
@@ -33,7 +33,7 @@
         Replicas could not renew their entries while the store was away; all of
         them are missing from its first answer, although they serve.
         """
-        self.directory.on_whole(100, [], after_outage=True)
+        self.directory.on_full_read(100, [], after_outage=True)
         self.assertEqual(self.names(), ["r1", "r2"])
         self.directory.on_changes(900, [entry("r1")], [], after_outage=True)
         gone = self.directory.expire(2_400)
@@ -50,7 +50,7 @@
     def test_what_is_known_of_an_incarnation_is_kept(self):
         state = self.directory.find("r1")
         state.in_flight = 3
-        self.directory.on_whole(0, [entry("r1")], after_outage=False)
+        self.directory.on_full_read(0, [entry("r1")], after_outage=False)
         self.assertIs(self.directory.find("r1"), state)
         self.assertEqual(state.in_flight, 3)
 
@@ -143,7 +143,7 @@
         self.assertIs(self.directory.find("r1"), self.before)
 
     def test_the_whole_list_may_tell_of_a_new_start(self):
-        over = self.directory.on_whole(
+        over = self.directory.on_full_read(
             0, [entry("r1", started_ms=2_000)], after_outage=True
         )
         self.assertEqual(over, [self.before])
@@ -153,7 +153,7 @@
     def setUp(self):
         self.directory = ReplicaDirectory()
         entries = [entry("r1"), entry("r2"), entry("x", service="unheard of")]
-        self.directory.on_whole(0, entries, after_outage=False)
+        self.directory.on_full_read(0, entries, after_outage=False)
 
     def test_an_entry_of_no_service_names_no_replica(self):
         """Symptom: weights are loaded on something that is not ours."""
@@ -183,7 +183,7 @@
         self.asked = self.directory.find("r1").backpressure
 
     def list(self, *entries):
-        self.directory.on_whole(0, entries, after_outage=False)
+        self.directory.on_full_read(0, entries, after_outage=False)
 
     def relisted(self, started_ms=5):
         self.list()
--- a/tests/replicas/test_older_copy.py
+++ b/tests/replicas/test_older_copy.py
@@ -10,14 +10,16 @@
 class OlderCopyTests(unittest.TestCase):
     def setUp(self):
         self.directory = ReplicaDirectory()
-        self.directory.on_whole(0, [entry("r1"), entry("r2")], after_outage=False)
+        self.directory.on_full_read(0, [entry("r1"), entry("r2")], after_outage=False)
 
     def names(self):
         found = self.directory.of_service("s")
         return sorted(state.entry.incarnation for state in found)
 
     def come_back(self, now_ms, *copied, listed=()):
-        return self.directory.on_whole(now_ms, listed, copied=copied, after_outage=True)
+        return self.directory.on_full_read(
+            now_ms, listed, copied=copied, after_outage=True
+        )
 
     def change(self, *entries, removed=(), now_ms=0):
         self.directory.on_changes(now_ms, entries, removed, after_outage=False)
--- a/tests/replicas/test_telling.py
+++ b/tests/replicas/test_telling.py
@@ -65,7 +65,7 @@
         self.peers = PeerLoad()
         self.directory = ReplicaDirectory()
         entries = [entry(f"r{i}") for i in range(40)]
-        self.directory.on_whole(0, entries, after_outage=False)
+        self.directory.on_full_read(0, entries, after_outage=False)
         self.aggregators = Aggregators(name, domain, link_mbps=100)
         self.task = LoadReportTask(
             clock=network.clock,
--- a/tests/weights/test_news.py
+++ b/tests/weights/test_news.py
@@ -26,7 +26,7 @@
         self.numbers = [entry(name).number for name in self.names]
         self.directory = ReplicaDirectory()
         entries = [entry(name, version=1) for name in self.names]
-        self.directory.on_whole(0, entries, after_outage=False)
+        self.directory.on_full_read(0, entries, after_outage=False)
         self.link = _Link()
         self.news = LoadNews(
             clock=ManualClock(),
--- a/tests/weights/test_starts.py
+++ b/tests/weights/test_starts.py
@@ -36,7 +36,7 @@
         self.api = _Api()
         self.directory = ReplicaDirectory()
         row = entry("r1", version=1, started_ms=1_000)
-        self.directory.on_whole(0, [row], after_outage=False)
+        self.directory.on_full_read(0, [row], after_outage=False)
         self.order = Order("r1", row.number, "r1:80", "m", 2)
         self.task = WeightTask(
             clock=ManualClock(),
