--- a/fireflyward/forwarding/_exchange.py
+++ b/fireflyward/forwarding/_exchange.py
@@ -148,7 +148,7 @@
         """Note a whole response, and keep its connection."""
         self._pool.give_back(self._connection)
         self._replica.on_answer(failed=failed)
-        self._replica.on_run(self._clock.now_ms() - self._sent_ms)
+        self._replica.on_run_finished(self._clock.now_ms() - self._sent_ms)
 
     async def _read_whole(
         self, head: Head, facts: ResponseFacts
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -151,7 +151,7 @@
         self.pace += _PACE_WEIGHT * (self.pace * ratio - self.pace)
         self.pace = min(max(self.pace, _LEAST_PACE), _MOST_PACE)
 
-    def on_run(self, took_ms: float) -> None:
+    def on_run_finished(self, took_ms: float) -> None:
         """Learn for how long a request keeps its slot."""
         self.run_ms += _PACE_WEIGHT * (took_ms - self.run_ms)
 
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -92,7 +92,7 @@
         before.on_answer(failed=True)
         before.on_trouble(0)
         before.on_first_token(expected_ms=1_000, took_ms=4_000)
-        before.on_run(9_000)
+        before.on_run_finished(9_000)
         before.on_load(0, 12)
         before.in_flight, before.waiting_late = 4, 1
         before.unprefilled_tokens, before.resident_tokens = 900, 4_000
