--- a/fireflyward/forwarding/_exchange.py
+++ b/fireflyward/forwarding/_exchange.py
@@ -141,7 +141,7 @@
 
     def _broken(self, detail: str) -> Failed:
         self._connection.close()
-        self._replica.on_trouble(self._clock.now_ms())
+        self._replica.on_send_failure(self._clock.now_ms())
         return Failed(detail)
 
     def _finished(self, *, failed: bool) -> None:
--- a/fireflyward/forwarding/_run.py
+++ b/fireflyward/forwarding/_run.py
@@ -185,7 +185,7 @@
         )
 
     def _unsent(self, replica: ReplicaState, failure: NotConnected) -> Unsent:
-        replica.on_trouble(self._clock.now_ms())
+        replica.on_send_failure(self._clock.now_ms())
         if not failure.is_refused:
             self._tools.reach.on_silent(replica)
         self._send_check.on_unreached(replica, is_refused=failure.is_refused)
@@ -307,7 +307,7 @@
             self._tried.discard(replica.incarnation_id)
             self._correct_weights(replica, choice, facts)
             return Rejected(RejectedBecause.OTHER_WEIGHTS)
-        replica.on_trouble(now_ms)
+        replica.on_send_failure(now_ms)
         return Rejected(RejectedBecause.OTHER_REPLICA)
 
     def _correct_weights(
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -155,7 +155,7 @@
         """Learn for how long a request keeps its slot."""
         self.run_ms += _PACE_WEIGHT * (took_ms - self.run_ms)
 
-    def on_trouble(self, now_ms: int) -> None:
+    def on_send_failure(self, now_ms: int) -> None:
         """Suspect a replica that broke off or could not be reached."""
         length_ms = _FIRST_SUSPICION_MS << min(self._troubles, 5)
         self._troubles += 1
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -272,7 +272,7 @@
         """
         engine = self.engines[0]
         state = self.node._directory.find(engine.incarnation)
-        state.on_trouble(self.node._clock.now_ms())
+        state.on_send_failure(self.node._clock.now_ms())
         engine.start_again()
         self.list_replicas()
         find = self.node._directory.find
--- a/tests/replicas/test_chooser.py
+++ b/tests/replicas/test_chooser.py
@@ -59,16 +59,16 @@
 
     def test_one_that_broke_off_is_a_last_resort(self):
         self.make(entry("r1"), entry("r2"))
-        self.state("r1").on_trouble(0)
+        self.state("r1").on_send_failure(0)
         self.assertEqual({self.chosen() for _ in range(50)}, {"r2"})
         self.assertEqual(self.chosen(without=frozenset({entry("r2").number})), "r1")
 
     def test_suspicion_doubles_and_ends_with_an_answer(self):
         self.make(entry("r1"))
         state = self.state("r1")
-        state.on_trouble(0)
+        state.on_send_failure(0)
         self.assertFalse(state.is_suspect(400))
-        state.on_trouble(400)
+        state.on_send_failure(400)
         self.assertTrue(state.is_suspect(1_100))
         state.on_answer(failed=False)
         self.assertFalse(state.is_suspect(1_100))
@@ -222,7 +222,7 @@
 
     def test_suspects_are_not_drawn(self):
         for i in range(1, 39):
-            self.directory.find(f"r{i}").on_trouble(0)
+            self.directory.find(f"r{i}").on_send_failure(0)
         chosen = {
             chooser.choose(0, Wanted("s")).replica.entry.incarnation
             for chooser in self.choosers
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -86,11 +86,11 @@
         """
         before = self.before
         before.on_loaded("m", 7)
-        before.on_trouble(0)
+        before.on_send_failure(0)
         before.on_full(0)
         before.on_loading(0, 5_000)
         before.on_answer(failed=True)
-        before.on_trouble(0)
+        before.on_send_failure(0)
         before.on_first_token(expected_ms=1_000, took_ms=4_000)
         before.on_run_finished(9_000)
         before.on_load(0, 12)
@@ -122,7 +122,7 @@
         self.before.in_flight = 1
         self.put(2_000)
         self.before.in_flight -= 1
-        self.before.on_trouble(0)
+        self.before.on_send_failure(0)
         state = self.directory.find("r1")
         self.assertEqual(state.in_flight, 0)
         self.assertFalse(state.is_suspect(1))
