--- a/fireflyward/forwarding/_run.py
+++ b/fireflyward/forwarding/_run.py
@@ -294,7 +294,7 @@
 
     def _rejected(self, choice: Choice, facts: ResponseFacts) -> Rejected:
         replica, now_ms = choice.replica, self._clock.now_ms()
-        replica.refusals += 1
+        replica.rejections += 1
         if not facts.is_other_replica:
             newest = self._tools.weights.newest(self._caller.model)
             if newest is not None and choice.weights != newest:
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -50,7 +50,7 @@
         "resident_tokens",
         "incarnation_id",
         "pace",
-        "refusals",
+        "rejections",
         "run_ms",
         "unprefilled_tokens",
         "waiting_late",
@@ -74,7 +74,7 @@
         self.failed_share = 0.0
         self.gone_at_ms: int | None = None
         self.version_by_model = _versions(entry)
-        self.refusals = 0
+        self.rejections = 0
         self._reported_by_model: dict[str, int] = {}
         self._others = 0.0
         self._others_at_ms = 0
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -96,7 +96,7 @@
         before.on_load(0, 12)
         before.in_flight, before.waiting_late = 4, 1
         before.unprefilled_tokens, before.resident_tokens = 900, 4_000
-        before.refusals = 3
+        before.rejections = 3
         over = self.put(2_000)
         state = self.directory.find("r1")
         self.assertEqual(over, [before])
