--- a/fireflyward/forwarding/_prompt.py
+++ b/fireflyward/forwarding/_prompt.py
@@ -2,7 +2,7 @@
 
 from fireflyward.platform import CallerRequest
 from fireflyward.prefixes import KvPlan, PartPlanner, cache_salt
-from fireflyward.replicas import Choice, Wanted
+from fireflyward.replicas import Choice, Requirements
 from fireflyward.routes import Allowed
 
 from ._weights import WeightBook
@@ -31,15 +31,15 @@
         """Return what the request takes of a replica's memory at its end."""
         return self._caller.prompt_tokens + self._caller.most_output_tokens
 
-    def wanted(self, now_ms: int) -> Wanted:
+    def wanted(self, now_ms: int) -> Requirements:
         """Return what the choice of a replica goes by."""
         caller = self._caller
         if not caller.model:
-            return Wanted(self._allowed.service)
+            return Requirements(self._allowed.service)
         shared = caller.parts[:-1]
         version = self._weights.newest(caller.model)
         prefix_tokens = sum(part.tokens for part in shared)
-        return Wanted(
+        return Requirements(
             self._allowed.service,
             prefix_key=shared[-1].part_id if shared else "",
             prefix_tokens=prefix_tokens - self._stored_tokens(version),
--- a/fireflyward/replicas/__init__.py
+++ b/fireflyward/replicas/__init__.py
@@ -1,6 +1,6 @@
 """Which replicas there are, and which one takes a request."""
 
-from ._chooser import Choice, Chooser, Wanted
+from ._chooser import Choice, Chooser, Requirements
 from ._cold import ColdShares
 from ._directory import ReplicaDirectory
 from ._rate_limits import RateLimits
@@ -18,5 +18,5 @@
     "ReplicaState",
     "InFlightLoad",
     "LoadReportTask",
-    "Wanted",
+    "Requirements",
 ]
--- a/fireflyward/replicas/_chooser.py
+++ b/fireflyward/replicas/_chooser.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class Requirements:
     """What a request asks of a replica.
 
     ``prefix_key`` names the part of the prompt that other requests share,
@@ -144,7 +144,11 @@
         self._random = random.Random(seed)
 
     def choose(
-        self, now_ms: int, wanted: Wanted, *, without: frozenset[int] = frozenset()
+        self,
+        now_ms: int,
+        wanted: Requirements,
+        *,
+        without: frozenset[int] = frozenset(),
     ) -> Choice | None:
         """Return the best replica, or None when none may take the request.
 
@@ -178,7 +182,7 @@
         self,
         now_ms: int,
         able: list[ReplicaState],
-        wanted: Wanted,
+        wanted: Requirements,
         home: ReplicaState | None,
     ) -> list[ReplicaState]:
         """Return the replicas that are weighed: all of a few, some of many.
@@ -262,7 +266,7 @@
         now_ms: int,
         chosen: ReplicaState,
         load: _Load,
-        wanted: Wanted,
+        wanted: Requirements,
         home: ReplicaState | None,
     ) -> Choice:
         weights = chosen.version_by_model.get(wanted.model)
@@ -281,7 +285,7 @@
             chosen, weights, source, wait_ms, first_token_ms, slot_ms=load.slot_ms
         )
 
-    def _load(self, now_ms: int, state: ReplicaState, wanted: Wanted) -> _Load:
+    def _load(self, now_ms: int, state: ReplicaState, wanted: Requirements) -> _Load:
         """Return what is at a replica.
 
         Nodes tell of their requests and replicas count all in their responses;
@@ -297,7 +301,7 @@
         )
 
     def _home(
-        self, now_ms: int, listed: list[ReplicaState], wanted: Wanted
+        self, now_ms: int, listed: list[ReplicaState], wanted: Requirements
     ) -> ReplicaState | None:
         if not wanted.prefix_key:
             return None
@@ -319,7 +323,7 @@
         now_ms: int,
         state: ReplicaState,
         load: _Load,
-        wanted: Wanted,
+        wanted: Requirements,
         home: ReplicaState | None,
         usual_failures: float,
     ) -> float:
@@ -356,7 +360,7 @@
     return state.pace * tokens / _TOKENS_PER_MS
 
 
-def _memory_ms(held: float, wanted: Wanted) -> float:
+def _memory_ms(held: float, wanted: Requirements) -> float:
     """Return how long a request waits until memory for it is free.
 
     With its memory full a replica puts running requests back and reads them
@@ -374,7 +378,7 @@
     return max(0.0, requests + 1 - slots) * state.run_ms / slots
 
 
-def _has_weights(state: ReplicaState, wanted: Wanted) -> bool:
+def _has_weights(state: ReplicaState, wanted: Requirements) -> bool:
     if not wanted.model:
         return True
     known = state.version_by_model.get(wanted.model)
--- a/tests/replicas/test_chooser.py
+++ b/tests/replicas/test_chooser.py
@@ -8,7 +8,7 @@
     InFlightLoad,
     PeerLoad,
     ReplicaDirectory,
-    Wanted,
+    Requirements,
 )
 
 from .makers import entry
@@ -29,7 +29,7 @@
         )
 
     def chosen(self, wanted=None, now_ms=0, **options):
-        choice = self.chooser.choose(now_ms, wanted or Wanted("s"), **options)
+        choice = self.chooser.choose(now_ms, wanted or Requirements("s"), **options)
         return choice.replica.entry.incarnation if choice else None
 
     def state(self, name):
@@ -39,7 +39,7 @@
 class ChooserTests(ChooserCase):
     def test_none_for_an_unknown_service(self):
         self.make(entry("r1"))
-        self.assertIsNone(self.chosen(Wanted("other")))
+        self.assertIsNone(self.chosen(Requirements("other")))
 
     def test_the_less_loaded_one(self):
         self.make(entry("r1"), entry("r2"))
@@ -83,7 +83,7 @@
 
     def test_requests_with_one_prefix_have_one_home_on_every_node(self):
         entries = [entry(f"r{n}", version=1) for n in range(6)]
-        wanted = Wanted("s", prefix_key="p", prefix_tokens=9_000, model="m")
+        wanted = Requirements("s", prefix_key="p", prefix_tokens=9_000, model="m")
         homes = set()
         for _ in range(5):
             self.make(*entries)
@@ -93,7 +93,7 @@
     def test_a_busy_home_gives_way_and_is_named_as_the_source(self):
         """Symptom: one popular prompt makes its replica slow, others lie idle."""
         self.make(*(entry(f"r{n}", version=1) for n in range(3)))
-        wanted = Wanted("s", prefix_key="p", prefix_tokens=9_000, model="m")
+        wanted = Requirements("s", prefix_key="p", prefix_tokens=9_000, model="m")
         home = self.chosen(wanted)
         self.peers.take(0, "entry-2", told(home, InFlightLoad(60_000, 60_000)))
         choice = self.chooser.choose(0, wanted)
@@ -102,7 +102,7 @@
 
     def test_a_home_with_other_weights_is_no_source(self):
         self.make(*(entry(f"r{n}", version=1) for n in range(3)))
-        wanted = Wanted("s", prefix_key="p", prefix_tokens=9_000, model="m")
+        wanted = Requirements("s", prefix_key="p", prefix_tokens=9_000, model="m")
         home = self.chosen(wanted)
         self.peers.take(0, "entry-2", told(home, InFlightLoad(60_000, 60_000)))
         self.state(home).on_loaded("m", 2)
@@ -110,7 +110,7 @@
 
     def test_weights_older_than_allowed_take_nothing(self):
         self.make(entry("r1", version=1), entry("r2", version=2))
-        wanted = Wanted("s", model="m", version=2, least_version=2)
+        wanted = Requirements("s", model="m", version=2, least_version=2)
         self.assertEqual({self.chosen(wanted) for _ in range(20)}, {"r2"})
         self.state("r2").version_by_model = {"m": 1}
         self.assertIsNone(self.chosen(wanted))
@@ -119,14 +119,14 @@
         self.make(entry("r1", version=1), entry("r2", version=1))
         self.state("r1").on_loading(0, 5_000)
         self.assertEqual(
-            {self.chosen(Wanted("s", model="m")) for _ in range(20)}, {"r2"}
+            {self.chosen(Requirements("s", model="m")) for _ in range(20)}, {"r2"}
         )
 
     def test_the_queue_of_all_nodes_is_told(self):
         self.make(entry("r1", version=1))
         self.state("r1").unprefilled_tokens = 900
         self.peers.take(0, "entry-2", told("r1", InFlightLoad(900, 900)))
-        choice = self.chooser.choose(0, Wanted("s", model="m", new_tokens=900))
+        choice = self.chooser.choose(0, Requirements("s", model="m", new_tokens=900))
         self.assertEqual((choice.queue_ms, choice.first_token_ms), (20.0, 85.0))
 
 
@@ -139,7 +139,7 @@
         """
         self.make(entry("r1", version=1), entry("r2", version=1))
         self.peers.take(0, "entry-2", told("r1", InFlightLoad(0, 90_000)))
-        wanted = Wanted("s", model="m", tokens=12_000, kv_tokens=100_000)
+        wanted = Requirements("s", model="m", tokens=12_000, kv_tokens=100_000)
         self.assertEqual({self.chosen(wanted) for _ in range(20)}, {"r2"})
         self.peers.take(
             0,
@@ -173,7 +173,7 @@
             "entry-2",
             told("r1", InFlightLoad(0, 0, 6)) | told("r2", InFlightLoad(0, 0, 6)),
         )
-        self.assertEqual(self.chooser.choose(0, Wanted("s")).queue_ms, 75.0)
+        self.assertEqual(self.chooser.choose(0, Requirements("s")).queue_ms, 75.0)
 
 
 class ManyReplicasTests(unittest.TestCase):
@@ -203,7 +203,7 @@
         later, twenty requests came, and all went to the replica that looked best.
         """
         chosen = Counter(
-            chooser.choose(0, Wanted("s")).replica.entry.incarnation
+            chooser.choose(0, Requirements("s")).replica.entry.incarnation
             for chooser in self.choosers
         )
         self.assertLess(max(chosen.values()), 15)
@@ -213,7 +213,7 @@
         for i in range(20):
             self.directory.find(f"r{i}").in_flight = 16
         chosen = {
-            chooser.choose(0, Wanted("s")).replica.entry.incarnation
+            chooser.choose(0, Requirements("s")).replica.entry.incarnation
             for chooser in self.choosers
         }
         busy = {f"r{i}" for i in range(20)}
@@ -224,13 +224,13 @@
         for i in range(1, 39):
             self.directory.find(f"r{i}").on_send_failure(0)
         chosen = {
-            chooser.choose(0, Wanted("s")).replica.entry.incarnation
+            chooser.choose(0, Requirements("s")).replica.entry.incarnation
             for chooser in self.choosers
         }
         self.assertLessEqual(chosen, {"r0", "r39"})
 
     def test_a_prompt_s_home_is_always_weighed(self):
-        wanted = Wanted("s", prefix_key="p", prefix_tokens=9_000)
+        wanted = Requirements("s", prefix_key="p", prefix_tokens=9_000)
         chosen = Counter(
             chooser.choose(0, wanted).replica.entry.incarnation
             for chooser in self.choosers
--- a/tests/replicas/test_cold.py
+++ b/tests/replicas/test_cold.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from fireflyward.deployment import Service
-from fireflyward.replicas import Chooser, ColdShares, ReplicaDirectory, Wanted
+from fireflyward.replicas import Chooser, ColdShares, ReplicaDirectory, Requirements
 
 from .makers import entry
 
@@ -105,7 +105,7 @@
                 }
             for state in directory.all():
                 state.on_load(now_ms, told[state.entry.incarnation])
-            choice = chooser.choose(now_ms, Wanted("s"))
+            choice = chooser.choose(now_ms, Requirements("s"))
             if choice is None:
                 continue
             choice.replica.in_flight += 1
@@ -211,7 +211,7 @@
         self.directory.set_services({"s": Service("s")})
         self.take(0, cold_ms=2_000)
         chooser = Chooser(self.directory, failure_domain="a", seed=1)
-        chosen = [chooser.choose(0, Wanted("s")) for _ in range(30)]
+        chosen = [chooser.choose(0, Requirements("s")) for _ in range(30)]
         self.assertNotIn(None, chosen)
 
     def test_a_cold_home_stays_the_home_where_it_bears_nothing_more(self):
@@ -224,7 +224,9 @@
         self.directory.on_changes(
             0, [entry(name, version=1) for name in names], [], after_outage=False
         )
-        wanted = Wanted("s", prefix_key="p", prefix_tokens=9_000, model="m", version=1)
+        wanted = Requirements(
+            "s", prefix_key="p", prefix_tokens=9_000, model="m", version=1
+        )
         chooser = Chooser(self.directory, failure_domain="a", seed=1)
         home = chooser.choose(0, wanted).replica
         home.on_cold(0, 2_000)
--- a/tests/replicas/test_rate_limits.py
+++ b/tests/replicas/test_rate_limits.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from fireflyward.replicas import Chooser, RateLimits, ReplicaDirectory, Wanted
+from fireflyward.replicas import Chooser, RateLimits, ReplicaDirectory, Requirements
 from fireflyward.replicas._backpressure import NamedLimit
 
 from .makers import entry
@@ -67,7 +67,7 @@
         chosen_ms = []
         for now_ms in range(from_ms, until_ms, each_ms):
             state, chooser = draw.choice(self.choosers)
-            if chooser.choose(now_ms, Wanted("s")).replica is state:
+            if chooser.choose(now_ms, Requirements("s")).replica is state:
                 chosen_ms.append(now_ms)
         return chosen_ms
 
@@ -142,7 +142,7 @@
             limit.on_named(0, 0.5)
             limit.first_ms = 0
             limit.granted_ms = 0
-        self.assertIsNone(chooser.choose(1_000, Wanted("s")))
+        self.assertIsNone(chooser.choose(1_000, Requirements("s")))
         self.assertGreaterEqual(chooser.wait_ms(1_000, "s"), 1_000)
         self.assertLess(chooser.wait_ms(1_000, "s"), 1_300)
 
@@ -163,7 +163,7 @@
         chooser = Chooser(directory, failure_domain="a", rate_limits=limits, seed=1)
         limited.backpressure.limit.on_named(0, 4.0)
         chosen = sum(
-            chooser.choose(now_ms, Wanted("s")).replica is limited
+            chooser.choose(now_ms, Requirements("s")).replica is limited
             for now_ms in range(4_000, 8_000, 20)
         )
         self.assertGreaterEqual(chosen, 14)
