--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -164,7 +164,7 @@
             gone = self._directory.on_full_read(
                 now_ms,
                 found.entries,
-                copied=copied,
+                restored=copied,
                 after_outage=after_outage,
             )
         else:
--- a/fireflyward/replicas/_directory.py
+++ b/fireflyward/replicas/_directory.py
@@ -134,13 +134,13 @@
         entries: Iterable[ReplicaEntry],
         *,
         after_outage: bool,
-        copied: Iterable[ReplicaEntry] = (),
+        restored: Iterable[ReplicaEntry] = (),
     ) -> list[ReplicaState]:
         """Take the whole list; return the states that are gone by it.
 
-        Entries in ``copied`` are of an older copy of the list.
+        Entries in ``restored`` are of an older copy of the list.
         """
-        old = {entry.incarnation: entry for entry in copied}
+        old = {entry.incarnation: entry for entry in restored}
         listed = {entry.incarnation: entry for entry in entries}
         names = listed.keys() | old.keys()
         listed = {name: entry for name, entry in listed.items() if name not in old}
--- a/tests/replicas/test_older_copy.py
+++ b/tests/replicas/test_older_copy.py
@@ -18,7 +18,7 @@
 
     def come_back(self, now_ms, *copied, listed=()):
         return self.directory.on_full_read(
-            now_ms, listed, copied=copied, after_outage=True
+            now_ms, listed, restored=copied, after_outage=True
         )
 
     def change(self, *entries, removed=(), now_ms=0):
