--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -99,7 +99,7 @@
     ) -> bool:
         now_ms, limit = self._clock.now_ms(), facts.notices.limit
         if isinstance(limit, RateLimit):
-            return replica.backpressure.limit.on_named(now_ms, limit.per_second)
+            return replica.backpressure.limit.on_limit_named(now_ms, limit.per_second)
         # Only what the replica made itself shows that it names none any more.
         if limit is None and facts.is_signed:
             return replica.backpressure.limit.on_unnamed(now_ms, sent_ms)
--- a/fireflyward/replicas/_backpressure.py
+++ b/fireflyward/replicas/_backpressure.py
@@ -17,7 +17,7 @@
         self.first_ms: float | None = None
         self.granted_ms: int | None = None
 
-    def on_named(self, now_ms: int, per_second: float) -> bool:
+    def on_limit_named(self, now_ms: int, per_second: float) -> bool:
         """Take a limit that an answer names; return whether it is a new one."""
         self.as_of_ms = now_ms
         return self._change(per_second)
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -107,7 +107,7 @@
     async def test_a_limit_that_is_named_meanwhile_holds(self):
         """Guards against all that wait for connections when a limit is named."""
         replica = await self.begin()
-        replica.backpressure.limit.on_named(0, 0.5)
+        replica.backpressure.limit.on_limit_named(0, 0.5)
         replica.backpressure.changes += 1
         await self.assert_sent_elsewhere(replica)
 
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -197,14 +197,14 @@
         self.assertEqual(self.directory.of_service("s"), [])
 
     def test_its_limit_and_its_rest_hold_on(self):
-        self.asked.limit.on_named(0, 4.0)
+        self.asked.limit.on_limit_named(0, 4.0)
         self.asked.on_backoff(0, 3_000)
         state = self.relisted()
         self.assertEqual(state.backpressure.limit.per_second, 4.0)
         self.assertEqual(state.backpressure.backoff_ms(1_000), 2_000)
 
     def test_another_start_asked_for_nothing_yet(self):
-        self.asked.limit.on_named(0, 4.0)
+        self.asked.limit.on_limit_named(0, 4.0)
         self.asked.changes += 1
         self.directory.on_leaving(self.directory.find("r1"))
         state = self.relisted(started_ms=6)
--- a/tests/replicas/test_rate_limits.py
+++ b/tests/replicas/test_rate_limits.py
@@ -59,7 +59,7 @@
 
     def name_limit(self, now_ms, per_second):
         for state, _ in self.choosers:
-            state.backpressure.limit.on_named(now_ms, per_second)
+            state.backpressure.limit.on_limit_named(now_ms, per_second)
 
     def play(self, from_ms, until_ms, *, each_ms=3):
         """Return when the limited replica was chosen; nodes ask at random."""
@@ -139,7 +139,7 @@
         self.assertEqual(chooser.wait_ms(0, "s"), 0)
         for name in ("r1", "r2"):
             limit = chooser._directory.find(name).backpressure.limit
-            limit.on_named(0, 0.5)
+            limit.on_limit_named(0, 0.5)
             limit.first_ms = 0
             limit.granted_ms = 0
         self.assertIsNone(chooser.choose(1_000, Requirements("s")))
@@ -161,7 +161,7 @@
         limits = RateLimits("n1", seed=1)
         limits.set_nodes(["n1"])
         chooser = Chooser(directory, failure_domain="a", rate_limits=limits, seed=1)
-        limited.backpressure.limit.on_named(0, 4.0)
+        limited.backpressure.limit.on_limit_named(0, 4.0)
         chosen = sum(
             chooser.choose(now_ms, Requirements("s")).replica is limited
             for now_ms in range(4_000, 8_000, 20)
@@ -174,19 +174,19 @@
         self.limit = NamedLimit()
 
     def test_it_holds_until_an_answer_names_none(self):
-        self.assertTrue(self.limit.on_named(100, 4.0))
-        self.assertFalse(self.limit.on_named(200, 4.0))
+        self.assertTrue(self.limit.on_limit_named(100, 4.0))
+        self.assertFalse(self.limit.on_limit_named(200, 4.0))
         self.assertTrue(self.limit.on_unnamed(400, 300))
         self.assertIsNone(self.limit.per_second)
 
     def test_an_answer_to_an_older_request_does_not_end_it(self):
         """Guards against a long answer that began before the limit was named."""
-        self.limit.on_named(200, 4.0)
+        self.limit.on_limit_named(200, 4.0)
         self.assertFalse(self.limit.on_unnamed(400, 150))
         self.assertEqual(self.limit.per_second, 4.0)
 
     def test_of_two_words_the_later_is_believed(self):
-        self.limit.on_named(200, 4.0)
+        self.limit.on_limit_named(200, 4.0)
         self.assertFalse(self.limit.on_told(150, None))
         self.assertTrue(self.limit.on_told(300, None))
         self.assertFalse(self.limit.on_told(250, 4.0))
