--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -102,7 +102,7 @@
             return replica.backpressure.limit.on_limit_named(now_ms, limit.per_second)
         # Only what the replica made itself shows that it names none any more.
         if limit is None and facts.is_signed:
-            return replica.backpressure.limit.on_unnamed(now_ms, sent_ms)
+            return replica.backpressure.limit.on_no_limit(now_ms, sent_ms)
         return False
 
     def _note_limit(self, replica: ReplicaState, source: str) -> None:
--- a/fireflyward/replicas/_backpressure.py
+++ b/fireflyward/replicas/_backpressure.py
@@ -22,7 +22,7 @@
         self.as_of_ms = now_ms
         return self._change(per_second)
 
-    def on_unnamed(self, now_ms: int, sent_ms: int) -> bool:
+    def on_no_limit(self, now_ms: int, sent_ms: int) -> bool:
         """Take an answer that names no limit; return whether that ends one.
 
         What was sent before the limit was last named says nothing: long answers
--- a/tests/replicas/test_rate_limits.py
+++ b/tests/replicas/test_rate_limits.py
@@ -103,7 +103,7 @@
         self.name_limit(0, 4.0)
         self.play(0, 4_000)
         for state, _ in self.choosers:
-            state.backpressure.limit.on_unnamed(4_000, 3_999)
+            state.backpressure.limit.on_no_limit(4_000, 3_999)
         self.name_limit(60_000, 4.0)
         self.assertLessEqual(len(self.play(60_000, 61_000)), 8)
 
@@ -115,7 +115,7 @@
             self.name_limit(start_ms, 4.0)
             chosen_ms += self.play(start_ms, start_ms + 450)
             for state, _ in self.choosers:
-                state.backpressure.limit.on_unnamed(start_ms + 450, start_ms + 449)
+                state.backpressure.limit.on_no_limit(start_ms + 450, start_ms + 449)
         self.assertLessEqual(self.most_in_window(chosen_ms), 4 * 4 + 1)
 
     def test_a_lower_limit_holds_at_once(self):
@@ -176,13 +176,13 @@
     def test_it_holds_until_an_answer_names_none(self):
         self.assertTrue(self.limit.on_limit_named(100, 4.0))
         self.assertFalse(self.limit.on_limit_named(200, 4.0))
-        self.assertTrue(self.limit.on_unnamed(400, 300))
+        self.assertTrue(self.limit.on_no_limit(400, 300))
         self.assertIsNone(self.limit.per_second)
 
     def test_an_answer_to_an_older_request_does_not_end_it(self):
         """Guards against a long answer that began before the limit was named."""
         self.limit.on_limit_named(200, 4.0)
-        self.assertFalse(self.limit.on_unnamed(400, 150))
+        self.assertFalse(self.limit.on_no_limit(400, 150))
         self.assertEqual(self.limit.per_second, 4.0)
 
     def test_of_two_words_the_later_is_believed(self):
