--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -159,7 +159,9 @@
             if state is None:
                 continue
             per_second = limit if limit >= 0 else None
-            if state.backpressure.limit.on_told(now_ms - max(0, age_ms), per_second):
+            if state.backpressure.limit.on_limit_update(
+                now_ms - max(0, age_ms), per_second
+            ):
                 self._note_limit(state, sender)
         for number in news.leaving:
             state = self._directory.find_incarnation(number)
--- a/fireflyward/replicas/_backpressure.py
+++ b/fireflyward/replicas/_backpressure.py
@@ -33,7 +33,7 @@
         self.as_of_ms = now_ms
         return self._change(None)
 
-    def on_told(self, as_of_ms: int, per_second: float | None) -> bool:
+    def on_limit_update(self, as_of_ms: int, per_second: float | None) -> bool:
         """Take what another node heard of it; return whether that is news."""
         if self.as_of_ms is not None and as_of_ms <= self.as_of_ms:
             return False
--- a/tests/replicas/test_rate_limits.py
+++ b/tests/replicas/test_rate_limits.py
@@ -187,13 +187,13 @@
 
     def test_of_two_words_the_later_is_believed(self):
         self.limit.on_limit_named(200, 4.0)
-        self.assertFalse(self.limit.on_told(150, None))
-        self.assertTrue(self.limit.on_told(300, None))
-        self.assertFalse(self.limit.on_told(250, 4.0))
-        self.assertTrue(self.limit.on_told(400, 2.0))
+        self.assertFalse(self.limit.on_limit_update(150, None))
+        self.assertTrue(self.limit.on_limit_update(300, None))
+        self.assertFalse(self.limit.on_limit_update(250, 4.0))
+        self.assertTrue(self.limit.on_limit_update(400, 2.0))
         self.assertEqual(self.limit.per_second, 2.0)
 
     def test_what_is_told_again_is_no_news(self):
-        self.limit.on_told(200, 4.0)
-        self.assertFalse(self.limit.on_told(300, 4.0))
+        self.limit.on_limit_update(200, 4.0)
+        self.assertFalse(self.limit.on_limit_update(300, 4.0))
         self.assertEqual(self.limit.as_of_ms, 200)
