--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -123,9 +123,9 @@
         self, replica: ReplicaState, unreadable: tuple[Unreadable, ...]
     ) -> None:
         """Write of the first headers of a replica that cannot be read."""
-        if not unreadable or replica.backpressure.is_misread:
+        if not unreadable or replica.backpressure.has_unreadable_header:
             return
-        replica.backpressure.is_misread = True
+        replica.backpressure.has_unreadable_header = True
         for item in unreadable:
             log.warning(
                 "notices: %s of %s is unreadable: %.80r",
--- a/fireflyward/replicas/_backpressure.py
+++ b/fireflyward/replicas/_backpressure.py
@@ -56,16 +56,22 @@
 
     ``changes`` counts what is new: a send that waits sees by it that its choice does
     not hold any more. ``is_leaving`` tells that the replica said in an answer that it
-    leaves, and ``is_misread`` that it sent a header which could not be read.
+    leaves, and ``has_unreadable_header`` that it sent a header which could not be read.
     """
 
-    __slots__ = ("_rest_until_ms", "changes", "is_leaving", "is_misread", "limit")
+    __slots__ = (
+        "_rest_until_ms",
+        "changes",
+        "is_leaving",
+        "has_unreadable_header",
+        "limit",
+    )
 
     def __init__(self) -> None:
         self.limit = NamedLimit()
         self.changes = 0
         self.is_leaving = False
-        self.is_misread = False
+        self.has_unreadable_header = False
         self._rest_until_ms = 0.0
 
     def on_backoff(self, now_ms: int, for_ms: float) -> None:
