--- a/fireflyward/quarantine/__init__.py
+++ b/fireflyward/quarantine/__init__.py
@@ -3,11 +3,11 @@
 from ._cuts import Cuts
 from ._fingerprint import fingerprint_of
 from ._messages import Free, Held, OnTrial, SuspectRow, Trial
-from ._suspects import MOST_ENDS, Suspects
+from ._suspects import MAX_CRASHES, Suspects
 from ._task import TRIAL_IS_OVER, Quarantine
 
 __all__ = [
-    "MOST_ENDS",
+    "MAX_CRASHES",
     "TRIAL_IS_OVER",
     "Cuts",
     "Free",
--- a/fireflyward/quarantine/_suspects.py
+++ b/fireflyward/quarantine/_suspects.py
@@ -8,7 +8,7 @@
 # A request under which this many replicas ended is sent on no more. Two ends can
 # be chance for whatever is sent again when its first replica ends; the users allow
 # three and, where the news of them lags, three sends more.
-MOST_ENDS = 3
+MAX_CRASHES = 3
 # From this many on the table keeps them, so that nodes that are cut off from each
 # other, and nodes that start anew, do not each count from nothing.
 _WRITTEN_FROM = 2
@@ -104,7 +104,7 @@
         suspect.ends |= new
         suspect.seen_ms = now_ms
         self._by_fingerprint.move_to_end(fingerprint)
-        if len(suspect.ends) >= MOST_ENDS:
+        if len(suspect.ends) >= MAX_CRASHES:
             suspect.held_ms = now_ms
             self._past_limit.add(fingerprint)
 
@@ -173,7 +173,7 @@
             other = self._by_fingerprint[name]
             if other is not suspect and len(other.ends) >= len(suspect.ends):
                 unexplained -= other.ends
-        return len(unexplained) >= MOST_ENDS
+        return len(unexplained) >= MAX_CRASHES
 
     def _make_room(self) -> None:
         """Drop whatever had no new end for longest, if there are too many."""
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -28,7 +28,7 @@
 from fireflyward.clock import Clock
 from fireflyward.fleet._node import FleetNode
 from fireflyward.fleet._peers import NODE_TABLE
-from fireflyward.quarantine import MOST_ENDS, fingerprint_of
+from fireflyward.quarantine import MAX_CRASHES, fingerprint_of
 from tests.platform_standins import DEADLY, Manner, ReplicaStandIn
 
 from .node_fixtures import STREAM, FleetTestCase
@@ -118,7 +118,7 @@
             )
             await self.replace_ended(self.plain, "plain")
         before = len(self.ended)
-        await self.until(lambda: self.kept_ends() == MOST_ENDS)
+        await self.until(lambda: self.kept_ends() == MAX_CRASHES)
         await asyncio.gather(*(node.stop() for node in self.nodes))
         self.nodes = [
             FleetNode(
