--- a/fireflyward/quarantine/_rows.py
+++ b/fireflyward/quarantine/_rows.py
@@ -103,7 +103,7 @@
         Of one that was cleared no row is left.
         """
         key = _key(fingerprint)
-        if not self._suspects.ends_of(fingerprint):
+        if not self._suspects.crashes_of(fingerprint):
             if key not in self._position_by_key:
                 return True
             return isinstance(await self._write({}, deletes=[key]), Committed)
@@ -140,7 +140,7 @@
         self._trial_until_ms = 0
         if known is not None:
             await self._write({}, deletes=[_TRIAL_KEY])
-        if not counts and self._suspects.ends_of(trial.fingerprint):
+        if not counts and self._suspects.crashes_of(trial.fingerprint):
             row = self._suspects.row_of(trial.fingerprint, trials=-1)
             await self._put(trial.fingerprint, row)
 
--- a/fireflyward/quarantine/_suspects.py
+++ b/fireflyward/quarantine/_suspects.py
@@ -74,7 +74,7 @@
         """Return how many requests have too many ends to be sent freely."""
         return len(self._past_limit)
 
-    def ends_of(self, fingerprint: str) -> frozenset[int]:
+    def crashes_of(self, fingerprint: str) -> frozenset[int]:
         """Return the starts of replicas that ended under a request."""
         suspect = self._by_fingerprint.get(fingerprint)
         return frozenset(suspect.ends) if suspect is not None else frozenset()
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -165,7 +165,7 @@
 
     def on_answered(self, fingerprint: str) -> None:
         """Take a request that a replica ran to a whole answer and survived."""
-        if not self._suspects.ends_of(fingerprint):
+        if not self._suspects.crashes_of(fingerprint):
             return
         forgiven = self._suspects.clear(fingerprint)
         log.info("quarantine: %s cleared of %d ends", fingerprint, len(forgiven))
@@ -221,7 +221,7 @@
         return False
 
     async def _end_trial(self, trial: Trial, begun_at: ReplicaState | None) -> None:
-        is_cleared = not self._suspects.ends_of(trial.fingerprint)
+        is_cleared = not self._suspects.crashes_of(trial.fingerprint)
         survived = begun_at is not None and (is_cleared or await self._check(begun_at))
         await self._rows.end_trial(trial, counts=not survived)
 
@@ -249,7 +249,7 @@
 
     def _worst(self, fingerprints: tuple[str, ...]) -> dict[str, int]:
         """Return the ends of those that were under way at the most."""
-        ends = {name: len(self._suspects.ends_of(name)) for name in fingerprints}
+        ends = {name: len(self._suspects.crashes_of(name)) for name in fingerprints}
         worst = sorted(ends, key=lambda name: -ends[name])[:_LOGGED]
         return {name: ends[name] for name in worst}
 
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -173,7 +173,7 @@
         rows.on_news(Followed(found, False, 0, position=at(1)))
         verdict = suspects.verdict(clock.now_ms(), "a")
         self.assertIsInstance(verdict, Free | Held | OnTrial)
-        if suspects.ends_of("a"):
+        if suspects.crashes_of("a"):
             self.assertGreaterEqual(suspects.row_of("a", trials=-1).trials, 0)
         starts = sorted(suspects.clear("a"))
         self.assertTrue(pack(ClearNews(fingerprint="a", starts=starts)))
