--- a/fireflyward/forwarding/_send_check.py
+++ b/fireflyward/forwarding/_send_check.py
@@ -1,6 +1,6 @@
 """Whether a request may be sent, and what its sends tell of it."""
 
-from fireflyward.quarantine import TRIAL_IS_OVER, Held, Trial
+from fireflyward.quarantine import TRIAL_ENDED, Held, Trial
 from fireflyward.replicas import Choice, ReplicaState
 
 from ._messages import Failed, SendResult, Streamed, WholeAnswer
@@ -30,7 +30,7 @@
     async def held_back(self) -> Held | None:
         """Return why no replica may get the request now, None if one may."""
         if self._trial is not None:
-            return TRIAL_IS_OVER if self._is_sent else None
+            return TRIAL_ENDED if self._is_sent else None
         admitted = await self._gate.admit(self._fingerprint)
         if isinstance(admitted, Trial):
             self._trial = admitted
--- a/fireflyward/quarantine/__init__.py
+++ b/fireflyward/quarantine/__init__.py
@@ -4,11 +4,11 @@
 from ._fingerprint import fingerprint_of
 from ._messages import Free, Held, OnTrial, SuspectRow, Trial
 from ._suspects import MAX_CRASHES, Suspects
-from ._task import TRIAL_IS_OVER, Quarantine
+from ._task import TRIAL_ENDED, Quarantine
 
 __all__ = [
     "MAX_CRASHES",
-    "TRIAL_IS_OVER",
+    "TRIAL_ENDED",
     "Cuts",
     "Free",
     "Held",
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -33,7 +33,7 @@
 _LOGGED = 5
 # A caller whose suspect has to wait for a trial comes back after about one.
 _TRIAL_WAIT_MS = 1_000
-TRIAL_IS_OVER = Held("its trial is over", _TRIAL_WAIT_MS)
+TRIAL_ENDED = Held("its trial is over", _TRIAL_WAIT_MS)
 _NO_TRIAL_YET = Held("its trial cannot begin yet", _TRIAL_WAIT_MS)
 
 
