--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -140,7 +140,7 @@
             tables=self._tables,
             aggregators=self._aggregators,
             on_nodes=self._on_nodes,
-            on_rows=self._quarantine.on_news,
+            on_rows=self._quarantine.on_table_update,
             on_link=self._on_link,
         )
         # What nodes wrote of themselves may be lost, and is read by all others.
--- a/fireflyward/quarantine/_rows.py
+++ b/fireflyward/quarantine/_rows.py
@@ -64,7 +64,7 @@
         self._era = 0
         self._trial_until_ms = 0
 
-    def on_news(self, news: Followed) -> list[str]:
+    def on_table_update(self, news: Followed) -> list[str]:
         """Take what changed in the table; return whose rows this node writes again."""
         self._era = max(self._era, news.position.era)
         returned = []
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -95,9 +95,9 @@
         """Tell and hear of ends over a link from now on."""
         self._news.use(link)
 
-    def on_news(self, news: Followed) -> None:
+    def on_table_update(self, news: Followed) -> None:
         """Take what changed in the table."""
-        to_write_again = self._rows.on_news(news)
+        to_write_again = self._rows.on_table_update(news)
         if to_write_again:
             self._unsettled.update(to_write_again)
             self._has_work.set()
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -170,7 +170,7 @@
         suspects, clock = Suspects(), Clock()
         rows = SuspectRows(suspects, store=None, table="t", node="n", clock=clock)
         found = (TableRow("suspect/a", value, at(1)), TableRow("trial", value, at(1)))
-        rows.on_news(Followed(found, False, 0, position=at(1)))
+        rows.on_table_update(Followed(found, False, 0, position=at(1)))
         verdict = suspects.verdict(clock.now_ms(), "a")
         self.assertIsInstance(verdict, Free | Held | OnTrial)
         if suspects.crashes_of("a"):
--- a/tests/quarantine/test_older_copy.py
+++ b/tests/quarantine/test_older_copy.py
@@ -23,7 +23,7 @@
         self.table.row_by_key = {row.key: row for row in rows}
         copied = tuple(replace(row, is_copied=True) for row in rows)
         position = self.table.position
-        node.quarantine.on_news(
+        node.quarantine.on_table_update(
             Followed(copied, True, 0, position=position, is_new_era=True)
         )
 
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -50,7 +50,7 @@
         self.looks += 1
 
     def read_table(self):
-        self.quarantine.on_news(self.table.whole())
+        self.quarantine.on_table_update(self.table.whole())
 
     async def cut(self, replica, *fingerprints, refused=True):
         state = self.directory.find(replica)
@@ -245,7 +245,7 @@
         before = self.table.whole()
         await self.end_three("deadly")
         self.assertIn("suspect/deadly", self.table.row_by_key)
-        self.node.quarantine.on_news(before)
+        self.node.quarantine.on_table_update(before)
         self.assertIsInstance(await self.node.admit("deadly"), Held)
 
     async def test_a_row_that_goes_forgives(self):
@@ -287,8 +287,10 @@
         for version, trials in ((5, 2), (3, 0)):
             row = SuspectRow((1, 2, 3), trials)
             news = (TableRow("suspect/a", msgspec.json.encode(row), at(version)),)
-            self.node.quarantine.on_news(Followed(news, False, 0, position=at(version)))
-        self.node.quarantine.on_news(
+            self.node.quarantine.on_table_update(
+                Followed(news, False, 0, position=at(version))
+            )
+        self.node.quarantine.on_table_update(
             Followed(
                 (TableRow("suspect/b", b'{"ends": [1, 2, 3]}', at(6)),),
                 False,
