--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -102,7 +102,7 @@
             table=NODE_TABLE,
             node=settings.node,
             peer_addresses=self._aggregators.everyone,
-            look_soon=lambda: self._joining.look_soon(),
+            poll_soon=lambda: self._joining.look_soon(),
         )
         self._forwarder = self._make_forwarder()
         self._gate = StartGate(clock)
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -51,7 +51,7 @@
     keeps what was so more than once; see ``Suspects`` for what is decided from it.
 
     ``cut`` counts the requests of this node that were under way where a replica ended.
-    ``look_soon`` has the table read without delay, since news between nodes may not
+    ``poll_soon`` has the table read without delay, since news between nodes may not
     have come.
     """
 
@@ -65,12 +65,12 @@
         table: str,
         node: str,
         peer_addresses: Callable[[], list[Address]],
-        look_soon: Callable[[], None],
+        poll_soon: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._pool = pool
         self._directory = directory
-        self._look_soon = look_soon
+        self._look_soon = poll_soon
         self._cuts = Cuts()
         self._suspects = Suspects()
         self._rows = SuspectRows(
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -41,7 +41,7 @@
             table="nodes",
             node=name,
             peer_addresses=lambda: [("10.0.0.2", 1)],
-            look_soon=self._look,
+            poll_soon=self._look,
         )
         self.quarantine.use(self.link)
         self.running = asyncio.create_task(self.quarantine.run())
