--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -12,9 +12,9 @@
 from fireflyward.platform import StoreClient
 from fireflyward.replicas import ReplicaDirectory, ReplicaState
 
+from ._news import SuspectNews
 from ._cuts import Cuts
 from ._messages import Free, Held, Trial
-from ._news import SuspectNews
 from ._rows import SuspectRows
 from ._suspects import Suspects
 
@@ -76,7 +76,7 @@
         self._rows = SuspectRows(
             self._suspects, store=store, table=table, node=node, clock=clock
         )
-        self._news = SuspectNews(
+        self._announcements = SuspectNews(
             self._suspects, clock=clock, peer_addresses=peer_addresses
         )
         self._unsettled: set[str] = set()
@@ -93,7 +93,7 @@
 
     def use(self, link: PeerLink) -> None:
         """Tell and hear of ends over a link from now on."""
-        self._news.use(link)
+        self._announcements.use(link)
 
     def on_table_update(self, news: Followed) -> None:
         """Take what changed in the table."""
@@ -169,7 +169,7 @@
             return
         forgiven = self._suspects.clear(fingerprint)
         log.info("quarantine: %s cleared of %d ends", fingerprint, len(forgiven))
-        self._news.cleared(fingerprint, forgiven)
+        self._announcements.cleared(fingerprint, forgiven)
         self._unsettled.add(fingerprint)
         self._has_work.set()
 
@@ -236,7 +236,7 @@
         self.cut += len(fingerprints)
         for fingerprint in fingerprints:
             self._suspects.on_ends(now_ms, fingerprint, [replica.incarnation_id])
-        self._news.ended(replica.incarnation_id, fingerprints)
+        self._announcements.ended(replica.incarnation_id, fingerprints)
         self._unsettled.update(fingerprints)
         self._has_work.set()
         self._look_soon()
