--- a/fireflyward/quarantine/__init__.py
+++ b/fireflyward/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the replicas that run them."""
+"""Detects requests that crash replicas, and limits where they are sent."""
 
 from ._cuts import Cuts
 from ._fingerprint import fingerprint_of
--- a/fireflyward/quarantine/_cuts.py
+++ b/fireflyward/quarantine/_cuts.py
@@ -1,53 +1,61 @@
-"""Which requests were under way where, when a replica ended."""
+"""The requests that were in flight when a replica crashed."""
 
-# A replica that falls silent is known to have ended once its entry lapses, three
-# heartbeats of 1.2 s after its last; requests that were cut there earlier were not
-# under way at its end.
-_BEFORE_END_MS = 5_000
+# The crash of a replica that does not answer is detected when its entry expires, three
+# heartbeats of 1.2 s after its last one. Requests that were cut earlier were not in
+# flight when it crashed.
+_BEFORE_CRASH_MS = 5_000
 
 
 class Cuts:
-    """Sends that came to no answer, by the replica's start; no I/O.
+    """Requests that got no answer, by the replica's incarnation id; no I/O.
 
-    A connection that breaks does not tell why. Only if its replica proves to have
-    ended were the requests that were cut there under way at its end; whichever of
-    the two is known first, ``on_cut`` or ``on_end`` returns them.
+    A broken connection does not show its cause. Requests that were cut at a replica
+    were in flight at a crash only if the replica did crash. Either fact may be known
+    first; whichever of ``on_cut`` and ``on_crash`` comes second returns the requests.
 
     >>> cuts = Cuts()
-    >>> cuts.on_cut(0, "a", 7), cuts.on_end(3, 7), cuts.on_cut(4, "b", 7)
+    >>> cuts.on_cut(0, "a", 7), cuts.on_crash(3, 7), cuts.on_cut(4, "b", 7)
     ((), ('a',), ('b',))
     """
 
-    __slots__ = ("_cut_ms_by_start", "_ended_ms_by_start")
+    __slots__ = ("_cut_ms_by_incarnation_id", "_crashed_ms_by_incarnation_id")
 
     def __init__(self) -> None:
-        self._cut_ms_by_start: dict[int, dict[str, int]] = {}
-        self._ended_ms_by_start: dict[int, int] = {}
-
-    def on_cut(self, now_ms: int, fingerprint: str, start: int) -> tuple[str, ...]:
-        """Note a cut; return the request if the replica is known to have ended."""
-        self._forget(now_ms)
-        if start in self._ended_ms_by_start:
+        self._cut_ms_by_incarnation_id: dict[int, dict[str, int]] = {}
+        self._crashed_ms_by_incarnation_id: dict[int, int] = {}
+
+    def on_cut(
+        self, now_ms: int, fingerprint: str, incarnation_id: int
+    ) -> tuple[str, ...]:
+        """Record a cut; return the request if the replica is known to have crashed."""
+        self._drop_old(now_ms)
+        if incarnation_id in self._crashed_ms_by_incarnation_id:
             return (fingerprint,)
-        self._cut_ms_by_start.setdefault(start, {})[fingerprint] = now_ms
+        self._cut_ms_by_incarnation_id.setdefault(incarnation_id, {})[fingerprint] = (
+            now_ms
+        )
         return ()
 
-    def on_end(self, now_ms: int, start: int) -> tuple[str, ...]:
-        """Note the end of a replica; return the requests that were cut by it."""
-        self._forget(now_ms)
-        if start in self._ended_ms_by_start:
+    def on_crash(self, now_ms: int, incarnation_id: int) -> tuple[str, ...]:
+        """Record a replica's crash; return the requests that were cut by it."""
+        self._drop_old(now_ms)
+        if incarnation_id in self._crashed_ms_by_incarnation_id:
             return ()
-        self._ended_ms_by_start[start] = now_ms
-        return tuple(self._cut_ms_by_start.pop(start, ()))
-
-    def _forget(self, now_ms: int) -> None:
-        since_ms = now_ms - _BEFORE_END_MS
-        for start, cut_ms in list(self._cut_ms_by_start.items()):
-            young = {name: at_ms for name, at_ms in cut_ms.items() if at_ms >= since_ms}
-            if young:
-                self._cut_ms_by_start[start] = young
+        self._crashed_ms_by_incarnation_id[incarnation_id] = now_ms
+        return tuple(self._cut_ms_by_incarnation_id.pop(incarnation_id, ()))
+
+    def _drop_old(self, now_ms: int) -> None:
+        since_ms = now_ms - _BEFORE_CRASH_MS
+        for incarnation_id, cut_ms in list(self._cut_ms_by_incarnation_id.items()):
+            recent = {
+                name: at_ms for name, at_ms in cut_ms.items() if at_ms >= since_ms
+            }
+            if recent:
+                self._cut_ms_by_incarnation_id[incarnation_id] = recent
             else:
-                del self._cut_ms_by_start[start]
-        for start, ended_ms in list(self._ended_ms_by_start.items()):
-            if ended_ms < since_ms:
-                del self._ended_ms_by_start[start]
+                del self._cut_ms_by_incarnation_id[incarnation_id]
+        for incarnation_id, crashed_ms in list(
+            self._crashed_ms_by_incarnation_id.items()
+        ):
+            if crashed_ms < since_ms:
+                del self._crashed_ms_by_incarnation_id[incarnation_id]
--- a/fireflyward/quarantine/_fingerprint.py
+++ b/fireflyward/quarantine/_fingerprint.py
@@ -1,4 +1,4 @@
-"""What two requests have in common when a caller asks the same again."""
+"""The fingerprint of a request, equal for each repetition of the request."""
 
 import hashlib
 
@@ -6,10 +6,10 @@
 
 
 def fingerprint_of(account: str, target: str, body: bytes) -> str:
-    """Return a name for what is asked, alike on every node and for each repeat.
+    """Return a digest of a request, equal on every node and for each repetition.
 
-    The id of a request is new each time it comes, so it cannot tell that a replica
-    ran the same work before. ``target`` is path and query.
+    The id of a request is new each time it is repeated, so it does not show that a
+    replica ran the same work before. ``target`` is the path with the query.
 
     >>> fingerprint_of("acme", "/r/x", b"") == fingerprint_of("acme", "/r/x", b"")
     True
--- a/fireflyward/quarantine/_messages.py
+++ b/fireflyward/quarantine/_messages.py
@@ -1,4 +1,4 @@
-"""What is decided of a request, and the rows and news that nodes share."""
+"""The decisions about a request, and the rows of the table that nodes share."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -7,21 +7,22 @@
 
 from fireflyward.backing import Position
 
-# The number of a replica's start, as news between nodes carries it. Another writer's
-# row may have anything, and what cannot be told on would fail requests later.
-_Start = Annotated[int, msgspec.Meta(ge=-(2**31), lt=2**31)]
-_Starts = Annotated[tuple[_Start, ...], msgspec.Meta(max_length=64)]
+# A replica's incarnation id, as messages between nodes encode it. A row of another
+# writer may contain any value; one that cannot be encoded would make requests fail
+# later.
+_IncarnationId = Annotated[int, msgspec.Meta(ge=-(2**31), lt=2**31)]
+_IncarnationIds = Annotated[tuple[_IncarnationId, ...], msgspec.Meta(max_length=64)]
 _Trials = Annotated[int, msgspec.Meta(ge=0, le=1_000)]
 
 
 @dataclass(frozen=True, slots=True)
 class Free:
-    """Nothing speaks against sending the request."""
+    """The request may be sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """The request is not sent on: too many replicas ended under it."""
+    """The request is not sent: too many replicas crashed while it was in flight."""
 
     detail: str
     retry_after_ms: int
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnTrial:
-    """The request may be sent once, if no other one is on trial anywhere."""
+    """The request may be sent once, if no other request is on trial on any node."""
 
 
 Verdict = Free | Held | OnTrial
@@ -37,25 +38,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """The right to send one suspect once; ``position`` is that of its row."""
+    """Permission to send one suspect once; ``position`` is the trial row's position."""
 
     fingerprint: str
     position: Position
 
 
 class SuspectRow(msgspec.Struct, frozen=True):
-    """A suspect as the table keeps it.
+    """A suspect as the table stores it.
 
-    ``ends`` are the starts of replicas that ended under it, by number, and
-    ``trials`` how often it was sent on trial since.
+    ``ends`` are the incarnation ids of replicas that crashed while it was in flight,
+    and ``trials`` is how often it was sent on trial since then.
     """
 
-    ends: _Starts
+    ends: _IncarnationIds
     trials: _Trials = 0
 
 
 class TrialRow(msgspec.Struct, frozen=True):
-    """Which suspect is on trial now, and the node that sends it."""
+    """The suspect that is on trial now, and the node that sends it."""
 
     fingerprint: str
     node: str
--- a/fireflyward/quarantine/_rows.py
+++ b/fireflyward/quarantine/_rows.py
@@ -1,4 +1,4 @@
-"""Suspects as rows of a table that all nodes follow."""
+"""Suspects and trials as rows of a table that all nodes follow."""
 
 import logging
 from collections.abc import Iterable, Mapping
@@ -23,26 +23,26 @@
 
 _SUSPECT_PREFIX = "suspect/"
 _TRIAL_KEY = "trial"
-# A trial whose node ended, or could not write its end, is taken to be over after this
-# long, twice the longest deadline that deployments have.
+# A trial whose node crashed, or could not delete its row, expires after this time,
+# twice the longest deadline in any deployment.
 _TRIAL_MS = 30_000
-# Rows of which it is kept that this node wrote them last.
-_MOST_OWN = 1_000
+# Number of rows for which this node remembers that it was their last writer.
+_MAX_OWN_KEYS = 1_000
 
 _NEVER = Position(0, 0)
 
-_Written = Committed | Conflict | Unavailable | Uncertain
+_WriteResult = Committed | Conflict | Unavailable | Uncertain
 
 
 class SuspectRows:
-    """Writes suspects and trials, each on the condition that it read the row.
+    """Writes suspects and trials, each if the row is still as this node read it.
 
-    Two nodes that both learn of a third end write the same row, and only one write
-    takes effect; the other is made again from what the table says by then.
+    Two nodes that both receive a third crash write the same row, and only one write
+    takes effect; the other node repeats its write with the newer row.
 
-    An older copy of the store takes nothing back: suspects that it lacks are held on,
-    those that it has again stay cleared, and whoever wrote such a row last writes it
-    again.
+    A store that was restored from an older snapshot undoes no decision: suspects whose
+    rows it lost are still held, and those whose rows it restored stay cleared. The node
+    that wrote such a row last writes it again.
     """
 
     def __init__(
@@ -64,21 +64,21 @@
         self._era = 0
         self._trial_until_ms = 0
 
-    def on_table_update(self, news: Followed) -> list[str]:
-        """Take what changed in the table; return whose rows this node writes again."""
-        self._era = max(self._era, news.position.era)
-        returned = []
-        if news.is_whole:
-            listed = {row.key for row in news.rows}
+    def on_table_update(self, update: Followed) -> list[str]:
+        """Apply changes of the table; return the suspects whose rows to write again."""
+        self._era = max(self._era, update.position.era)
+        to_rewrite = []
+        if update.is_whole:
+            listed = {row.key for row in update.rows}
             for key in self._position_by_key.keys() - listed:
-                # What was read before a row was written cannot tell that it went.
-                if self._position_by_key[key] > news.position:
+                # A read from before the row was written does not show that it is gone.
+                if self._position_by_key[key] > update.position:
                     continue
-                if news.is_new_era:
-                    returned += self._on_lost(key)
+                if update.is_new_era:
+                    to_rewrite += self._on_lost(key)
                 else:
                     self._on_removed(key)
-        for row in news.rows:
+        for row in update.rows:
             if row.key != _TRIAL_KEY and not row.key.startswith(_SUSPECT_PREFIX):
                 continue
             if row.position <= self._position_by_key.get(row.key, _NEVER):
@@ -87,32 +87,32 @@
                 self._on_removed(row.key)
             elif row.is_copied:
                 self._position_by_key[row.key] = row.position
-                returned += self._to_write_again(row.key)
+                to_rewrite += self._rows_to_rewrite(row.key)
             else:
-                self._take(row)
-        return returned
+                self._on_changed(row)
+        return to_rewrite
 
     @property
-    def trial_is_free(self) -> bool:
-        """Tell whether no suspect seems to be on trial."""
+    def is_trial_free(self) -> bool:
+        """Return whether no suspect is on trial, as far as this node knows."""
         return self._clock.now_ms() >= self._trial_until_ms
 
-    async def settle(self, fingerprint: str) -> bool:
-        """Bring the row of a request up to date; return whether that is done.
+    async def sync(self, fingerprint: str) -> bool:
+        """Update the row of a request; return whether it is up to date.
 
-        Of one that was cleared no row is left.
+        The row of a request that was cleared is deleted.
         """
         key = _key(fingerprint)
         if not self._suspects.crashes_of(fingerprint):
             if key not in self._position_by_key:
                 return True
             return isinstance(await self._write({}, deletes=[key]), Committed)
-        if not self._suspects.needs_writing(fingerprint):
+        if not self._suspects.needs_write(fingerprint):
             return True
-        return await self._put(fingerprint, self._suspects.row_of(fingerprint))
+        return await self._write_row(fingerprint, self._suspects.row_of(fingerprint))
 
     async def begin_trial(self, fingerprint: str) -> Trial | None:
-        """Count a trial and hold the only place for one, None if that fails."""
+        """Count a trial and write the only trial row; return None if that fails."""
         row = self._suspects.row_of(fingerprint, trials=1)
         trial = TrialRow(fingerprint, self._node)
         result = await self._write(
@@ -130,21 +130,21 @@
         return Trial(fingerprint, result.position_of(_TRIAL_KEY))
 
     async def end_trial(self, trial: Trial, *, counts: bool) -> None:
-        """Let others be on trial; one that was taken over meanwhile stays.
+        """Delete the trial row, unless another trial has replaced it meanwhile.
 
-        A trial that ``counts`` for nothing is given back.
+        With ``counts`` false the trial is subtracted from the suspect's trials.
         """
-        known = self._position_by_key.get(_TRIAL_KEY)
-        if known not in (None, trial.position):
+        position = self._position_by_key.get(_TRIAL_KEY)
+        if position not in (None, trial.position):
             return
         self._trial_until_ms = 0
-        if known is not None:
+        if position is not None:
             await self._write({}, deletes=[_TRIAL_KEY])
         if not counts and self._suspects.crashes_of(trial.fingerprint):
             row = self._suspects.row_of(trial.fingerprint, trials=-1)
-            await self._put(trial.fingerprint, row)
+            await self._write_row(trial.fingerprint, row)
 
-    async def _put(self, fingerprint: str, row: SuspectRow) -> bool:
+    async def _write_row(self, fingerprint: str, row: SuspectRow) -> bool:
         result = await self._write({_key(fingerprint): msgspec.json.encode(row)})
         if isinstance(result, Committed):
             self._suspects.on_row(self._clock.now_ms(), fingerprint, row)
@@ -152,39 +152,39 @@
 
     async def _write(
         self, puts: Mapping[str, bytes], *, deletes: Iterable[str] = ()
-    ) -> _Written:
+    ) -> _WriteResult:
         keys = [*puts, *deletes]
         result = await self._store.write(
             table=self._table,
             part="",
-            expected={key: self._expected(key) for key in keys},
+            expected={key: self._expected_position(key) for key in keys},
             puts=puts,
             deletes=deletes,
         )
         if isinstance(result, Committed):
             for key in result.version_by_key:
-                # Its answer may come after news of what was written since.
-                known = self._position_by_key.get(key, _NEVER)
-                self._position_by_key[key] = max(known, result.position_of(key))
+                # The answer may arrive after an update with a newer version of the row.
+                position = self._position_by_key.get(key, _NEVER)
+                self._position_by_key[key] = max(position, result.position_of(key))
             for key in deletes:
                 self._position_by_key.pop(key, None)
-            self._note_own(keys)
+            self._record_own(keys)
         else:
             log.info("quarantine: %s not written: %s", ", ".join(keys), result)
         return result
 
-    def _expected(self, key: str) -> Position:
-        """Return where a row stands, by what was read of it."""
+    def _expected_position(self, key: str) -> Position:
+        """Return the position at which this node last read a row."""
         return self._position_by_key.get(key, Position(self._era, 0))
 
-    def _note_own(self, keys: Iterable[str]) -> None:
+    def _record_own(self, keys: Iterable[str]) -> None:
         for key in keys:
             self._own_keys.pop(key, None)
             self._own_keys[key] = None
-        while len(self._own_keys) > _MOST_OWN:
+        while len(self._own_keys) > _MAX_OWN_KEYS:
             del self._own_keys[next(iter(self._own_keys))]
 
-    def _take(self, row: TableRow) -> None:
+    def _on_changed(self, row: TableRow) -> None:
         self._position_by_key[row.key] = row.position
         self._own_keys.pop(row.key, None)
         now_ms = self._clock.now_ms()
@@ -194,7 +194,7 @@
         try:
             suspect = msgspec.json.decode(row.value, type=SuspectRow)
         except msgspec.MsgspecError as error:
-            # Another writer's row holds nothing back; the others hold.
+            # An unreadable row has no effect; the other rows do.
             log.error("quarantine: row %s is not understood: %s", row.key, error)
             return
         self._suspects.on_row(now_ms, row.key.removeprefix(_SUSPECT_PREFIX), suspect)
@@ -208,11 +208,11 @@
             self._suspects.clear(key.removeprefix(_SUSPECT_PREFIX))
 
     def _on_lost(self, key: str) -> list[str]:
-        """Take a row that the store has lost; return whose row is to be written."""
+        """Handle a row that the store has lost; return the suspect to write again."""
         del self._position_by_key[key]
-        return self._to_write_again(key)
+        return self._rows_to_rewrite(key)
 
-    def _to_write_again(self, key: str) -> list[str]:
+    def _rows_to_rewrite(self, key: str) -> list[str]:
         if key == _TRIAL_KEY:
             return []
         fingerprint = key.removeprefix(_SUSPECT_PREFIX)
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -1,4 +1,4 @@
-"""The task that finds out which requests end replicas, and holds them back."""
+"""The task that detects requests that crash replicas, and holds them."""
 
 import asyncio
 import logging
@@ -12,7 +12,7 @@
 from fireflyward.platform import StoreClient
 from fireflyward.replicas import ReplicaDirectory, ReplicaState
 
-from ._news import SuspectNews
+from ._announcements import SuspectAnnouncements
 from ._cuts import Cuts
 from ._messages import Free, Held, Trial
 from ._rows import SuspectRows
@@ -20,39 +20,41 @@
 
 log = logging.getLogger("fireflyward.quarantine")
 
-# A replica is a few ms away; one lost packet takes 200 ms to be sent again.
+# A replica is a few ms away; a lost packet is retransmitted after 200 ms.
 _CONNECT_MS = 350
-# Rows that could not be written are tried again after this long, or sooner once the
-# table shows what another node wrote there.
+# Rows that could not be written are written again after this time, or sooner if the
+# table shows that another node wrote them.
 _RETRY_MS = 500
-# How often suspects of long ago are looked for.
-_FORGET_EACH_MS = 300_000
-# Trials are short and news of their ends takes some ten ms: a suspect rather waits this
-# long for its own than comes back in a second.
-_TRIAL_PATIENCE_MS = 500
-_LOGGED = 5
-# A caller whose suspect has to wait for a trial comes back after about one.
-_TRIAL_WAIT_MS = 1_000
-TRIAL_ENDED = Held("its trial is over", _TRIAL_WAIT_MS)
-_NO_TRIAL_YET = Held("its trial cannot begin yet", _TRIAL_WAIT_MS)
+# How often old suspects are dropped.
+_EXPIRY_PERIOD_MS = 300_000
+# Trials are short, and other nodes see their end some ten ms later: a suspect waits
+# this long for its own trial, which is less than the retry time of a second.
+_TRIAL_WAIT_MAX_MS = 500
+_MAX_LOGGED = 5
+# A caller whose suspect has to wait for a trial retries after about the time of one.
+_TRIAL_RETRY_AFTER_MS = 1_000
+TRIAL_ENDED = Held("its trial has ended", _TRIAL_RETRY_AFTER_MS)
+_NO_TRIAL_YET = Held("its trial cannot begin yet", _TRIAL_RETRY_AFTER_MS)
 
 
 class Quarantine:
-    """Keeps requests that end replicas from ending more of them.
-
-    What goes wrong: a request makes each replica crash that begins to run it. Its
-    caller is told that it failed and asks again, under a new id and at any node, and
-    each time the other requests of one more replica fail with it. One notices by
-    replicas that end singly and soon after each other, and by the same fingerprint
-    among what was cut at each. Asked a dozen times at three nodes, such work ended 12
-    replicas where it runs once each time and 24 where it may be repeated; held, 3 and 4
-    (``tests.fleet.test_crashing_requests``). The nodes therefore tell each other what
-    was under way where a replica ended, by fingerprint and not by id, and the table
-    keeps what was so more than once; see ``Suspects`` for what is decided from it.
-
-    ``cut`` counts the requests of this node that were under way where a replica ended.
-    ``poll_soon`` has the table read without delay, since news between nodes may not
-    have come.
+    """Holds requests that crash replicas, so that they do not crash more of them.
+
+    This limits the following failure: a request crashes each replica that starts to run
+    it. Its caller gets an error and repeats the request under a new id at any node, and
+    each time the other requests of one more replica fail too. The symptoms are single
+    replicas that crash shortly after each other, and the same fingerprint among the
+    requests cut at each of them. Repeated a dozen times at three nodes, such a request
+    crashed 12 replicas if it is sent once each time, and 24 if it is idempotent and
+    therefore retried; when it is held, 3 and 4
+    (``tests.fleet.test_crashing_requests``). The nodes therefore announce to each other
+    the requests that were in flight when a replica crashed, by fingerprint and not by
+    id, and the table stores those with more than one crash. ``Suspects`` decides from
+    this which requests to hold.
+
+    ``cut`` counts the requests of this node that were in flight when a replica crashed.
+    ``poll_soon`` makes the node read the table without delay, since an announcement may
+    have been lost.
     """
 
     def __init__(
@@ -70,66 +72,67 @@
         self._clock = clock
         self._pool = pool
         self._directory = directory
-        self._look_soon = poll_soon
+        self._poll_soon = poll_soon
         self._cuts = Cuts()
         self._suspects = Suspects()
         self._rows = SuspectRows(
             self._suspects, store=store, table=table, node=node, clock=clock
         )
-        self._announcements = SuspectNews(
+        self._announcements = SuspectAnnouncements(
             self._suspects, clock=clock, peer_addresses=peer_addresses
         )
-        self._unsettled: set[str] = set()
+        self._unsynced: set[str] = set()
         self._has_work = asyncio.Event()
-        self._changed = asyncio.Event()
+        self._table_changed = asyncio.Event()
         self._checked: set[int] = set()
         self._tasks: set[asyncio.Task[Any]] = set()
         self.cut = 0
 
     @property
     def held(self) -> int:
-        """Return how many requests are not sent freely."""
+        """Return how many requests are held or sent only on trial."""
         return self._suspects.held
 
     def use(self, link: PeerLink) -> None:
-        """Tell and hear of ends over a link from now on."""
+        """Send and receive announcements over a link from now on."""
         self._announcements.use(link)
 
-    def on_table_update(self, news: Followed) -> None:
-        """Take what changed in the table."""
-        to_write_again = self._rows.on_table_update(news)
-        if to_write_again:
-            self._unsettled.update(to_write_again)
+    def on_table_update(self, update: Followed) -> None:
+        """Apply changes of the table."""
+        to_rewrite = self._rows.on_table_update(update)
+        if to_rewrite:
+            self._unsynced.update(to_rewrite)
             self._has_work.set()
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._table_changed.set()
+        self._table_changed = asyncio.Event()
 
     async def admit(self, fingerprint: str) -> Free | Held | Trial:
-        """Say whether a request may be sent; a trial is the right to one send."""
-        end_ms = self._clock.now_ms() + _TRIAL_PATIENCE_MS
+        """Decide whether a request may be sent; a trial permits one send."""
+        deadline_ms = self._clock.now_ms() + _TRIAL_WAIT_MAX_MS
         while True:
             now_ms = self._clock.now_ms()
             verdict = self._suspects.verdict(now_ms, fingerprint)
             if isinstance(verdict, Free | Held):
                 return verdict
-            if self._rows.trial_is_free:
+            if self._rows.is_trial_free:
                 trial = await self._rows.begin_trial(fingerprint)
                 if trial is not None:
                     return trial
-            left_ms = end_ms - self._clock.now_ms()
+            left_ms = deadline_ms - self._clock.now_ms()
             if left_ms <= 0:
                 return _NO_TRIAL_YET
-            self._look_soon()
-            await within_ms(self._clock, left_ms, self._changed.wait())
+            self._poll_soon()
+            await within_ms(self._clock, left_ms, self._table_changed.wait())
 
     def end_trial(
         self, trial: Trial, *, was_sent: bool, begun_at: ReplicaState | None
     ) -> None:
-        """End a trial, whatever came of it.
+        """End a trial, whatever its result.
 
-        ``begun_at`` is the replica that surely began on it, if any. If that one is
-        still there the trial does not count: the request did no harm, and its caller
-        may just have left. Nor does it if it was not sent at all.
+        ``begun_at`` is the replica that certainly started to run the request, if any.
+        If that replica still answers, the trial does not count: the request is
+        harmless, and its caller may just have disconnected. A trial that was not sent
+        does not count either.
         """
         if was_sent:
             self._spawn(self._end_trial(trial, begun_at))
@@ -137,10 +140,10 @@
             self._spawn(self._rows.end_trial(trial, counts=False))
 
     def on_cut(self, fingerprint: str, replica: ReplicaState, *, is_late: bool) -> None:
-        """Take a send that came to no answer; find out whether the replica ended.
+        """Record a request without an answer; check whether the replica crashed.
 
-        ``is_late`` tells that its deadline came: the replica is probably sound, and
-        a connection to look would be one more for each late answer.
+        ``is_late`` means that the request's deadline passed: the replica is probably
+        healthy, and each late answer would open one more probe connection.
         """
         if not self._may_crash(replica):
             return
@@ -148,67 +151,67 @@
             self._clock.now_ms(), fingerprint, replica.incarnation_id
         )
         if found:
-            self._blame(replica, found)
+            self._record_crash(replica, found)
         elif not is_late and replica.incarnation_id not in self._checked:
             self._checked.add(replica.incarnation_id)
             self._spawn(self._check(replica))
 
     def on_refused(self, replica: ReplicaState) -> None:
-        """Take a refused connection: nothing listens there any more."""
+        """Handle a refused connection: no process listens at the address any more."""
         if self._may_crash(replica):
-            self._on_end(replica)
+            self._on_crash(replica)
 
     def on_gone(self, replica: ReplicaState) -> None:
-        """Take a replica that is listed no more."""
+        """Handle a replica that is not listed any more."""
         if not replica.is_leaving:
-            self._on_end(replica)
+            self._on_crash(replica)
 
     def on_answered(self, fingerprint: str) -> None:
-        """Take a request that a replica ran to a whole answer and survived."""
+        """Clear a request whose answer a replica completed without a crash."""
         if not self._suspects.crashes_of(fingerprint):
             return
         forgiven = self._suspects.clear(fingerprint)
         log.info("quarantine: %s cleared of %d ends", fingerprint, len(forgiven))
-        self._announcements.cleared(fingerprint, forgiven)
-        self._unsettled.add(fingerprint)
+        self._announcements.announce_cleared(fingerprint, forgiven)
+        self._unsynced.add(fingerprint)
         self._has_work.set()
 
     @property
     def tasks(self) -> list[asyncio.Task[Any]]:
-        """Return the tasks that run now."""
+        """Return the running tasks."""
         return list(self._tasks)
 
     async def run(self) -> None:
-        """Write what the table lacks, until cancelled."""
-        forgotten_ms = self._clock.now_ms()
+        """Write missing and changed rows to the table, until cancelled."""
+        last_expiry_ms = self._clock.now_ms()
         while True:
-            await within_ms(self._clock, _FORGET_EACH_MS, self._has_work.wait())
+            await within_ms(self._clock, _EXPIRY_PERIOD_MS, self._has_work.wait())
             self._has_work.clear()
-            await self._settle()
-            if self._clock.now_ms() - forgotten_ms >= _FORGET_EACH_MS:
-                forgotten_ms = self._clock.now_ms()
-                self._unsettled.update(self._suspects.forget(forgotten_ms))
-            if self._unsettled:
-                await within_ms(self._clock, _RETRY_MS, self._changed.wait())
+            await self._sync()
+            if self._clock.now_ms() - last_expiry_ms >= _EXPIRY_PERIOD_MS:
+                last_expiry_ms = self._clock.now_ms()
+                self._unsynced.update(self._suspects.forget(last_expiry_ms))
+            if self._unsynced:
+                await within_ms(self._clock, _RETRY_MS, self._table_changed.wait())
                 self._has_work.set()
 
-    async def _settle(self) -> None:
-        for fingerprint in list(self._unsettled):
-            if await self._rows.settle(fingerprint):
-                self._unsettled.discard(fingerprint)
+    async def _sync(self) -> None:
+        for fingerprint in list(self._unsynced):
+            if await self._rows.sync(fingerprint):
+                self._unsynced.discard(fingerprint)
             else:
-                self._look_soon()
+                self._poll_soon()
 
     def _may_crash(self, replica: ReplicaState) -> bool:
-        """Tell whether the end of a replica would be a crash.
+        """Return whether a replica that stops now has crashed.
 
-        One that leaves as planned ends too, and so does one whose entry went first.
+        A leaving replica also stops, and so does one whose entry was removed first.
         """
         state = self._directory.find_incarnation(replica.incarnation_id)
         return state is not None and not state.is_leaving
 
     async def _check(self, replica: ReplicaState) -> bool:
-        """Find out now whether a replica is there, and not once its entry lapses."""
+        """Check now whether a replica listens, before its entry expires."""
         connection = await self._pool.take(
             replica.entry.address, connect_ms=_CONNECT_MS, fresh=True
         )
@@ -225,33 +228,35 @@
         survived = begun_at is not None and (is_cleared or await self._check(begun_at))
         await self._rows.end_trial(trial, counts=not survived)
 
-    def _on_end(self, replica: ReplicaState) -> None:
-        found = self._cuts.on_end(self._clock.now_ms(), replica.incarnation_id)
+    def _on_crash(self, replica: ReplicaState) -> None:
+        found = self._cuts.on_crash(self._clock.now_ms(), replica.incarnation_id)
         if found:
-            self._blame(replica, found)
+            self._record_crash(replica, found)
 
-    def _blame(self, replica: ReplicaState, fingerprints: tuple[str, ...]) -> None:
-        """Note requests that were under way where a replica ended, and tell others."""
+    def _record_crash(
+        self, replica: ReplicaState, fingerprints: tuple[str, ...]
+    ) -> None:
+        """Record and announce the requests in flight when a replica crashed."""
         now_ms = self._clock.now_ms()
         self.cut += len(fingerprints)
         for fingerprint in fingerprints:
-            self._suspects.on_ends(now_ms, fingerprint, [replica.incarnation_id])
-        self._announcements.ended(replica.incarnation_id, fingerprints)
-        self._unsettled.update(fingerprints)
+            self._suspects.on_crashes(now_ms, fingerprint, [replica.incarnation_id])
+        self._announcements.announce_crash(replica.incarnation_id, fingerprints)
+        self._unsynced.update(fingerprints)
         self._has_work.set()
-        self._look_soon()
+        self._poll_soon()
         log.info(
             "quarantine: %s ended under %d requests",
             replica.entry.incarnation,
             len(fingerprints),
-            extra={"fields": {"fingerprints": self._worst(fingerprints)}},
+            extra={"fields": {"fingerprints": self._most_crashes(fingerprints)}},
         )
 
-    def _worst(self, fingerprints: tuple[str, ...]) -> dict[str, int]:
-        """Return the ends of those that were under way at the most."""
-        ends = {name: len(self._suspects.crashes_of(name)) for name in fingerprints}
-        worst = sorted(ends, key=lambda name: -ends[name])[:_LOGGED]
-        return {name: ends[name] for name in worst}
+    def _most_crashes(self, fingerprints: tuple[str, ...]) -> dict[str, int]:
+        """Return the requests with the most crashes, and how many each has."""
+        crashes = {name: len(self._suspects.crashes_of(name)) for name in fingerprints}
+        most_crashes = sorted(crashes, key=lambda name: -crashes[name])[:_MAX_LOGGED]
+        return {name: crashes[name] for name in most_crashes}
 
     def _spawn(self, work: Coroutine[Any, Any, Any]) -> None:
         task = asyncio.create_task(work)
--- a/tests/quarantine/fakes.py
+++ b/tests/quarantine/fakes.py
@@ -1,4 +1,4 @@
-"""A table, a link and a pool that do as they are told."""
+"""Fakes of a table, a link and a connection pool."""
 
 from fireflyward.backing import Committed, Conflict, Position, Unavailable
 from fireflyward.feeds import Followed, TableRow
@@ -6,12 +6,12 @@
 
 
 class FakeTable:
-    """Keeps rows and checks versions as the platform's store does."""
+    """Stores rows and checks versions as the platform's store does."""
 
     def __init__(self):
         self.era = 1
         self.version = 0
-        self.is_away = False
+        self.is_unavailable = False
         self.after_write = lambda: None
         self.row_by_key = {}
 
@@ -20,7 +20,7 @@
         return Position(self.era, self.version)
 
     async def write(self, *, table, part, expected, puts, deletes=()):
-        if self.is_away:
+        if self.is_unavailable:
             return Unavailable("away")
         have = {key: self._version_of(key) for key in expected}
         if have != {key: read.version for key, read in expected.items()}:
@@ -34,7 +34,7 @@
         self.after_write()
         return result
 
-    def whole(self):
+    def full_read(self):
         rows = tuple(self.row_by_key.values())
         return Followed(rows, True, 0, position=self.position)
 
@@ -44,7 +44,7 @@
 
 
 class FakeLink:
-    """Remembers what was sent, and gives it to the handlers of another."""
+    """Records the sent messages, and delivers them to the handlers of another link."""
 
     def __init__(self):
         self.sent = []
@@ -62,7 +62,7 @@
 
 
 class FakePool:
-    """Connects, or is refused at the addresses in ``refused``."""
+    """Opens connections, except to addresses that refuse them or are silent."""
 
     def __init__(self):
         self.refused = set()
--- a/tests/quarantine/test_cuts.py
+++ b/tests/quarantine/test_cuts.py
@@ -7,32 +7,32 @@
     def setUp(self):
         self.cuts = Cuts()
 
-    def test_a_cut_alone_blames_nobody(self):
+    def test_a_cut_without_a_crash_returns_no_request(self):
         self.assertEqual(self.cuts.on_cut(0, "a", 1), ())
 
-    def test_an_end_blames_what_was_cut_there(self):
+    def test_a_crash_returns_the_requests_that_were_cut_there(self):
         self.cuts.on_cut(0, "a", 1)
         self.cuts.on_cut(1, "b", 1)
         self.cuts.on_cut(1, "c", 2)
-        self.assertEqual(sorted(self.cuts.on_end(3, 1)), ["a", "b"])
+        self.assertEqual(sorted(self.cuts.on_crash(3, 1)), ["a", "b"])
 
-    def test_whatever_is_noticed_after_the_end_is_blamed_too(self):
-        self.cuts.on_end(0, 1)
+    def test_a_cut_after_the_crash_returns_the_request(self):
+        self.cuts.on_crash(0, 1)
         self.assertEqual(self.cuts.on_cut(1, "a", 1), ("a",))
 
-    def test_one_end_blames_once(self):
+    def test_a_crash_returns_requests_only_once(self):
         self.cuts.on_cut(0, "a", 1)
-        self.cuts.on_end(1, 1)
-        self.assertEqual(self.cuts.on_end(2, 1), ())
+        self.cuts.on_crash(1, 1)
+        self.assertEqual(self.cuts.on_crash(2, 1), ())
 
-    def test_what_was_cut_long_before_the_end_was_not_under_way(self):
-        """Symptom: a request is held though the replicas that it was at were sound.
+    def test_a_request_cut_long_before_the_crash_was_not_in_flight(self):
+        """Symptom: a request is held although the replicas that ran it did not crash.
 
-        Connections to them broke, and each was replaced a minute later.
+        Connections to them broke, and each replica was replaced a minute later.
         """
         self.cuts.on_cut(0, "a", 1)
-        self.assertEqual(self.cuts.on_end(60_000, 1), ())
+        self.assertEqual(self.cuts.on_crash(60_000, 1), ())
 
-    def test_an_entry_lapses_within_that_time(self):
+    def test_a_cut_counts_until_the_replica_s_entry_expires(self):
         self.cuts.on_cut(0, "a", 1)
-        self.assertEqual(self.cuts.on_end(3_700, 1), ("a",))
+        self.assertEqual(self.cuts.on_crash(3_700, 1), ("a",))
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -4,8 +4,8 @@
 
 
 class FingerprintTests(unittest.TestCase):
-    def test_what_is_asked_makes_it(self):
-        asked = [
+    def test_different_requests_have_different_fingerprints(self):
+        requests = [
             ("acme", "/r/x", b"body"),
             ("acme", "/r/x", b"other"),
             ("acme", "/r/x?y=1", b"body"),
@@ -13,9 +13,9 @@
             ("acme/r", "/x", b"body"),
             ("acme", "/r/", b"x\0body"),
         ]
-        self.assertEqual(len({fingerprint_of(*parts) for parts in asked}), 6)
+        self.assertEqual(len({fingerprint_of(*parts) for parts in requests}), 6)
 
-    def test_a_repeat_has_the_same(self):
+    def test_a_repeated_request_has_the_same_fingerprint(self):
         self.assertEqual(
             fingerprint_of("acme", "/r/x", b"body"),
             fingerprint_of("acme", "/r/x", b"body"),
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -1,4 +1,4 @@
-"""The task between cuts, news and the table."""
+"""The quarantine task: cuts, announcements and the table."""
 
 import asyncio
 import json
@@ -16,12 +16,12 @@
 from .fakes import FakeLink, FakePool, FakeTable
 
 NAMES = [f"r{number}" for number in range(8)]
-_PATIENCE_MS = 1_000
+_MAX_WAIT_MS = 1_000
 _STEP_MS = 5
 
 
 class _Node:
-    """The quarantine of one node, with what it speaks to."""
+    """The quarantine of one node, with fakes of everything it uses."""
 
     def __init__(self, name, table):
         self.clock = ManualClock(1_000)
@@ -31,7 +31,7 @@
             0, [entry(name) for name in NAMES], after_outage=False
         )
         self.table = table
-        self.looks = 0
+        self.polls = 0
         self.link = FakeLink()
         self.quarantine = Quarantine(
             clock=self.clock,
@@ -41,16 +41,16 @@
             table="nodes",
             node=name,
             peer_addresses=lambda: [("10.0.0.2", 1)],
-            poll_soon=self._look,
+            poll_soon=self._poll,
         )
         self.quarantine.use(self.link)
         self.running = asyncio.create_task(self.quarantine.run())
 
-    def _look(self):
-        self.looks += 1
+    def _poll(self):
+        self.polls += 1
 
     def read_table(self):
-        self.quarantine.on_table_update(self.table.whole())
+        self.quarantine.on_table_update(self.table.full_read())
 
     async def cut(self, replica, *fingerprints, refused=True):
         state = self.directory.find(replica)
@@ -64,13 +64,13 @@
         await self.clock.advance_ms(5)
 
     async def admit(self, fingerprint):
-        """Return what the gate says, at the latest when its patience is over."""
-        asked = asyncio.create_task(self.quarantine.admit(fingerprint))
-        for _ in range(_PATIENCE_MS // _STEP_MS):
+        """Return the decision, at the latest when the longest wait is over."""
+        admission = asyncio.create_task(self.quarantine.admit(fingerprint))
+        for _ in range(_MAX_WAIT_MS // _STEP_MS):
             await self.clock.advance_ms(_STEP_MS)
-            if asked.done():
+            if admission.done():
                 break
-        return asked.result()
+        return admission.result()
 
     async def stop(self):
         self.running.cancel()
@@ -78,7 +78,7 @@
 
 
 class QuarantineTestCase(unittest.IsolatedAsyncioTestCase):
-    """Two nodes before the same table and the same replicas."""
+    """Two nodes with the same table and the same replicas."""
 
     async def asyncSetUp(self):
         self.table = FakeTable()
@@ -89,34 +89,34 @@
         for node in self.nodes:
             await node.stop()
 
-    async def end_three(self, *fingerprints):
+    async def crash_three(self, *fingerprints):
         for name in NAMES[:3]:
             await self.node.cut(name, *fingerprints)
 
 
 class QuarantineTests(QuarantineTestCase):
-    async def test_three_ends_hold_it_here_and_there(self):
-        await self.end_three("deadly")
+    async def test_three_crashes_hold_a_request_on_all_nodes(self):
+        await self.crash_three("deadly")
         self.assertIsInstance(await self.node.admit("deadly"), Held)
         other = self.nodes[1]
         self.assertEqual(await other.admit("deadly"), Free())
         await self.node.link.deliver_to(other.link)
         self.assertIsInstance(await other.admit("deadly"), Held)
 
-    async def test_the_table_alone_tells_it_too(self):
-        await self.end_three("deadly")
+    async def test_the_table_alone_holds_a_request(self):
+        await self.crash_three("deadly")
         other = self.nodes[1]
         other.read_table()
         self.assertIsInstance(await other.admit("deadly"), Held)
 
-    async def test_a_replica_that_still_listens_has_not_ended(self):
+    async def test_a_replica_that_still_listens_has_not_crashed(self):
         for name in NAMES[:4]:
             await self.node.cut(name, "a", refused=False)
         self.assertEqual(await self.node.admit("a"), Free())
         self.assertEqual(self.node.quarantine.cut, 0)
 
-    async def test_one_that_does_not_answer_has_ended_once_its_entry_goes(self):
-        """A cut link and a lost machine look alike until then."""
+    async def test_a_silent_replica_has_crashed_once_its_entry_is_removed(self):
+        """Until then a network fault cannot be distinguished from a crash."""
         for name in NAMES[:3]:
             state = self.node.directory.find(name)
             self.node.pool.silent.add(state.entry.address)
@@ -137,18 +137,21 @@
         await self.node.cut("r1", *(f"f{number}" for number in range(40)))
         self.assertEqual(len(self.node.pool.opened), 1)
 
-    async def test_news_of_an_end_is_told_again(self):
+    async def test_the_announcement_of_a_crash_is_resent(self):
         await self.node.cut("r1", "a")
         await self.node.clock.advance_ms(2_000)
         self.assertEqual(len(self.node.link.sent), 3)
 
-    async def test_an_end_has_the_table_read_soon(self):
+    async def test_a_crash_makes_the_node_read_the_table_soon(self):
         await self.node.cut("r1", "a")
-        self.assertEqual(self.node.looks, 1)
+        self.assertEqual(self.node.polls, 1)
 
-    async def test_only_one_is_on_trial(self):
-        """Symptom: on trial beside the deadly one, a harmless one looks deadly."""
-        await self.end_three("deadly", "beside")
+    async def test_only_one_request_is_on_trial(self):
+        """Symptom: a harmless request seems to crash replicas.
+
+        It was on trial at the same time as the request that does crash them.
+        """
+        await self.crash_three("deadly", "beside")
         other = self.nodes[1]
         other.read_table()
         trial = await self.node.admit("beside")
@@ -156,8 +159,8 @@
         other.read_table()
         self.assertIsInstance(await other.admit("deadly"), Held)
 
-    async def test_a_trial_that_ends_makes_room_for_the_next(self):
-        await self.end_three("deadly", "beside")
+    async def test_after_the_end_of_a_trial_another_may_begin(self):
+        await self.crash_three("deadly", "beside")
         trial = await self.node.admit("beside")
         self.node.quarantine.on_answered("beside")
         self.node.quarantine.end_trial(trial, was_sent=True, begun_at=None)
@@ -169,21 +172,21 @@
         self.assertNotIn("suspect/beside", self.table.row_by_key)
         self.assertNotIn("trial", self.table.row_by_key)
 
-    async def test_a_caller_that_leaves_in_its_trial_has_another(self):
-        await self.end_three("deadly", "beside")
-        sound = self.node.directory.find("r7")
+    async def test_a_trial_whose_caller_disconnects_may_be_repeated(self):
+        await self.crash_three("deadly", "beside")
+        replica = self.node.directory.find("r7")
         for _ in range(4):
             trial = await self.node.admit("beside")
             self.assertIsInstance(trial, Trial)
-            self.node.quarantine.end_trial(trial, was_sent=True, begun_at=sound)
+            self.node.quarantine.end_trial(trial, was_sent=True, begun_at=replica)
             await self.node.settle()
 
     async def test_a_trial_that_was_not_sent_does_not_count(self):
-        """Symptom: a harmless request is held for an hour, and was never tried.
+        """Symptom: a harmless request is held for an hour without a trial.
 
-        Replicas were busy, and twice it was turned away for that in its trial.
+        Replicas were busy, and for this reason it was rejected in both of its trials.
         """
-        await self.end_three("deadly", "beside")
+        await self.crash_three("deadly", "beside")
         for _ in range(4):
             trial = await self.node.admit("beside")
             self.assertIsInstance(trial, Trial)
@@ -191,8 +194,11 @@
             await self.node.settle()
 
     async def test_trials_that_may_not_have_begun_count(self):
-        """Symptom: the deadly one waits in queues, its callers leave and come again."""
-        await self.end_three("deadly", "beside")
+        """Guards against unlimited trials of a request that crashes replicas.
+
+        It waits in queues, and its callers disconnect and repeat it.
+        """
+        await self.crash_three("deadly", "beside")
         for _ in range(2):
             trial = await self.node.admit("deadly")
             self.assertIsInstance(trial, Trial)
@@ -200,28 +206,28 @@
             await self.node.settle()
         self.assertIsInstance(await self.node.admit("deadly"), Held)
 
-    async def test_a_trial_whose_node_ended_is_over_after_a_while(self):
-        await self.end_three("deadly", "beside")
+    async def test_a_trial_whose_node_crashed_expires(self):
+        await self.crash_three("deadly", "beside")
         await self.node.admit("beside")
         other = self.nodes[1]
         other.read_table()
         await other.clock.advance_ms(30_000)
         self.assertIsInstance(await other.admit("deadly"), Trial)
 
-    async def test_without_the_table_none_is_on_trial(self):
-        await self.end_three("deadly", "beside")
-        self.table.is_away = True
+    async def test_without_the_table_no_request_is_on_trial(self):
+        await self.crash_three("deadly", "beside")
+        self.table.is_unavailable = True
         self.assertIsInstance(await self.node.admit("beside"), Held)
 
-    async def test_what_the_table_did_not_take_is_written_later(self):
-        self.table.is_away = True
-        await self.end_three("deadly")
+    async def test_a_row_that_was_not_written_is_written_later(self):
+        self.table.is_unavailable = True
+        await self.crash_three("deadly")
         self.assertEqual(self.table.row_by_key, {})
-        self.table.is_away = False
+        self.table.is_unavailable = False
         await self.node.clock.advance_ms(1_000)
         self.assertIn("suspect/deadly", self.table.row_by_key)
 
-    async def test_two_nodes_that_write_at_once_add_up(self):
+    async def test_crashes_from_two_nodes_that_write_at_once_add_up(self):
         other = self.nodes[1]
         await self.node.cut("r1", "a")
         await other.cut("r3", "a")
@@ -233,34 +239,34 @@
         self.assertIsInstance(await self.node.admit("a"), Held)
         self.assertIsInstance(await other.admit("a"), Held)
 
-    async def test_an_answer_is_told_to_others(self):
-        await self.end_three("a")
+    async def test_an_answer_is_announced_to_other_nodes(self):
+        await self.crash_three("a")
         await self.node.link.deliver_to(self.nodes[1].link)
         self.node.quarantine.on_answered("a")
         await self.node.link.deliver_to(self.nodes[1].link)
         self.assertEqual(await self.nodes[1].admit("a"), Free())
 
-    async def test_a_table_read_before_a_row_was_written_forgives_nothing(self):
-        """Symptom: a held request goes on, just after it was held."""
-        before = self.table.whole()
-        await self.end_three("deadly")
+    async def test_a_table_read_before_a_row_was_written_clears_nothing(self):
+        """Symptom: a request is sent again just after it was held."""
+        before = self.table.full_read()
+        await self.crash_three("deadly")
         self.assertIn("suspect/deadly", self.table.row_by_key)
         self.node.quarantine.on_table_update(before)
         self.assertIsInstance(await self.node.admit("deadly"), Held)
 
-    async def test_a_row_that_goes_forgives(self):
-        await self.end_three("a")
+    async def test_a_removed_row_clears_the_request(self):
+        await self.crash_three("a")
         self.nodes[1].read_table()
         self.table.row_by_key.clear()
         self.table.version += 1
         self.nodes[1].read_table()
         self.assertEqual(await self.nodes[1].admit("a"), Free())
 
-    async def test_an_answer_that_comes_after_newer_news_sets_nothing_back(self):
-        """Symptom: the third end of a request is never written.
+    async def test_a_write_result_after_a_newer_update_does_not_undo_it(self):
+        """Symptom: the third crash of a request is never written.
 
-        Another node wrote its row in between, and each further write of this one
-        expected the version of its own.
+        Another node wrote the row in between, and each further write of this node
+        expected the version that it had written itself.
         """
         other = self.nodes[1]
         await self.node.cut("r1", "a")
@@ -282,13 +288,13 @@
         kept = json.loads(self.table.row_by_key["suspect/a"].value)
         self.assertEqual(len(kept["ends"]), 4)
 
-    async def test_rows_that_come_late_change_nothing(self):
+    async def test_rows_that_arrive_late_change_nothing(self):
         """Symptom: a request that was tried twice is tried again."""
         for version, trials in ((5, 2), (3, 0)):
             row = SuspectRow((1, 2, 3), trials)
-            news = (TableRow("suspect/a", msgspec.json.encode(row), at(version)),)
+            rows = (TableRow("suspect/a", msgspec.json.encode(row), at(version)),)
             self.node.quarantine.on_table_update(
-                Followed(news, False, 0, position=at(version))
+                Followed(rows, False, 0, position=at(version))
             )
         self.node.quarantine.on_table_update(
             Followed(
@@ -301,15 +307,15 @@
         held = await self.node.admit("a")
         self.assertEqual(held.detail, "3 replicas ended under it")
 
-    async def test_a_leaving_replica_that_ends_blames_nobody(self):
+    async def test_a_leaving_replica_that_stops_has_not_crashed(self):
         for name in NAMES[:3]:
             leaving = entry(name, leaving=True)
             self.node.directory.on_changes(0, [leaving], [], after_outage=False)
             await self.node.cut(name, "a")
         self.assertEqual(await self.node.admit("a"), Free())
 
-    async def test_one_that_said_that_it_leaves_blames_nobody(self):
-        """Guards against planned ends that look like crashes while the list lags."""
+    async def test_a_replica_that_announced_its_leaving_has_not_crashed(self):
+        """Guards against planned stops that seem to be crashes to an outdated list."""
         directory = self.node.directory
         for name in NAMES[:3]:
             await self.node.cut(name, "a", refused=False)
@@ -320,8 +326,8 @@
         self.assertEqual(await self.node.admit("a"), Free())
         self.assertEqual(await self.node.admit("b"), Free())
 
-    async def test_one_that_leaves_after_a_cut_blames_nobody_when_it_goes(self):
-        """Its caller's deadline came, or one connection broke, and it served on."""
+    async def test_a_replica_that_leaves_after_a_cut_has_not_crashed(self):
+        """A deadline passed or a connection broke, and the replica went on serving."""
         for name in NAMES[:3]:
             await self.node.cut(name, "a", refused=False)
             leaving = entry(name, leaving=True)
@@ -330,7 +336,7 @@
             self.node.quarantine.on_gone(gone)
         self.assertEqual(await self.node.admit("a"), Free())
 
-    async def test_rows_of_another_writer_hold_nothing(self):
+    async def test_rows_of_another_writer_hold_no_request(self):
         await self.table.write(
             table="", part="", expected={}, puts={"suspect/a": b"{", "x": b"y"}
         )
