--- a/fireflyward/notices/__init__.py
+++ b/fireflyward/notices/__init__.py
@@ -1,4 +1,4 @@
-"""What replicas ask for in their answers: taken, and told to the other nodes."""
+"""Notices of replicas in their answers, which nodes announce to each other."""
 
 from ._task import NoticeTask
 
--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -1,4 +1,4 @@
-"""The task that takes what replicas say of themselves, and tells the other nodes."""
+"""The task that records notices in replicas' answers and announces them to nodes."""
 
 import logging
 import random
@@ -14,28 +14,29 @@
 
 log = logging.getLogger("fireflyward.notices")
 
-_NEWS = "replica notices"
-# What answers of one moment bring goes out together.
-_GATHER_MS = 20
-# News that was lost, and nodes that were cut off or have just started: each node tells
-# some others all that it believes, so that in a second each hears twice on average.
-_REPEAT_MS = 1_000
-_REPEATED_TO = 2
-# How long it is repeated that a limit is over.
-_OVER_MS = 60_000
-# A replica takes up to 21 bytes; a datagram holds 1,400.
-_MOST_IN_DATAGRAM = 60
+_KIND = "replica notices"
+# Notices from answers within this time are sent together.
+_BATCH_MS = 20
+# Messages get lost, and nodes may have been unreachable or just started. Therefore each
+# node sends all notices to some others, so that each node receives two messages a
+# second on average.
+_RESEND_MS = 1_000
+_RESEND_NODES = 2
+# How long the end of a limit is resent.
+_RESEND_END_MS = 60_000
+# A replica takes up to 21 bytes; a datagram has room for 1,400.
+_MAX_REPLICAS_PER_DATAGRAM = 60
 _NO_LIMIT = -1.0
-_MOST_AGE_MS = 2**31 - 1
+_MAX_AGE_MS = 2**31 - 1
 
 
 class NoticeTask:
-    """Notes what answers ask for, and has nodes know that got no such answer.
+    """Records the notices in replicas' answers, and announces them to other nodes.
 
-    A limit binds all nodes together, so one that has sent nothing to the replica since
-    must know of it too. Of two nodes that differ the one with the later answer is
-    believed. That a replica leaves is never taken back. The rest that a refusal asks
-    for is asked of the node that was refused, and no other.
+    A rate limit applies to all nodes together, so nodes that got no answer from the
+    replica since then must know it too. If two nodes know different limits, the limit
+    from the later answer is used. That a replica is leaving is never revoked. The
+    backoff in a rejection applies only to the node whose request was rejected.
     """
 
     def __init__(
@@ -51,41 +52,43 @@
         self._peers = peers
         self._random = random.Random(seed)
         self._link: PeerLink | None = None
-        self._to_tell: set[int] = set()
+        self._pending: set[int] = set()
 
     def use(self, link: PeerLink) -> None:
-        """Tell and hear over a link from now on."""
+        """Send and receive announcements over a link from now on."""
         self._link = link
-        link.register(_NEWS, ReplicaNews, self._on_news)
+        link.register(_KIND, ReplicaNews, self._on_announcement)
 
     def on_response(
         self, replica: ReplicaState, facts: ResponseFacts, *, sent_ms: int
     ) -> None:
-        """Take what an answer says to a request that was sent at ``sent_ms``."""
+        """Record the notices in the answer to a request sent at ``sent_ms``."""
         is_same = facts.incarnation == replica.entry.incarnation
         if facts.is_other_replica and not is_same:
             return
-        self._warn_of(replica, facts.notices.unreadable)
-        self._take_rest(replica, facts.notices.backoff_ms)
+        self._warn_unreadable(replica, facts.notices.unreadable)
+        self._record_backoff(replica, facts.notices.backoff_ms)
         if facts.notices.leaving is True and not replica.backpressure.is_leaving:
-            self._note_leaving(replica, "its answer")
-            self._tell_soon(replica)
-        if self._takes_limit(replica, facts, sent_ms):
-            self._note_limit(replica, "its answer")
-            self._tell_soon(replica)
+            self._record_leaving(replica, "its answer")
+            self._schedule_announcement(replica)
+        if self._update_limit(replica, facts, sent_ms):
+            self._record_limit_change(replica, "its answer")
+            self._schedule_announcement(replica)
 
     async def run(self) -> None:
-        """Repeat what holds until cancelled."""
+        """Resend the current notices until cancelled."""
         while True:
-            await self._clock.sleep_ms(_REPEAT_MS)
+            await self._clock.sleep_ms(_RESEND_MS)
             peers = self._peers()
-            chosen = self._random.sample(peers, min(_REPEATED_TO, len(peers)))
+            chosen = self._random.sample(peers, min(_RESEND_NODES, len(peers)))
             now_ms = self._clock.now_ms()
             states = self._directory.all()
-            self._send(chosen, [item for item in states if _is_told(now_ms, item)])
+            self._send(chosen, [item for item in states if _is_announced(now_ms, item)])
 
-    def _take_rest(self, replica: ReplicaState, backoff_ms: float | Unreadable) -> None:
-        """Note what a refusal asks of this node; it says nothing to others."""
+    def _record_backoff(
+        self, replica: ReplicaState, backoff_ms: float | Unreadable
+    ) -> None:
+        """Record the backoff in a rejection; it does not apply to other nodes."""
         if isinstance(backoff_ms, Unreadable) or not backoff_ms:
             return
         now_ms = self._clock.now_ms()
@@ -94,18 +97,18 @@
             log.info("notices: %s wants nothing for %.0f ms", name, backoff_ms)
         replica.backpressure.on_backoff(now_ms, backoff_ms)
 
-    def _takes_limit(
+    def _update_limit(
         self, replica: ReplicaState, facts: ResponseFacts, sent_ms: int
     ) -> bool:
         now_ms, limit = self._clock.now_ms(), facts.notices.limit
         if isinstance(limit, RateLimit):
             return replica.backpressure.limit.on_limit_named(now_ms, limit.per_second)
-        # Only what the replica made itself shows that it names none any more.
+        # Only an answer from the replica itself shows that its limit has ended.
         if limit is None and facts.is_signed:
             return replica.backpressure.limit.on_no_limit(now_ms, sent_ms)
         return False
 
-    def _note_limit(self, replica: ReplicaState, source: str) -> None:
+    def _record_limit_change(self, replica: ReplicaState, source: str) -> None:
         replica.backpressure.changes += 1
         per_second = replica.backpressure.limit.per_second
         log.info(
@@ -115,14 +118,14 @@
             source,
         )
 
-    def _note_leaving(self, replica: ReplicaState, source: str) -> None:
+    def _record_leaving(self, replica: ReplicaState, source: str) -> None:
         self._directory.on_leaving(replica)
         log.info("notices: %s leaves, by %s", replica.entry.incarnation, source)
 
-    def _warn_of(
+    def _warn_unreadable(
         self, replica: ReplicaState, unreadable: tuple[Unreadable, ...]
     ) -> None:
-        """Write of the first headers of a replica that cannot be read."""
+        """Log the first unreadable headers of a replica."""
         if not unreadable or replica.backpressure.has_unreadable_header:
             return
         replica.backpressure.has_unreadable_header = True
@@ -134,14 +137,14 @@
                 item.value,
             )
 
-    def _tell_soon(self, replica: ReplicaState) -> None:
-        if not self._to_tell:
-            self._clock.call_later_ms(_GATHER_MS, self._tell)
-        self._to_tell.add(replica.incarnation_id)
+    def _schedule_announcement(self, replica: ReplicaState) -> None:
+        if not self._pending:
+            self._clock.call_later_ms(_BATCH_MS, self._announce_pending)
+        self._pending.add(replica.incarnation_id)
 
-    def _tell(self) -> None:
-        found = map(self._directory.find_incarnation, sorted(self._to_tell))
-        self._to_tell.clear()
+    def _announce_pending(self) -> None:
+        found = map(self._directory.find_incarnation, sorted(self._pending))
+        self._pending.clear()
         self._send(self._peers(), [state for state in found if state is not None])
 
     def _send(self, peers: list[Address], states: list[ReplicaState]) -> None:
@@ -149,48 +152,50 @@
             return
         now_ms = self._clock.now_ms()
         for part in _parts(states):
-            self._link.send_all(peers, _NEWS, _message(now_ms, part))
+            self._link.send_all(peers, _KIND, _encode(now_ms, part))
 
-    async def _on_news(self, sender: str, news: Any) -> None:
+    async def _on_announcement(self, sender: str, message: Any) -> None:
         now_ms = self._clock.now_ms()
-        columns = zip(news.replicas, news.limits, news.ages_ms, strict=False)
-        for number, limit, age_ms in columns:
-            state = self._directory.find_incarnation(number)
+        columns = zip(message.replicas, message.limits, message.ages_ms, strict=False)
+        for incarnation_id, limit, age_ms in columns:
+            state = self._directory.find_incarnation(incarnation_id)
             if state is None:
                 continue
             per_second = limit if limit >= 0 else None
             if state.backpressure.limit.on_limit_update(
                 now_ms - max(0, age_ms), per_second
             ):
-                self._note_limit(state, sender)
-        for number in news.leaving:
-            state = self._directory.find_incarnation(number)
+                self._record_limit_change(state, sender)
+        for incarnation_id in message.leaving:
+            state = self._directory.find_incarnation(incarnation_id)
             if state is not None and not state.backpressure.is_leaving:
-                self._note_leaving(state, sender)
+                self._record_leaving(state, sender)
 
 
-def _is_told(now_ms: int, state: ReplicaState) -> bool:
-    """Tell whether something is believed of a replica that others may not know."""
+def _is_announced(now_ms: int, state: ReplicaState) -> bool:
+    """Return whether a replica has notices that other nodes may not know."""
     if state.backpressure.is_leaving:
         return True
     limit = state.backpressure.limit
     if limit.as_of_ms is None:
         return False
-    return limit.per_second is not None or now_ms - limit.as_of_ms < _OVER_MS
+    return limit.per_second is not None or now_ms - limit.as_of_ms < _RESEND_END_MS
 
 
 def _parts(states: list[ReplicaState]) -> Iterator[list[ReplicaState]]:
-    for first in range(0, len(states), _MOST_IN_DATAGRAM):
-        yield states[first : first + _MOST_IN_DATAGRAM]
+    for first in range(0, len(states), _MAX_REPLICAS_PER_DATAGRAM):
+        yield states[first : first + _MAX_REPLICAS_PER_DATAGRAM]
 
 
-def _message(now_ms: int, states: list[ReplicaState]) -> Any:
-    named = [state for state in states if state.backpressure.limit.as_of_ms is not None]
-    limits = [state.backpressure.limit for state in named]
+def _encode(now_ms: int, states: list[ReplicaState]) -> Any:
+    limited = [
+        state for state in states if state.backpressure.limit.as_of_ms is not None
+    ]
+    limits = [state.backpressure.limit for state in limited]
     return ReplicaNews(
-        replicas=[state.incarnation_id for state in named],
+        replicas=[state.incarnation_id for state in limited],
         limits=[_NO_LIMIT if x.per_second is None else x.per_second for x in limits],
-        ages_ms=[min(now_ms - limit.as_of_ms, _MOST_AGE_MS) for limit in limits],
+        ages_ms=[min(now_ms - limit.as_of_ms, _MAX_AGE_MS) for limit in limits],
         leaving=[
             state.incarnation_id for state in states if state.backpressure.is_leaving
         ],
--- a/fireflyward/notices/notices.thrift
+++ b/fireflyward/notices/notices.thrift
@@ -1,9 +1,9 @@
-/* What replicas said of themselves in their answers, told between nodes. A replica goes
-   by the number that all nodes work out from its start. */
+/* The notices of replicas in their answers, which nodes announce to each other. A replica
+   is identified by the number that all nodes compute from its incarnation. */
 namespace py fireflyward.notices
 
-/* The limits of replicas in requests a second, a negative one for a limit that is over,
-   and how long ago that was said; and the replicas that said that they leave. */
+/* Rate limits of replicas in requests a second, negative if a limit has ended, with the
+   age of each report; and the replicas that said that they are leaving. */
 struct ReplicaNews {
   1: required list<i32> replicas,
   2: required list<double> limits,
--- a/tests/notices/test_task.py
+++ b/tests/notices/test_task.py
@@ -1,4 +1,4 @@
-"""What replicas ask for in their answers, and how the other nodes hear of it."""
+"""The notices in replicas' answers, and how nodes announce them to other nodes."""
 
 import asyncio
 import unittest
@@ -15,7 +15,7 @@
 
 
 class _Link:
-    """Hands what is sent to the nodes that are connected."""
+    """Records the sent messages and the registered handler."""
 
     def __init__(self):
         self.sent = []
@@ -29,7 +29,7 @@
 
 
 class NoticeTests(unittest.IsolatedAsyncioTestCase):
-    """Two nodes that list the same two replicas."""
+    """Two nodes with the same two replicas in their lists."""
 
     def setUp(self):
         self.clock = ManualClock(10_000)
@@ -57,23 +57,23 @@
     def limit(self, node, name="r1"):
         return node[0].find(name).backpressure.limit.per_second
 
-    async def carry(self):
-        """Have the second node hear what the first one sent."""
+    async def deliver(self):
+        """Deliver the messages of the first node to the second one."""
         await self.clock.advance_ms(30)
         sent, self.first[2].sent = self.first[2].sent, []
         for _, message in sent:
             await self.second[2].handle("n1", message)
         return sent
 
-    async def test_a_limit_is_told_to_all_other_nodes(self):
+    async def test_a_limit_is_announced_to_all_other_nodes(self):
         self.answer(SIGNED, ("server-limit", "3.5"))
-        sent = await self.carry()
+        sent = await self.deliver()
         self.assertEqual([addresses for addresses, _ in sent], [PEERS])
         self.assertEqual(self.limit(self.first), 3.5)
         self.assertEqual(self.limit(self.second), 3.5)
         self.assertIsNone(self.limit(self.second, "r2"))
 
-    async def test_the_log_tells_a_limit_of_none_from_no_limit(self):
+    async def test_the_log_distinguishes_a_limit_of_zero_from_no_limit(self):
         with self.assertLogs("fireflyward.notices", "INFO") as logged:
             self.answer(SIGNED, ("server-limit", "0"))
             await self.clock.advance_ms(10)
@@ -82,42 +82,42 @@
         self.assertIn("takes 0.0 requests", first)
         self.assertIn("takes any requests", second)
 
-    async def test_a_limit_that_is_named_again_is_not_told_again(self):
+    async def test_an_unchanged_limit_is_not_announced_again(self):
         self.answer(SIGNED, ("server-limit", "3.5"))
-        await self.carry()
+        await self.deliver()
         self.answer(SIGNED, ("server-limit", "3.5"))
-        self.assertEqual(await self.carry(), [])
+        self.assertEqual(await self.deliver(), [])
 
-    async def test_the_end_of_a_limit_is_told_as_well(self):
+    async def test_the_end_of_a_limit_is_announced_too(self):
         self.answer(SIGNED, ("server-limit", "3.5"))
-        await self.carry()
+        await self.deliver()
         self.answer(SIGNED)
-        await self.carry()
+        await self.deliver()
         self.assertIsNone(self.limit(self.first))
         self.assertIsNone(self.limit(self.second))
 
-    async def test_only_what_the_replica_signed_ends_a_limit(self):
-        """Guards against a refusal or an answer of other origin without the header."""
+    async def test_only_an_answer_that_the_replica_signed_ends_a_limit(self):
+        """Guards against a rejection or a foreign answer without the header."""
         self.answer(SIGNED, ("server-limit", "3.5"))
         await self.clock.advance_ms(10)
         self.answer(("x-not-executed", "1"), status=503)
         self.assertEqual(self.limit(self.first), 3.5)
 
-    async def test_a_refusal_may_name_a_limit(self):
+    async def test_a_rejection_may_contain_a_limit(self):
         self.answer(("x-not-executed", "1"), ("server-limit", "2"), status=503)
         self.assertEqual(self.limit(self.first), 2.0)
 
-    async def test_another_replica_at_the_address_says_nothing_of_this_one(self):
+    async def test_an_answer_of_another_replica_at_the_address_is_ignored(self):
         self.answer(("server-limit", "2"), status=421)
         self.assertIsNone(self.limit(self.first))
 
-    async def test_a_replica_with_other_weights_speaks_for_itself(self):
+    async def test_an_answer_of_the_same_replica_with_other_weights_counts(self):
         own = ("x-instance-id", "r1")
         self.answer(own, ("server-limit", "2"), status=421)
         self.assertEqual(self.limit(self.first), 2.0)
 
-    async def test_an_answer_that_comes_after_the_entry_went_counts(self):
-        """Guards against a long stream whose replica lapsed from the list meanwhile."""
+    async def test_an_answer_after_the_entry_was_removed_counts(self):
+        """Guards against a long stream from a replica whose entry expired meanwhile."""
         directory, task, _ = self.first
         before = directory.find("r1")
         directory.on_full_read(0, [], after_outage=False)
@@ -127,7 +127,7 @@
         self.assertEqual(directory.of_service("s"), [])
 
     async def test_an_unreadable_limit_changes_nothing_and_is_logged_once(self):
-        """Guards against garbage that ends a limit, a node, or floods its log."""
+        """Guards against garbage that ends a limit, stops a node or floods its log."""
         self.answer(SIGNED, ("server-limit", "3.5"))
         await self.clock.advance_ms(10)
         with self.assertLogs("fireflyward.notices", "WARNING") as logged:
@@ -136,15 +136,15 @@
         self.assertEqual(len(logged.records), 1)
         self.assertEqual(self.limit(self.first), 3.5)
 
-    async def test_word_of_another_start_meets_nobody(self):
-        """Guards against a replica that starts again under its former limit."""
+    async def test_an_announcement_for_another_incarnation_is_ignored(self):
+        """Guards against a restarted replica that inherits the former limit."""
         self.answer(SIGNED, ("server-limit", "3.5"))
         self.second[0].on_full_read(0, [entry("r1", started_ms=6)], after_outage=False)
-        await self.carry()
+        await self.deliver()
         self.assertIsNone(self.limit(self.second))
 
-    async def test_a_node_that_heard_nothing_is_told_again(self):
-        """Guards against lost datagrams, and nodes that start or were cut off."""
+    async def test_a_limit_is_resent_to_other_nodes(self):
+        """Guards against lost datagrams, and nodes that started or were unreachable."""
         self.answer(SIGNED, ("server-limit", "3.5"))
         await self.clock.advance_ms(30)
         self.first[2].sent.clear()
@@ -156,14 +156,14 @@
         await self.second[2].handle("n1", message)
         self.assertEqual(self.limit(self.second), 3.5)
 
-    async def test_with_nothing_to_tell_nothing_is_sent(self):
+    async def test_without_notices_nothing_is_sent(self):
         running = asyncio.create_task(self.first[1].run())
         await self.clock.advance_ms(3_000)
         running.cancel()
         self.assertEqual(self.first[2].sent, [])
 
-    async def test_an_older_word_does_not_undo_a_later_answer(self):
-        """Guards against an old limit that returns when a cut heals."""
+    async def test_an_older_announcement_does_not_undo_a_later_answer(self):
+        """Guards against an old limit that returns after a network fault."""
         self.answer(SIGNED, ("server-limit", "3.5"), node=self.first)
         await self.clock.advance_ms(5_000)
         self.first[2].sent.clear()
@@ -173,23 +173,23 @@
         running = asyncio.create_task(self.first[1].run())
         await self.clock.advance_ms(1_000)
         running.cancel()
-        await self.carry()
+        await self.deliver()
         self.assertIsNone(self.limit(self.second))
 
-    async def test_that_a_replica_leaves_is_told_and_never_taken_back(self):
+    async def test_that_a_replica_is_leaving_is_announced_and_never_revoked(self):
         self.answer(SIGNED, ("server-leaving", "1"))
-        await self.carry()
+        await self.deliver()
         await self.clock.advance_ms(10)
         self.answer(SIGNED)
         for directory, _, _ in (self.first, self.second):
             names = [state.entry.incarnation for state in directory.of_service("s")]
             self.assertEqual(names, ["r2"])
 
-    async def test_a_refusal_may_say_that_a_replica_leaves(self):
+    async def test_a_rejection_may_say_that_a_replica_is_leaving(self):
         self.answer(("x-not-executed", "1"), ("server-leaving", "1"), status=503)
         self.assertTrue(self.first[0].find("r1").is_leaving)
 
-    async def test_nothing_but_one_says_that_a_replica_leaves(self):
+    async def test_no_other_value_than_one_says_that_a_replica_is_leaving(self):
         """Guards against garbage that takes a replica out of service."""
         self.answer(SIGNED, ("server-leaving", "0"))
         with self.assertLogs("fireflyward.notices", "WARNING"):
@@ -197,24 +197,24 @@
         self.answer(("server-leaving", "1"), status=421)
         self.assertFalse(self.first[0].find("r1").is_leaving)
 
-    async def test_rest_is_asked_of_one_node_and_told_to_none(self):
+    async def test_a_backoff_applies_to_one_node_and_is_not_announced(self):
         self.answer(("x-not-executed", "1"), ("retry-after", "2.5"), status=503)
-        await self.carry()
+        await self.deliver()
         now_ms = self.clock.now_ms()
         self.assertGreater(
             self.first[0].find("r1").backpressure.backoff_ms(now_ms), 2_000
         )
         self.assertEqual(self.second[0].find("r1").backpressure.backoff_ms(now_ms), 0)
 
-    async def test_a_shorter_rest_does_not_end_a_longer_one(self):
-        """Guards against refusals that overtake each other."""
+    async def test_a_shorter_backoff_does_not_end_a_longer_one(self):
+        """Guards against rejections that arrive in another order."""
         self.answer(("retry-after", "5"), status=503)
         self.answer(("retry-after", "0.1"), status=503)
         self.assertEqual(
             self.first[0].find("r1").backpressure.backoff_ms(self.clock.now_ms()), 5_000
         )
 
-    async def test_only_a_503_asks_for_rest(self):
+    async def test_only_a_503_contains_a_backoff(self):
         self.answer(SIGNED, ("retry-after", "5"), status=429)
         self.assertEqual(
             self.first[0].find("r1").backpressure.backoff_ms(self.clock.now_ms()), 0
