--- a/fireflyward/reach/__init__.py
+++ b/fireflyward/reach/__init__.py
@@ -1,4 +1,4 @@
-"""Which failure domains this node reaches."""
+"""Detection of failure domains that this node cannot reach."""
 
 from ._check import DomainCheck
 from ._task import ReachTask
--- a/fireflyward/reach/_task.py
+++ b/fireflyward/reach/_task.py
@@ -1,4 +1,4 @@
-"""The task that looks into a failure domain whose replica was silent."""
+"""The task that probes a failure domain after one of its replicas was silent."""
 
 import asyncio
 import contextlib
@@ -17,22 +17,22 @@
 log = logging.getLogger("fireflyward.reach")
 
 _SILENCE = "silence"
-# A connection takes some ms; longer than this and the request that brought the matter
-# up would not have been on time either.
+# A connection takes some ms. If it takes longer than this, then the request that caused
+# the probe would have been late too.
 _CONNECT_MS = 150
-_AGAIN_AFTER_MS = 300
+_RETRY_MS = 300
 
 
 class ReachTask:
-    """Tries connections into a domain and marks it as out of reach while all fail.
+    """Probes a failure domain and marks it as unreachable while all probes fail.
 
-    What one node meets others are about to meet as well: they are told, and each
-    looks for itself, as its own links may be sound.
+    Other nodes will probably have the same problem soon. The node therefore announces
+    the domain to them, and each node probes it itself, as its own links may work.
 
-    Responses from a domain that is out of reach may come after seconds or never, and
-    the kernel notices silent connections after one to three seconds. Connections on
-    which repeatable requests wait are closed at once, so that these go elsewhere while
-    there is time.
+    Responses from an unreachable domain may arrive after seconds or never, and the
+    kernel detects silent connections after one to three seconds. Connections on which
+    idempotent requests wait are closed at once, so that there is time to send these
+    requests to another replica.
     """
 
     def __init__(
@@ -50,33 +50,33 @@
         self._peers = peers
         self._check = DomainCheck(seed=seed)
         self._link: PeerLink | None = None
-        self._look_task: asyncio.Task[None] | None = None
-        self._suspected: set[str] = set()
-        self._heard_of: set[str] = set()
-        self._is_due = asyncio.Event()
+        self._probe_task: asyncio.Task[None] | None = None
+        self._suspected_domains: set[str] = set()
+        self._announced_by_others: set[str] = set()
+        self._has_suspects = asyncio.Event()
         self._awaited_by_domain: dict[str, set[HttpConnection]] = {}
 
     @property
     def tasks(self) -> list[asyncio.Task[None]]:
-        """Return the looks that are under way, to be cancelled at a stop."""
-        return [self._look_task] if self._look_task is not None else []
+        """Return the running probe task, to be cancelled when the node stops."""
+        return [self._probe_task] if self._probe_task is not None else []
 
     def use(self, link: PeerLink) -> None:
-        """Tell and hear of silent replicas over a link from now on."""
+        """Send and receive announcements of silent domains over a link from now on."""
         self._link = link
-        link.register(_SILENCE, SilenceNews, self._on_news)
+        link.register(_SILENCE, SilenceNews, self._on_announcement)
 
     def on_silent(self, replica: ReplicaState) -> None:
-        """Hear that a connection to a replica got no answer at all."""
-        self._look_into(replica.entry.failure_domain)
+        """Record that a connection to a replica got no answer at all."""
+        self._schedule_probe(replica.entry.failure_domain)
 
     @contextlib.contextmanager
     def awaiting(
         self, replica: ReplicaState, connection: HttpConnection
     ) -> Iterator[None]:
-        """Have a connection closed if its domain is lost while a request waits on it.
+        """Close a connection if its domain becomes unreachable during the request.
 
-        Only for requests that may be repeated: another replica gets them then.
+        This is only for idempotent requests, which are then sent to another replica.
         """
         domain = replica.entry.failure_domain
         awaited = self._awaited_by_domain.setdefault(domain, set())
@@ -86,101 +86,106 @@
         finally:
             awaited.discard(connection)
 
-    async def _on_news(self, sender: str, news: Any) -> None:
-        self._heard_of.add(news.failure_domain)
-        self._look_into(news.failure_domain)
+    async def _on_announcement(self, sender: str, message: Any) -> None:
+        self._announced_by_others.add(message.failure_domain)
+        self._schedule_probe(message.failure_domain)
 
-    def _look_into(self, domain: str) -> None:
-        """Have a domain looked into, unless it is already."""
-        if domain in self._suspected or domain in self._directory.unreachable:
+    def _schedule_probe(self, domain: str) -> None:
+        """Start to probe a domain, unless it is already probed."""
+        if domain in self._suspected_domains or domain in self._directory.unreachable:
             return
-        self._suspected.add(domain)
-        self._is_due.set()
-        if self._look_task is None:
-            self._look_task = asyncio.create_task(self._look())
-
-    async def _look(self) -> None:
-        """Look until no domain is out of reach and none is suspected.
-
-        With the first one that is lost all others are looked into, before requests
-        leave it: a node that is cut off would find one domain after the other
-        silent, and what left the first of them had better not go to the next.
+        self._suspected_domains.add(domain)
+        self._has_suspects.set()
+        if self._probe_task is None:
+            self._probe_task = asyncio.create_task(self._probe())
+
+    async def _probe(self) -> None:
+        """Probe until no domain is unreachable and none is suspected.
+
+        When the first domain becomes unreachable, all others are probed before its
+        requests are sent elsewhere. Otherwise a node that is cut off itself would find
+        one domain after the other silent, and would send the requests of the first one
+        to another unreachable domain.
         """
-        has_looked_into_all = False
-        due = set(self._suspected)
+        has_probed_all = False
+        pending = set(self._suspected_domains)
         try:
-            while due:
-                self._is_due.clear()
-                lost = await self._look_at(due)
-                self._tell_of(lost)
-                if lost and not has_looked_into_all:
-                    has_looked_into_all = True
-                    rest = self._domains() - self._directory.unreachable
-                    lost |= await self._look_at(rest)
-                self._close_awaited(lost)
-                if self._directory.unreachable and not self._suspected:
-                    pause = self._is_due.wait()
-                    await within_ms(self._clock, _AGAIN_AFTER_MS, pause)
-                due = self._suspected | self._directory.unreachable
+            while pending:
+                self._has_suspects.clear()
+                newly_unreachable = await self._probe_domains(pending)
+                self._announce(newly_unreachable)
+                if newly_unreachable and not has_probed_all:
+                    has_probed_all = True
+                    other_domains = self._domains() - self._directory.unreachable
+                    newly_unreachable |= await self._probe_domains(other_domains)
+                self._close_awaited_connections(newly_unreachable)
+                if self._directory.unreachable and not self._suspected_domains:
+                    wait = self._has_suspects.wait()
+                    await within_ms(self._clock, _RETRY_MS, wait)
+                pending = self._suspected_domains | self._directory.unreachable
         finally:
-            self._look_task = None
-            self._suspected.clear()
-            self._heard_of.clear()
+            self._probe_task = None
+            self._suspected_domains.clear()
+            self._announced_by_others.clear()
             for domain in self._directory.unreachable:
                 self._directory.set_unreachable(domain, is_unreachable=False)
 
-    async def _look_at(self, domains: set[str]) -> set[str]:
-        """Try connections into domains; return those that are lost by now."""
-        looks = sorted(domains)
-        lost = await asyncio.gather(*map(self._is_lost, looks))
-        self._suspected -= domains
-        before = self._directory.unreachable
-        for domain, is_unreachable in zip(looks, lost, strict=True):
+    async def _probe_domains(self, domains: set[str]) -> set[str]:
+        """Probe domains; return those that have become unreachable."""
+        names = sorted(domains)
+        results = await asyncio.gather(*map(self._is_unreachable, names))
+        self._suspected_domains -= domains
+        unreachable_before = self._directory.unreachable
+        for domain, is_unreachable in zip(names, results, strict=True):
             self._directory.set_unreachable(domain, is_unreachable=is_unreachable)
-            if is_unreachable and domain not in before:
+            if is_unreachable and domain not in unreachable_before:
                 log.warning("reach: failure domain %s is silent", domain)
-            elif domain in before and not is_unreachable:
+            elif domain in unreachable_before and not is_unreachable:
                 log.info("reach: failure domain %s answers again", domain)
-        return set(self._directory.unreachable - before)
+        return set(self._directory.unreachable - unreachable_before)
 
-    def _tell_of(self, lost: set[str]) -> None:
-        """Tell the others of domains that this node found lost by itself.
+    def _announce(self, newly_unreachable: set[str]) -> None:
+        """Announce unreachable domains that no other node has announced to this one.
 
-        They are told of domains alone: of one dark replica each would else hear
-        from each, and try connections as often.
+        Single silent replicas are not announced: otherwise every node would receive an
+        announcement from every other node, and would open as many probe connections.
         """
-        for domain in lost - self._heard_of:
+        for domain in newly_unreachable - self._announced_by_others:
             if self._link is not None:
-                news = SilenceNews(failure_domain=domain)
-                self._link.send_all(self._peers(), _SILENCE, news)
+                message = SilenceNews(failure_domain=domain)
+                self._link.send_all(self._peers(), _SILENCE, message)
 
     def _domains(self) -> set[str]:
         return {state.entry.failure_domain for state in self._directory.all()}
 
-    async def _is_lost(self, domain: str) -> bool:
+    async def _is_unreachable(self, domain: str) -> bool:
         listed = (
             state
             for state in self._directory.all()
             if state.entry.failure_domain == domain
         )
-        tried = self._check.to_try(listed)
-        reached = await asyncio.gather(*map(self._reaches, tried))
-        return self._check.is_unreachable(len(tried), reached=sum(reached))
+        probed = self._check.choose_replicas(listed)
+        reached = await asyncio.gather(*map(self._can_connect, probed))
+        return self._check.is_unreachable(len(probed), reached=sum(reached))
 
-    def _close_awaited(self, lost: set[str]) -> None:
-        for domain in lost:
+    def _close_awaited_connections(self, newly_unreachable: set[str]) -> None:
+        for domain in newly_unreachable:
             awaited = tuple(self._awaited_by_domain.get(domain, ()))
             if awaited:
-                log.info("reach: %d requests to %s go elsewhere", len(awaited), domain)
+                log.info(
+                    "reach: %d requests to %s are retried elsewhere",
+                    len(awaited),
+                    domain,
+                )
             for connection in awaited:
                 connection.close()
 
-    async def _reaches(self, replica: ReplicaState) -> bool:
+    async def _can_connect(self, replica: ReplicaState) -> bool:
         connection = await self._pool.take(
             replica.entry.address, connect_ms=_CONNECT_MS, fresh=True
         )
         if isinstance(connection, NotConnected):
-            # Where nothing listens any more the host has answered all the same.
+            # The host of a refused connection has answered, so the domain is reachable.
             return connection.is_refused
         self._pool.give_back(connection)
         return True
--- a/fireflyward/reach/reach.thrift
+++ b/fireflyward/reach/reach.thrift
@@ -1,5 +1,5 @@
-/* A node that found a failure domain silent tells the others, so that they look for
-   themselves. */
+/* A node that found a failure domain silent announces it to the others, which then probe
+   the domain themselves. */
 namespace py fireflyward.reach
 
 struct SilenceNews {
--- a/tests/reach/test_task.py
+++ b/tests/reach/test_task.py
@@ -1,4 +1,4 @@
-"""Failure domains that a node does not reach."""
+"""Detection of failure domains that a node cannot reach."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 
 
 class Connection:
-    """An open connection; nothing is sent on it."""
+    """A fake of an open connection, without data."""
 
     def __init__(self):
         self.is_closed = False
@@ -21,17 +21,17 @@
 
 
 class Pool:
-    """Opens connections to what is not silent."""
+    """Opens connections to replicas that are neither silent nor refusing."""
 
     def __init__(self, clock):
         self.clock = clock
         self.silent = set()
         self.refusing = set()
-        self.tried = []
+        self.probed = []
 
     async def take(self, address, *, connect_ms, fresh):
         name = address.partition(":")[0]
-        self.tried.append(name)
+        self.probed.append(name)
         if name in self.silent:
             await self.clock.sleep_ms(connect_ms)
             return NotConnected("no answer")
@@ -51,8 +51,8 @@
     def register(self, kind, struct_type, handle):
         self.handle = handle
 
-    def send_all(self, addresses, kind, news):
-        self.sent.append((tuple(addresses), news.failure_domain))
+    def send_all(self, addresses, kind, message):
+        self.sent.append((tuple(addresses), message.failure_domain))
 
 
 class ReachTests(unittest.IsolatedAsyncioTestCase):
@@ -88,11 +88,11 @@
         chosen = [self.chooser.choose(0, Requirements("s")) for _ in range(60)]
         return {choice.replica.entry.failure_domain for choice in chosen}
 
-    async def test_a_domain_that_is_cut_off_is_a_last_resort_at_once(self):
-        """Symptom: for seconds after a cut requests waited 350 ms each in vain.
+    async def test_an_unreachable_domain_is_a_last_resort_at_once(self):
+        """Symptom: for seconds after a network fault, requests wait 350 ms for nothing.
 
-        A failure domain was cut off, and each node sent something to each of its
-        replicas before it believed of all of them that they were silent.
+        A failure domain was cut off, and each node sent a request to each of its
+        replicas before it considered all of them silent.
         """
         self.silence(*(f"b{n}" for n in range(6)))
         for state in self.directory.of_service("s"):
@@ -102,23 +102,23 @@
         self.assertEqual(self.directory.unreachable, {"b"})
         self.assertEqual(self.chosen_domains(), {"a"})
 
-    async def test_what_may_be_repeated_does_not_wait_for_a_lost_domain(self):
-        """Symptom: requests hung for three seconds after a cut and came late.
+    async def test_idempotent_requests_do_not_wait_for_an_unreachable_domain(self):
+        """Symptom: requests hang for three seconds after a network fault and are late.
 
-        They had reached their replicas just before, which answered into the cut; the
-        kernel gave up on the silent connections after its last probe.
+        They had reached their replicas just before the fault, and the answers were
+        lost. The kernel closed the silent connections only after its last probe.
         """
         self.silence(*(f"b{n}" for n in range(6)))
-        lost, sound = Connection(), Connection()
+        cut_off, working = Connection(), Connection()
         with (
-            self.task.awaiting(self.directory.find("b3"), lost),
-            self.task.awaiting(self.directory.find("a3"), sound),
+            self.task.awaiting(self.directory.find("b3"), cut_off),
+            self.task.awaiting(self.directory.find("a3"), working),
         ):
             self.on_silent("b0")
             await self.clock.advance_ms(301)
-        self.assertEqual((lost.is_closed, sound.is_closed), (True, False))
+        self.assertEqual((cut_off.is_closed, working.is_closed), (True, False))
 
-    async def test_what_has_been_answered_is_left_alone(self):
+    async def test_connections_of_answered_requests_are_not_closed(self):
         self.silence(*(f"b{n}" for n in range(6)))
         connection = Connection()
         with self.task.awaiting(self.directory.find("b3"), connection):
@@ -127,11 +127,13 @@
         await self.clock.advance_ms(151)
         self.assertFalse(connection.is_closed)
 
-    async def test_a_node_that_is_cut_off_finds_all_other_domains_silent_at_once(self):
-        """Symptom: requests were sent on twice in a cut and failed the second time.
+    async def test_a_node_that_is_cut_off_finds_all_other_domains_unreachable_at_once(
+        self,
+    ):
+        """Symptom: in a network fault requests are retried once and fail again.
 
-        A node in the domain that was cut off found one of the others silent; what
-        waited there went to the next one, which was as silent.
+        A node in the domain that was cut off found one of the other domains silent.
+        It sent the requests that waited there to the next domain, which was silent too.
         """
         entries = [entry(f"c{n}", zone="c") for n in range(6)]
         self.directory.on_changes(0, entries, [], after_outage=False)
@@ -140,7 +142,7 @@
         await self.clock.advance_ms(301)
         self.assertEqual(self.directory.unreachable, {"b", "c"})
 
-    async def test_a_second_domain_that_falls_silent_later_is_found_too(self):
+    async def test_a_second_domain_that_becomes_silent_later_is_found_too(self):
         entries = [entry(f"c{n}", zone="c") for n in range(6)]
         self.directory.on_changes(0, entries, [], after_outage=False)
         self.silence(*(f"b{n}" for n in range(6)))
@@ -151,7 +153,7 @@
         await self.clock.advance_ms(151)
         self.assertEqual(self.directory.unreachable, {"b", "c"})
 
-    async def test_it_is_used_again_when_a_connection_comes_about(self):
+    async def test_a_domain_is_used_again_after_a_successful_connection(self):
         self.silence(*(f"b{n}" for n in range(6)))
         self.on_silent("b0")
         await self.clock.advance_ms(1_000)
@@ -161,20 +163,20 @@
         self.assertFalse(self.directory.unreachable)
         self.assertFalse(self.task.tasks)
 
-    async def test_one_dead_replica_says_nothing_of_its_domain(self):
-        """Symptom: a whole failure domain stood idle since one replica was dark."""
+    async def test_one_silent_replica_does_not_make_its_domain_unreachable(self):
+        """Symptom: a whole failure domain is idle because one replica is silent."""
         self.silence("b0")
         self.on_silent("b0")
         await self.clock.advance_ms(400)
         self.assertFalse(self.directory.unreachable)
 
-    async def test_where_nothing_listens_any_more_the_way_is_sound(self):
+    async def test_a_domain_that_refuses_connections_is_reachable(self):
         self.pool.refusing = {f"b{n}" for n in range(6)}
         self.on_silent("b0")
         await self.clock.advance_ms(400)
         self.assertFalse(self.directory.unreachable)
 
-    async def test_others_are_told_of_a_lost_domain_once(self):
+    async def test_an_unreachable_domain_is_announced_once(self):
         self.silence(*(f"b{n}" for n in range(6)))
         self.on_silent("b0")
         self.on_silent("b1")
@@ -182,39 +184,41 @@
         self.on_silent("b2")
         self.assertEqual(self.link.sent, [((("n2", 1),), "b")])
 
-    async def hear_of_b(self):
+    async def receive_announcement_of_b(self):
         await self.link.handle("n2", type("News", (), {"failure_domain": "b"}))
         await self.clock.advance_ms(151)
 
-    async def test_who_hears_of_it_looks_for_itself_and_tells_nobody(self):
-        await self.hear_of_b()
+    async def test_a_node_that_receives_an_announcement_probes_and_does_not_announce(
+        self,
+    ):
+        await self.receive_announcement_of_b()
         self.assertFalse(self.directory.unreachable)
         self.silence(*(f"b{n}" for n in range(6)))
-        await self.hear_of_b()
+        await self.receive_announcement_of_b()
         self.assertEqual(self.directory.unreachable, {"b"})
         self.assertEqual(self.link.sent, [])
 
-    async def test_one_dark_replica_is_told_to_nobody(self):
-        """Symptom: a dark replica cost hundreds of new connections a second.
+    async def test_one_silent_replica_is_not_announced(self):
+        """Symptom: a silent replica causes hundreds of new connections a second.
 
-        Each node that met it told all others, and each of those tried connections
-        into every failure domain.
+        Each node that found it silent announced it to all others, and each of those
+        opened probe connections into every failure domain.
         """
         self.silence("b0")
         for _ in range(5):
             self.on_silent("b0")
             await self.clock.advance_ms(200)
         self.assertEqual(self.link.sent, [])
-        self.assertLessEqual(len(self.pool.tried), 2 * 5)
+        self.assertLessEqual(len(self.pool.probed), 2 * 5)
 
-    async def test_with_no_other_domain_left_it_is_still_used(self):
+    async def test_an_unreachable_domain_is_used_if_there_is_no_other(self):
         self.silence(*(f"b{n}" for n in range(6)))
         self.on_silent("b0")
         await self.clock.advance_ms(151)
         without = frozenset(entry(f"a{n}", zone="a").number for n in range(6))
         self.assertIsNotNone(self.chooser.choose(0, Requirements("s"), without=without))
 
-    async def test_a_domain_of_which_nothing_is_listed_any_more_is_forgotten(self):
+    async def test_a_domain_without_listed_replicas_is_not_unreachable(self):
         self.silence(*(f"b{n}" for n in range(6)))
         self.on_silent("b0")
         await self.clock.advance_ms(151)
@@ -225,10 +229,10 @@
 
 
 class CheckTests(unittest.TestCase):
-    def test_replicas_that_leave_are_not_tried(self):
+    def test_leaving_replicas_are_not_probed(self):
         directory = ReplicaDirectory()
         entries = [entry("r1"), entry("r2", leaving=True), entry("r3")]
         directory.on_full_read(0, entries, after_outage=False)
         directory.on_leaving(directory.find("r3"))
-        tried = DomainCheck(seed=1).to_try(directory.all())
-        self.assertEqual([state.entry.incarnation for state in tried], ["r1"])
+        probed = DomainCheck(seed=1).choose_replicas(directory.all())
+        self.assertEqual([state.entry.incarnation for state in probed], ["r1"])
