--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -11,7 +11,7 @@
 from fireflyward.connections import SilenceLimits, within
 from fireflyward.entry import EntryParts, InFlight, build_app
 from fireflyward.kept import BlockNames
-from fireflyward.leaving import LeavingSigns, LeavingTask
+from fireflyward.leaving import LeavingTask, LeavingUpstreams
 from fireflyward.limits import AdmissionGate
 from fireflyward.membership import Member, Membership, MembershipTask
 from fireflyward.observe import Metrics, Tracing
@@ -104,7 +104,7 @@
         self.bundles: BundleDuty | None = None
         self.admin: AdminDuty | None = None
         self.membership: MembershipTask | None = None
-        self.leaving_signs = LeavingSigns()
+        self.leaving_signs = LeavingUpstreams()
         self.leaving: LeavingTask | None = None
         self.records: RunRecords | None = None
         self.kept: KeptDuty | None = None
--- a/fireflyward/entry/_parts.py
+++ b/fireflyward/entry/_parts.py
@@ -11,7 +11,7 @@
 from fireflyward.clock import Clock
 from fireflyward.connections import SilenceLimits
 from fireflyward.kept import BlockNames, PrefixTexts
-from fireflyward.leaving import LeavingSigns
+from fireflyward.leaving import LeavingUpstreams
 from fireflyward.limits import AdmissionGate
 from fireflyward.observe import Metrics, Tracing
 from fireflyward.outcomes import NotRun, Unknown
@@ -61,7 +61,7 @@
     in_flight: InFlight = field(default_factory=InFlight)
     versions: ServingVersions | None = None
     confirm_versions: Callable[[str, str], Awaitable[None]] = _confirm_nothing
-    leaving: LeavingSigns = field(default_factory=LeavingSigns)
+    leaving: LeavingUpstreams = field(default_factory=LeavingUpstreams)
 
 
 PARTS: web.AppKey[EntryParts] = web.AppKey("parts", EntryParts)
--- a/fireflyward/leaving/_signs.py
+++ b/fireflyward/leaving/_signs.py
@@ -11,7 +11,7 @@
 _OLDEST_LIST_MS = 300_000
 
 
-class LeavingSigns:
+class LeavingUpstreams:
     """Decides without I/O which upstreams get no new work.
 
     The platform's list lags and its copies lag unlike, so "live" takes nothing
@@ -19,7 +19,7 @@
     A peer's word holds for a minute, by which time the own list says the same. A
     refused connection puts an upstream last for three seconds; it may be back.
 
-    >>> signs = LeavingSigns()
+    >>> signs = LeavingUpstreams()
     >>> signs.set_upstreams({"engine-1": "http://10.0.0.1:80"})
     >>> signs.on_told(0, ["engine-1"])
     ('engine-1',)
--- a/fireflyward/leaving/_task.py
+++ b/fireflyward/leaving/_task.py
@@ -11,7 +11,7 @@
 from fireflyward.peers import PeerLink
 
 from ._leaving_structs import LeavingNews
-from ._signs import LeavingSigns
+from ._signs import LeavingUpstreams
 
 log = logging.getLogger("fireflyward.leaving")
 
@@ -33,7 +33,7 @@
     def __init__(
         self,
         *,
-        signs: LeavingSigns,
+        signs: LeavingUpstreams,
         clock: Clock,
         link: PeerLink,
         members: Members,
--- a/tests/leaving/test_signs.py
+++ b/tests/leaving/test_signs.py
@@ -1,7 +1,7 @@
 import unittest
 
 from fireflyward.backing import VmEntry, VmList
-from fireflyward.leaving import LeavingSigns
+from fireflyward.leaving import LeavingUpstreams
 
 
 def make_list(as_of_ms=1_000, **states):
@@ -13,7 +13,7 @@
 
 class SignsTests(unittest.TestCase):
     def setUp(self):
-        self.signs = LeavingSigns()
+        self.signs = LeavingUpstreams()
         self.signs.set_upstreams(
             {"engine-1": "http://10.0.0.1:80", "service-1": "http://10.0.0.2:81"}
         )
--- a/tests/leaving/test_task.py
+++ b/tests/leaving/test_task.py
@@ -2,7 +2,7 @@
 
 from fireflyward.backing import VmEntry
 from fireflyward.clock import ManualClock
-from fireflyward.leaving import LeavingSigns, LeavingTask
+from fireflyward.leaving import LeavingTask, LeavingUpstreams
 from fireflyward.membership import Member, Members, owners_of
 from fireflyward.standins import MemoryVms
 
@@ -53,7 +53,7 @@
             members = Members(row)
             for other in rows:
                 members.put(other)
-            signs = LeavingSigns()
+            signs = LeavingUpstreams()
             signs.set_upstreams({"engine-1": "http://10.0.0.1:80"})
             task = LeavingTask(
                 signs=signs,
