--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -104,7 +104,7 @@
         self.bundles: BundleDuty | None = None
         self.admin: AdminDuty | None = None
         self.membership: MembershipTask | None = None
-        self.leaving_signs = LeavingUpstreams()
+        self.leaving_upstreams = LeavingUpstreams()
         self.leaving: LeavingTask | None = None
         self.records: RunRecords | None = None
         self.kept: KeptDuty | None = None
@@ -158,7 +158,7 @@
         self.membership = self._make_membership(self.bundles, vms)
         self.membership.start()
         self.leaving = LeavingTask(
-            signs=self.leaving_signs,
+            signs=self.leaving_upstreams,
             clock=self.clock,
             link=self.link,
             members=self.members,
@@ -291,7 +291,7 @@
             limits=SilenceLimits(silence_ms=self.settings["silence_limit_ms"]),
             in_flight=self.in_flight,
             versions=self.rollout.versions,
-            leaving=self.leaving_signs,
+            leaving=self.leaving_upstreams,
         )
 
     async def confirm_versions(self, model: str, version: str) -> None:
@@ -375,7 +375,7 @@
         self.router.set_replicas(candidates)
         if self.kept:
             self.kept.apply(bundle)
-        self.leaving_signs.set_upstreams(
+        self.leaving_upstreams.set_upstreams(
             {name: upstream.url for name, upstream in bundle.upstreams.items()}
         )
         self.loads.set_bundle(bundle)
--- a/tests/leaving/test_whole_path.py
+++ b/tests/leaving/test_whole_path.py
@@ -26,7 +26,9 @@
         vms.entry_by_name["drafting-1"] = VmEntry("drafting-1", "leaving")
         vms.as_of_ms = 1
         async with asyncio.timeout(LIMIT_S):
-            while not node.leaving_signs.is_leaving(node.clock.now_ms(), "drafting-1"):
+            while not node.leaving_upstreams.is_leaving(
+                node.clock.now_ms(), "drafting-1"
+            ):
                 await asyncio.sleep(0.02)
         calls = len(deployment.service.bodies)
         async with session.get(url, headers=HEADERS) as response:
