--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -158,7 +158,7 @@
         self.membership = self._make_membership(self.bundles, vms)
         self.membership.start()
         self.leaving = LeavingTask(
-            signs=self.leaving_upstreams,
+            upstreams=self.leaving_upstreams,
             clock=self.clock,
             link=self.link,
             members=self.members,
--- a/fireflyward/leaving/_signs.py
+++ b/fireflyward/leaving/_signs.py
@@ -19,11 +19,11 @@
     A peer's word holds for a minute, by which time the own list says the same. A
     refused connection puts an upstream last for three seconds; it may be back.
 
-    >>> signs = LeavingUpstreams()
-    >>> signs.set_upstreams({"engine-1": "http://10.0.0.1:80"})
-    >>> signs.on_told(0, ["engine-1"])
+    >>> upstreams = LeavingUpstreams()
+    >>> upstreams.set_upstreams({"engine-1": "http://10.0.0.1:80"})
+    >>> upstreams.on_told(0, ["engine-1"])
     ('engine-1',)
-    >>> signs.is_leaving(59_999, "engine-1"), signs.is_leaving(60_000, "engine-1")
+    >>> upstreams.is_leaving(59_999, "engine-1"), upstreams.is_leaving(60_000, "engine-1")
     (True, False)
     """
 
--- a/fireflyward/leaving/_task.py
+++ b/fireflyward/leaving/_task.py
@@ -33,14 +33,14 @@
     def __init__(
         self,
         *,
-        signs: LeavingUpstreams,
+        upstreams: LeavingUpstreams,
         clock: Clock,
         link: PeerLink,
         members: Members,
         vms: Vms,
         on_leaving: Callable[[str], None],
     ) -> None:
-        self._signs = signs
+        self._signs = upstreams
         self._clock = clock
         self._link = link
         self._members = members
--- a/tests/leaving/test_signs.py
+++ b/tests/leaving/test_signs.py
@@ -13,8 +13,8 @@
 
 class SignsTests(unittest.TestCase):
     def setUp(self):
-        self.signs = LeavingUpstreams()
-        self.signs.set_upstreams(
+        self.upstreams = LeavingUpstreams()
+        self.upstreams.set_upstreams(
             {"engine-1": "http://10.0.0.1:80", "service-1": "http://10.0.0.2:81"}
         )
 
@@ -22,65 +22,65 @@
         return [
             name
             for name in ("engine-1", "service-1")
-            if self.signs.is_leaving(now_ms, name)
+            if self.upstreams.is_leaving(now_ms, name)
         ]
 
     def test_list_is_a_sign_once(self):
         listed = make_list(engine_1="leaving", service_1="live", other="leaving")
-        self.assertEqual(self.signs.on_list(0, listed), ("engine-1",))
-        self.assertEqual(self.signs.on_list(1, listed), ())
+        self.assertEqual(self.upstreams.on_list(0, listed), ("engine-1",))
+        self.assertEqual(self.upstreams.on_list(1, listed), ())
         self.assertEqual(self.leaving(1), ["engine-1"])
 
     def test_list_may_name_the_address(self):
         entry = VmEntry("vm-77", "leaving", "d", "10.0.0.2:81")
-        self.signs.on_list(0, VmList((entry,), 1))
+        self.upstreams.on_list(0, VmList((entry,), 1))
         self.assertEqual(self.leaving(0), ["service-1"])
 
     def test_lagging_list_does_not_take_a_peers_word_back(self):
         """Symptom: an upstream that leaves gets work again. Sequence: a peer says
         that it leaves, then a list from before says that it lives. Cause: the
         list lags, and the later answer was taken for the later state."""
-        self.signs.on_told(0, ["engine-1"])
-        self.signs.on_list(100, make_list(engine_1="live"))
+        self.upstreams.on_told(0, ["engine-1"])
+        self.upstreams.on_list(100, make_list(engine_1="live"))
         self.assertEqual(self.leaving(200), ["engine-1"])
 
     def test_older_copy_of_the_list_changes_nothing(self):
-        self.signs.on_list(0, make_list(2_000, engine_1="leaving"))
-        self.signs.on_list(1, make_list(1_500, engine_1="live"))
+        self.upstreams.on_list(0, make_list(2_000, engine_1="leaving"))
+        self.upstreams.on_list(1, make_list(1_500, engine_1="live"))
         self.assertEqual(self.leaving(1), ["engine-1"])
 
     def test_list_whose_clock_was_set_far_back_counts_again(self):
-        self.signs.on_list(0, make_list(90_000_000, engine_1="live"))
-        self.signs.on_list(1, make_list(1_000, engine_1="leaving"))
+        self.upstreams.on_list(0, make_list(90_000_000, engine_1="live"))
+        self.upstreams.on_list(1, make_list(1_000, engine_1="leaving"))
         self.assertEqual(self.leaving(1), ["engine-1"])
 
     def test_upstream_that_came_back_gets_work(self):
-        self.signs.on_told(0, ["engine-1"])
-        self.signs.on_list(10, make_list(1_000, engine_1="leaving"))
-        self.signs.on_list(20, make_list(2_000, engine_1="live"))
+        self.upstreams.on_told(0, ["engine-1"])
+        self.upstreams.on_list(10, make_list(1_000, engine_1="leaving"))
+        self.upstreams.on_list(20, make_list(2_000, engine_1="live"))
         self.assertEqual(self.leaving(30), [])
 
     def test_upstream_that_left_the_list_stays_away(self):
-        self.signs.on_list(10, make_list(1_000, engine_1="leaving"))
-        self.signs.on_list(20, make_list(2_000))
+        self.upstreams.on_list(10, make_list(1_000, engine_1="leaving"))
+        self.upstreams.on_list(20, make_list(2_000))
         self.assertEqual(self.leaving(30), ["engine-1"])
 
     def test_refused_connection_puts_an_upstream_last_for_a_while(self):
         names = ["service-1", "service-2"]
-        self.signs.on_refused(0, "service-1")
-        self.assertEqual(self.signs.in_order(2_999, names), names[::-1])
-        self.assertEqual(self.signs.in_order(3_000, names), names)
-        self.assertEqual(self.signs.in_order(0, ["service-1"]), ["service-1"])
+        self.upstreams.on_refused(0, "service-1")
+        self.assertEqual(self.upstreams.in_order(2_999, names), names[::-1])
+        self.assertEqual(self.upstreams.in_order(3_000, names), names)
+        self.assertEqual(self.upstreams.in_order(0, ["service-1"]), ["service-1"])
 
     def test_leaving_upstream_gets_nothing_even_if_it_is_the_only_one(self):
-        self.signs.on_told(0, ["service-1"])
-        self.assertEqual(self.signs.in_order(0, ["service-1"]), [])
+        self.upstreams.on_told(0, ["service-1"])
+        self.assertEqual(self.upstreams.in_order(0, ["service-1"]), [])
 
     def test_list_still_counts_after_a_refusal(self):
-        self.signs.on_refused(0, "engine-1")
-        fresh = self.signs.on_list(1, make_list(engine_1="leaving"))
+        self.upstreams.on_refused(0, "engine-1")
+        fresh = self.upstreams.on_list(1, make_list(engine_1="leaving"))
         self.assertEqual(fresh, ("engine-1",))
         self.assertEqual(self.leaving(10_000), ["engine-1"])
 
     def test_unknown_names_are_ignored(self):
-        self.assertEqual(self.signs.on_told(0, ["nobody"]), ())
+        self.assertEqual(self.upstreams.on_told(0, ["nobody"]), ())
--- a/tests/leaving/test_task.py
+++ b/tests/leaving/test_task.py
@@ -53,10 +53,10 @@
             members = Members(row)
             for other in rows:
                 members.put(other)
-            signs = LeavingUpstreams()
-            signs.set_upstreams({"engine-1": "http://10.0.0.1:80"})
+            upstreams = LeavingUpstreams()
+            upstreams.set_upstreams({"engine-1": "http://10.0.0.1:80"})
             task = LeavingTask(
-                signs=signs,
+                upstreams=upstreams,
                 clock=self.clock,
                 link=self.links.make(row.name),
                 members=members,
