--- a/fireflyward/leaving/__init__.py
+++ b/fireflyward/leaving/__init__.py
@@ -1,6 +1,6 @@
-"""Which upstreams leave, by whichever sign comes first."""
+"""Detection of leaving upstreams, by the VM list or by another node."""
 
-from ._signs import LeavingUpstreams
 from ._task import LeavingTask
+from ._upstreams import LeavingUpstreams
 
 __all__ = ["LeavingUpstreams", "LeavingTask"]
--- a/fireflyward/leaving/_task.py
+++ b/fireflyward/leaving/_task.py
@@ -1,4 +1,4 @@
-"""The task that looks at the platform's list and passes on what it says."""
+"""The task that polls the platform's VM list and announces leaving upstreams."""
 
 import asyncio
 import logging
@@ -11,23 +11,24 @@
 from fireflyward.peers import PeerLink
 
 from ._leaving_structs import LeavingNews
-from ._signs import LeavingUpstreams
+from ._upstreams import LeavingUpstreams
 
 log = logging.getLogger("fireflyward.leaving")
 
 _KIND = "leaving"
-_OFTEN_MS = 1_000
-_SELDOM_MS = 10_000
-_LOOKERS = 2
-_NAMES_IN_DATAGRAM = 20
+_FREQUENT_POLL_MS = 1_000
+_RARE_POLL_MS = 10_000
+_FREQUENT_POLLERS = 2
+_MAX_NAMES_PER_DATAGRAM = 20
 
 
 class LeavingTask:
-    """Has a few nodes of each failure domain look often, and the others seldom.
+    """Polls the VM list, frequently on two nodes of each failure domain, else rarely.
 
-    The list is one service for all: 350 nodes looking each second would be 350
-    reads a second. Two of a domain look each second and tell the rest at once.
-    ``on_leaving`` is called with each upstream that leaves by a new sign.
+    All nodes read the list from the same service: if 350 nodes polled it each second,
+    it would get 350 reads a second. Two nodes of a domain poll it each second and
+    announce changes to the others at once. ``on_leaving`` is called with each upstream
+    that starts to leave.
     """
 
     def __init__(
@@ -40,60 +41,60 @@
         vms: Vms,
         on_leaving: Callable[[str], None],
     ) -> None:
-        self._signs = upstreams
+        self._upstreams = upstreams
         self._clock = clock
         self._link = link
         self._members = members
         self._vms = vms
         self._on_leaving = on_leaving
-        self._looking: asyncio.Task[None] | None = None
-        link.register(_KIND, LeavingNews, self._on_news)
+        self._polling: asyncio.Task[None] | None = None
+        link.register(_KIND, LeavingNews, self._on_announcement)
 
     def start(self) -> None:
-        """Begin to look."""
-        self._looking = asyncio.create_task(self._look_always())
+        """Start polling."""
+        self._polling = asyncio.create_task(self._poll_forever())
 
     async def stop(self) -> None:
-        """End the looking."""
-        if self._looking:
-            self._looking.cancel()
-            await asyncio.gather(self._looking, return_exceptions=True)
+        """Stop polling."""
+        if self._polling:
+            self._polling.cancel()
+            await asyncio.gather(self._polling, return_exceptions=True)
 
-    async def _look_always(self) -> None:
-        looked_ms = self._clock.now_ms() - _SELDOM_MS
+    async def _poll_forever(self) -> None:
+        last_poll_ms = self._clock.now_ms() - _RARE_POLL_MS
         while True:
             now_ms = self._clock.now_ms()
-            if self._looks_often() or now_ms - looked_ms >= _SELDOM_MS:
-                looked_ms = now_ms
-                await self._look()
-            await self._clock.sleep_ms(_OFTEN_MS)
+            if self._polls_frequently() or now_ms - last_poll_ms >= _RARE_POLL_MS:
+                last_poll_ms = now_ms
+                await self._poll()
+            await self._clock.sleep_ms(_FREQUENT_POLL_MS)
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         listed = await self._vms.list()
         if not isinstance(listed, VmList):
             return
-        names = self._signs.on_list(self._clock.now_ms(), listed)
-        self._leave(names, "the list")
-        for first in range(0, len(names), _NAMES_IN_DATAGRAM):
-            self._tell(names[first : first + _NAMES_IN_DATAGRAM])
+        names = self._upstreams.on_list(self._clock.now_ms(), listed)
+        self._report_leaving(names, "the list")
+        for first in range(0, len(names), _MAX_NAMES_PER_DATAGRAM):
+            self._announce(names[first : first + _MAX_NAMES_PER_DATAGRAM])
 
-    def _tell(self, names: tuple[str, ...]) -> None:
+    def _announce(self, names: tuple[str, ...]) -> None:
         own = self._members.own
         for member in self._members.live_in(own.failure_domain):
             if member.name != own.name:
                 self._link.send(member.address, _KIND, LeavingNews(names=list(names)))
 
-    def _looks_often(self) -> bool:
+    def _polls_frequently(self) -> bool:
         own = self._members.own
-        near = self._members.live_in(own.failure_domain)
-        lookers = owners_of("list of VMs", near, _LOOKERS)
-        return any(member.name == own.name for member in lookers)
+        neighbours = self._members.live_in(own.failure_domain)
+        pollers = owners_of("list of VMs", neighbours, _FREQUENT_POLLERS)
+        return any(member.name == own.name for member in pollers)
 
-    async def _on_news(self, sender: str, news: Any) -> None:
-        names = self._signs.on_told(self._clock.now_ms(), news.names)
-        self._leave(names, sender)
+    async def _on_announcement(self, sender: str, message: Any) -> None:
+        names = self._upstreams.on_peer_report(self._clock.now_ms(), message.names)
+        self._report_leaving(names, sender)
 
-    def _leave(self, names: tuple[str, ...], source: str) -> None:
+    def _report_leaving(self, names: tuple[str, ...], source: str) -> None:
         for name in names:
             log.info("leaving: %s gets no new work, by %s", name, source)
             self._on_leaving(name)
--- a/fireflyward/leaving/leaving.thrift
+++ b/fireflyward/leaving/leaving.thrift
@@ -1,4 +1,4 @@
-/* One node tells the others of its failure domain which upstreams leave. */
+/* A node announces to the others of its failure domain which upstreams are leaving. */
 namespace py fireflyward.leaving
 
 struct LeavingNews {
--- a/tests/leaving/test_task.py
+++ b/tests/leaving/test_task.py
@@ -10,7 +10,7 @@
 
 
 class MemoryLinks:
-    """Links of all nodes; a datagram is handled by ``deliver``."""
+    """Links of all nodes; ``deliver`` passes the datagrams to the handlers."""
 
     def __init__(self):
         self.handler_by_name = {}
@@ -47,7 +47,7 @@
         self.clock = ManualClock()
         self.links = MemoryLinks()
         self.vms = CountedVms()
-        self.left = []
+        self.leaving_reports = []
         rows = [Member(name, (name, 1), "d1", "r", 1) for name in NAMES]
         for row in rows:
             members = Members(row)
@@ -61,16 +61,18 @@
                 link=self.links.make(row.name),
                 members=members,
                 vms=self.vms,
-                on_leaving=lambda name, node=row.name: self.left.append((node, name)),
+                on_leaving=lambda name, node=row.name: self.leaving_reports.append(
+                    (node, name)
+                ),
             )
             task.start()
             self.addAsyncCleanup(task.stop)
-        self.lookers = {member.name for member in owners_of("list of VMs", rows, 2)}
+        self.pollers = {member.name for member in owners_of("list of VMs", rows, 2)}
 
-    async def test_all_know_within_two_seconds_though_two_look(self):
-        """Symptom: a leaving upstream gets work for ten seconds. Sequence: the
-        list names it, and most nodes look at the list seldom. Cause: who looked
-        did not tell."""
+    async def test_all_nodes_know_within_two_seconds_though_two_poll(self):
+        """Symptom: a leaving upstream gets work for ten seconds. Sequence: the list
+        says that it is leaving, and most nodes poll the list rarely. Cause: the nodes
+        that poll it frequently did not announce this to the others."""
         await self.clock.advance_ms(1_500)
         self.vms.reads = 0
         self.vms.entry_by_name["engine-1"] = VmEntry("engine-1", "leaving")
@@ -78,10 +80,10 @@
         await self.clock.advance_ms(2_000)
         self.assertEqual(self.vms.reads, 4)
         await self.links.deliver()
-        self.assertEqual({node for node, _ in self.left}, set(NAMES))
-        self.assertEqual(len(self.left), len(NAMES))
+        self.assertEqual({node for node, _ in self.leaving_reports}, set(NAMES))
+        self.assertEqual(len(self.leaving_reports), len(NAMES))
 
-    async def test_list_that_is_away_is_no_sign(self):
+    async def test_unavailable_list_makes_no_upstream_leaving(self):
         self.vms.away = True
         await self.clock.advance_ms(30_000)
-        self.assertEqual(self.left, [])
+        self.assertEqual(self.leaving_reports, [])
--- a/tests/leaving/test_signs.py
+++ b/tests/leaving/test_upstreams.py
@@ -11,7 +11,7 @@
     return VmList(entries, as_of_ms)
 
 
-class SignsTests(unittest.TestCase):
+class LeavingUpstreamsTests(unittest.TestCase):
     def setUp(self):
         self.upstreams = LeavingUpstreams()
         self.upstreams.set_upstreams(
@@ -25,26 +25,26 @@
             if self.upstreams.is_leaving(now_ms, name)
         ]
 
-    def test_list_is_a_sign_once(self):
+    def test_an_upstream_is_returned_once(self):
         listed = make_list(engine_1="leaving", service_1="live", other="leaving")
         self.assertEqual(self.upstreams.on_list(0, listed), ("engine-1",))
         self.assertEqual(self.upstreams.on_list(1, listed), ())
         self.assertEqual(self.leaving(1), ["engine-1"])
 
-    def test_list_may_name_the_address(self):
+    def test_list_may_contain_the_address(self):
         entry = VmEntry("vm-77", "leaving", "d", "10.0.0.2:81")
         self.upstreams.on_list(0, VmList((entry,), 1))
         self.assertEqual(self.leaving(0), ["service-1"])
 
-    def test_lagging_list_does_not_take_a_peers_word_back(self):
-        """Symptom: an upstream that leaves gets work again. Sequence: a peer says
-        that it leaves, then a list from before says that it lives. Cause: the
-        list lags, and the later answer was taken for the later state."""
-        self.upstreams.on_told(0, ["engine-1"])
+    def test_outdated_list_does_not_revoke_a_peers_announcement(self):
+        """Symptom: a leaving upstream gets work again. Sequence: a peer announces
+        that it is leaving, then an older list says "live". Cause: the list is out
+        of date, and the later answer was considered the later state."""
+        self.upstreams.on_peer_report(0, ["engine-1"])
         self.upstreams.on_list(100, make_list(engine_1="live"))
         self.assertEqual(self.leaving(200), ["engine-1"])
 
-    def test_older_copy_of_the_list_changes_nothing(self):
+    def test_outdated_copy_of_the_list_changes_nothing(self):
         self.upstreams.on_list(0, make_list(2_000, engine_1="leaving"))
         self.upstreams.on_list(1, make_list(1_500, engine_1="live"))
         self.assertEqual(self.leaving(1), ["engine-1"])
@@ -54,33 +54,33 @@
         self.upstreams.on_list(1, make_list(1_000, engine_1="leaving"))
         self.assertEqual(self.leaving(1), ["engine-1"])
 
-    def test_upstream_that_came_back_gets_work(self):
-        self.upstreams.on_told(0, ["engine-1"])
+    def test_upstream_that_is_live_again_gets_work(self):
+        self.upstreams.on_peer_report(0, ["engine-1"])
         self.upstreams.on_list(10, make_list(1_000, engine_1="leaving"))
         self.upstreams.on_list(20, make_list(2_000, engine_1="live"))
         self.assertEqual(self.leaving(30), [])
 
-    def test_upstream_that_left_the_list_stays_away(self):
+    def test_upstream_that_is_removed_from_the_list_stays_leaving(self):
         self.upstreams.on_list(10, make_list(1_000, engine_1="leaving"))
         self.upstreams.on_list(20, make_list(2_000))
         self.assertEqual(self.leaving(30), ["engine-1"])
 
-    def test_refused_connection_puts_an_upstream_last_for_a_while(self):
+    def test_upstream_that_refused_a_connection_is_last_for_three_seconds(self):
         names = ["service-1", "service-2"]
         self.upstreams.on_refused(0, "service-1")
         self.assertEqual(self.upstreams.in_order(2_999, names), names[::-1])
         self.assertEqual(self.upstreams.in_order(3_000, names), names)
         self.assertEqual(self.upstreams.in_order(0, ["service-1"]), ["service-1"])
 
-    def test_leaving_upstream_gets_nothing_even_if_it_is_the_only_one(self):
-        self.upstreams.on_told(0, ["service-1"])
+    def test_leaving_upstream_gets_no_work_even_if_it_is_the_only_one(self):
+        self.upstreams.on_peer_report(0, ["service-1"])
         self.assertEqual(self.upstreams.in_order(0, ["service-1"]), [])
 
-    def test_list_still_counts_after_a_refusal(self):
+    def test_list_still_counts_after_a_refused_connection(self):
         self.upstreams.on_refused(0, "engine-1")
-        fresh = self.upstreams.on_list(1, make_list(engine_1="leaving"))
-        self.assertEqual(fresh, ("engine-1",))
+        newly_leaving = self.upstreams.on_list(1, make_list(engine_1="leaving"))
+        self.assertEqual(newly_leaving, ("engine-1",))
         self.assertEqual(self.leaving(10_000), ["engine-1"])
 
     def test_unknown_names_are_ignored(self):
-        self.assertEqual(self.upstreams.on_told(0, ["nobody"]), ())
+        self.assertEqual(self.upstreams.on_peer_report(0, ["nobody"]), ())
--- a/tests/leaving/test_whole_path.py
+++ b/tests/leaving/test_whole_path.py
@@ -11,10 +11,10 @@
 
 
 class ListTests(unittest.IsolatedAsyncioTestCase):
-    async def test_service_that_the_list_calls_leaving_gets_no_call(self):
-        """Symptom: calls are cut when a service's VM is taken away. Sequence: the
-        platform lists the VM as leaving, calls go on going there. Cause: only
-        model engines' own reports were a sign."""
+    async def test_service_that_is_leaving_by_the_list_gets_no_call(self):
+        """Symptom: calls are cut when a service's VM is removed. Sequence: the platform
+        lists the VM as leaving, and calls are still sent there. Cause: only the reports
+        of model engines themselves were evaluated."""
         deployment = DemoDeployment(nodes_per_domain=1, engines_per_domain=1)
         await self.enterAsyncContext(deployment)
         session = await self.enterAsyncContext(aiohttp.ClientSession())
