--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -102,7 +102,7 @@
             table=NODE_TABLE,
             node=settings.node,
             peer_addresses=self._aggregators.everyone,
-            look_soon=lambda: self._joining.look_soon(),
+            poll_soon=lambda: self._joining.look_soon(),
         )
         self._forwarder = self._make_forwarder()
         self._gate = StartGate(clock)
@@ -140,7 +140,7 @@
             tables=self._tables,
             aggregators=self._aggregators,
             on_nodes=self._on_nodes,
-            on_rows=self._quarantine.on_news,
+            on_rows=self._quarantine.on_table_update,
             on_link=self._on_link,
         )
         # What nodes wrote of themselves may be lost, and is read by all others.
--- a/fireflyward/forwarding/_exchange.py
+++ b/fireflyward/forwarding/_exchange.py
@@ -145,14 +145,14 @@
 
     def _fail(self, detail: str) -> Failed:
         self._connection.close()
-        self._replica.on_trouble(self._clock.now_ms())
+        self._replica.on_send_failure(self._clock.now_ms())
         return Failed(detail)
 
     def _complete(self, *, failed: bool) -> None:
         """Record a complete response and return its connection to the pool."""
         self._pool.give_back(self._connection)
         self._replica.on_answer(failed=failed)
-        self._replica.on_run(self._clock.now_ms() - self._sent_ms)
+        self._replica.on_run_finished(self._clock.now_ms() - self._sent_ms)
 
     async def _read_answer(
         self, head: Head, facts: ResponseFacts
--- a/fireflyward/forwarding/_quarantine_check.py
+++ b/fireflyward/forwarding/_quarantine_check.py
@@ -1,6 +1,6 @@
 """Asks the quarantine before each send of a request, and reports the results to it."""
 
-from fireflyward.quarantine import TRIAL_IS_OVER, Held, Trial
+from fireflyward.quarantine import TRIAL_ENDED, Held, Trial
 from fireflyward.replicas import Choice, ReplicaState
 
 from ._dependencies import QuarantineGate
@@ -30,7 +30,7 @@
     async def admit(self) -> Held | None:
         """Return why the request must not be sent now, None if it may be."""
         if self._trial is not None:
-            return TRIAL_IS_OVER if self._is_sent else None
+            return TRIAL_ENDED if self._is_sent else None
         admitted = await self._gate.admit(self._fingerprint)
         if isinstance(admitted, Trial):
             self._trial = admitted
--- a/fireflyward/replicas/__init__.py
+++ b/fireflyward/replicas/__init__.py
@@ -1,22 +1,22 @@
-"""Which replicas there are, and which one takes a request."""
+"""The known replicas, their load, and the choice of one for each request."""
 
-from ._chooser import Choice, Chooser, Wanted
+from ._chooser import Choice, Chooser, Requirements
 from ._cold import ColdShares
 from ._directory import ReplicaDirectory
+from ._in_flight_load import InFlightLoad, PeerLoad
+from ._load_reports import LoadReportTask
 from ._rate_limits import RateLimits
 from ._state import ReplicaState
-from ._telling import UnderWayTask
-from ._under_way import PeerUnderWay, UnderWay
 
 __all__ = [
     "Choice",
     "Chooser",
     "ColdShares",
-    "PeerUnderWay",
+    "PeerLoad",
     "RateLimits",
     "ReplicaDirectory",
     "ReplicaState",
-    "UnderWay",
-    "UnderWayTask",
-    "Wanted",
+    "InFlightLoad",
+    "LoadReportTask",
+    "Requirements",
 ]
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -198,7 +198,7 @@
                 views.append(
                     ReplicaView(
                         entry.incarnation,
-                        state.number,
+                        state.incarnation_id,
                         entry.address,
                         version,
                         self._busy_ms(now_ms, state),
@@ -233,7 +233,7 @@
         order: its count of orders starts at zero again, and it gets orders of its own
         as soon as the list contains it.
         """
-        state = self._directory.find_start(order.incarnation_id)
+        state = self._directory.find_incarnation(order.incarnation_id)
         if state is None:
             return True
         started_ms = state.entry.started_ms
--- a/tests/weights/test_announcer.py
+++ b/tests/weights/test_announcer.py
@@ -26,7 +26,7 @@
         self.numbers = [entry(name).number for name in self.names]
         self.directory = ReplicaDirectory()
         entries = [entry(name, version=1) for name in self.names]
-        self.directory.on_whole(0, entries, after_outage=False)
+        self.directory.on_full_read(0, entries, after_outage=False)
         self.link = _Link()
         self.announcer = LoadAnnouncer(
             clock=ManualClock(),
@@ -57,7 +57,7 @@
         self.assertEqual(self.are_loading(), self.names)
 
     async def test_a_replica_that_has_the_version_is_not_loading(self):
-        self.directory.find(self.names[0]).take_entry(entry(self.names[0], version=2))
+        self.directory.find(self.names[0]).update_entry(entry(self.names[0], version=2))
         await self.announcer.announce_loading(self.numbers[:2], "m", 2, 5_000)
         self.assertEqual(self.are_loading(), [self.names[1]])
 
