--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -11,7 +11,7 @@
 from fireflyward.connections import SilenceLimits, within
 from fireflyward.entry import EntryParts, InFlight, build_app
 from fireflyward.kept import BlockNames
-from fireflyward.leaving import LeavingSigns, LeavingTask
+from fireflyward.leaving import LeavingTask, LeavingUpstreams
 from fireflyward.limits import AdmissionGate
 from fireflyward.membership import Member, Membership, MembershipTask
 from fireflyward.observe import Metrics, Tracing
@@ -104,7 +104,7 @@
         self.bundles: BundleDuty | None = None
         self.admin: AdminDuty | None = None
         self.membership: MembershipTask | None = None
-        self.leaving_signs = LeavingSigns()
+        self.leaving_upstreams = LeavingUpstreams()
         self.leaving: LeavingTask | None = None
         self.records: RunRecords | None = None
         self.kept: KeptDuty | None = None
@@ -158,7 +158,7 @@
         self.membership = self._make_membership(self.bundles, vms)
         self.membership.start()
         self.leaving = LeavingTask(
-            signs=self.leaving_signs,
+            upstreams=self.leaving_upstreams,
             clock=self.clock,
             link=self.link,
             members=self.members,
@@ -261,7 +261,7 @@
             link=self.link,
             metrics=self.metrics,
             bundle_number=lambda: self.holder.number,
-            on_number=bundles.on_member_number,
+            on_bundle_number=bundles.on_member_number,
             seeds=self.settings["peers"],
             vms=vms,
         )
@@ -291,7 +291,7 @@
             limits=SilenceLimits(silence_ms=self.settings["silence_limit_ms"]),
             in_flight=self.in_flight,
             versions=self.rollout.versions,
-            leaving=self.leaving_signs,
+            leaving=self.leaving_upstreams,
         )
 
     async def confirm_versions(self, model: str, version: str) -> None:
@@ -375,7 +375,7 @@
         self.router.set_replicas(candidates)
         if self.kept:
             self.kept.apply(bundle)
-        self.leaving_signs.set_upstreams(
+        self.leaving_upstreams.set_upstreams(
             {name: upstream.url for name, upstream in bundle.upstreams.items()}
         )
         self.loads.set_bundle(bundle)
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -25,7 +25,7 @@
 from fireflyward.quarantine import Quarantine
 from fireflyward.retries import RetryBudget
 from fireflyward.routes import RouteTable
-from fireflyward.weights import LoadNews, WeightTask
+from fireflyward.weights import LoadAnnouncer, WeightTask
 
 from ._callers import CallerDoor
 from ._gauges import link_gauges
@@ -89,7 +89,7 @@
             settings, clock=clock, pool=self._pool, aggregators=self._aggregators
         )
         self._directory = self._known.directory
-        self._news = LoadNews(
+        self._news = LoadAnnouncer(
             clock=clock,
             directory=self._directory,
             peer_addresses=self._aggregators.everyone,
@@ -102,7 +102,7 @@
             table=NODE_TABLE,
             node=settings.node,
             peer_addresses=self._aggregators.everyone,
-            look_soon=lambda: self._joining.look_soon(),
+            poll_soon=lambda: self._joining.look_soon(),
         )
         self._forwarder = self._make_forwarder()
         self._gate = StartGate(clock)
@@ -140,7 +140,7 @@
             tables=self._tables,
             aggregators=self._aggregators,
             on_nodes=self._on_nodes,
-            on_rows=self._quarantine.on_news,
+            on_rows=self._quarantine.on_table_update,
             on_link=self._on_link,
         )
         # What nodes wrote of themselves may be lost, and is read by all others.
@@ -178,7 +178,7 @@
             api=self._api,
             directory=self._directory,
             weights=self._weights,
-            news=self._news,
+            announcer=self._news,
             busy_ms=self._known.chooser.queue_ms,
             node=settings.node,
             lease_ms=bounds.lease_ms,
@@ -308,7 +308,7 @@
             contends=self._contends,
             on_change=self._on_lease,
             on_row=lambda row, position: self._lease_news.tell(row, position),
-            look_ms=lambda: self._weight_task.look_ms(),
+            look_ms=lambda: self._weight_task.lease_poll_ms(),
         )
 
     def _on_lease(self, change: Gained | Lost) -> None:
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -161,10 +161,10 @@
             and now_ms - self._outage_end_ms < _AFTER_OUTAGE_MS
         )
         if news.is_whole:
-            gone = self._directory.on_whole(
+            gone = self._directory.on_full_read(
                 now_ms,
                 found.entries,
-                copied=copied,
+                restored=copied,
                 after_outage=after_outage,
             )
         else:
@@ -179,7 +179,7 @@
 
     def _unsays_leaving(self, entry: ReplicaEntry) -> bool:
         """Tell whether an entry is from before its start was known to leave."""
-        state = self._directory.find_start(entry.number)
+        state = self._directory.find_incarnation(entry.number)
         return state is not None and state.is_leaving and not entry.is_leaving
 
 
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -264,7 +264,7 @@
 
     async def test_the_lease_is_looked_at_as_its_duty_asks(self):
         look_ms = self.node._lease._look_ms
-        self.node._weight_task.look_ms = lambda: 123.0
+        self.node._weight_task.lease_poll_ms = lambda: 123.0
         self.assertEqual(look_ms(), 123.0)
 
     async def test_a_replica_that_starts_again_under_its_name_is_another_one(self):
@@ -274,7 +274,7 @@
         """
         engine = self.engines[0]
         state = self.node._directory.find(engine.incarnation)
-        state.on_trouble(self.node._clock.now_ms())
+        state.on_send_failure(self.node._clock.now_ms())
         engine.start_again()
         self.list_replicas()
         find = self.node._directory.find
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -56,7 +56,7 @@
         self.clock = ManualClock(0)
         self.directory = ReplicaDirectory()
         entries = [entry("r1"), entry("r2")]
-        self.directory.on_whole(0, entries, after_outage=False)
+        self.directory.on_full_read(0, entries, after_outage=False)
         self.pool = _Pool()
         limits = RateLimits("n1", seed=1)
         limits.set_nodes(["n1"])
@@ -107,7 +107,7 @@
     async def test_a_limit_set_meanwhile_applies(self):
         """Guards against sending all requests that waited when the limit was set."""
         replica = await self.begin()
-        replica.backpressure.limit.on_named(0, 0.5)
+        replica.backpressure.limit.on_limit_named(0, 0.5)
         replica.backpressure.changes += 1
         await self.assert_sent_elsewhere(replica)
 
@@ -121,7 +121,7 @@
     async def test_a_replica_that_asks_for_backoff_meanwhile_gets_no_request(self):
         """Guards against sending requests that waited when backoff was requested."""
         replica = await self.begin()
-        replica.backpressure.on_rest(0, 3_000)
+        replica.backpressure.on_backoff(0, 3_000)
         replica.backpressure.changes += 1
         await self.assert_sent_elsewhere(replica)
 
@@ -149,7 +149,7 @@
 
     async def test_with_all_replicas_in_backoff_it_is_rejected_unsent(self):
         for state in self.directory.all():
-            state.backpressure.on_rest(0, 3_000)
+            state.backpressure.on_backoff(0, 3_000)
         outcome = await self.serve()
         self.assertIsInstance(outcome, NotRun)
         self.assertGreaterEqual(outcome.retry_after_ms, 3_000)
