--- a/fireflyward/settings/__init__.py
+++ b/fireflyward/settings/__init__.py
@@ -2,13 +2,13 @@
 
 from ._load import load
 from ._serve import OPERATOR_SETTINGS, SERVE_SETTINGS
-from ._settings import ENVIRONMENT_PREFIX, BadSetting, Setting, Settings, add_flags
+from ._settings import ENVIRONMENT_PREFIX, InvalidSetting, Setting, Settings, add_flags
 
 __all__ = [
     "ENVIRONMENT_PREFIX",
     "OPERATOR_SETTINGS",
     "SERVE_SETTINGS",
-    "BadSetting",
+    "InvalidSetting",
     "Setting",
     "Settings",
     "add_flags",
--- a/fireflyward/settings/_load.py
+++ b/fireflyward/settings/_load.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from ._serve import OPERATOR_SETTINGS, SERVE_SETTINGS
-from ._settings import ENVIRONMENT_PREFIX, BadSetting, Setting, Settings
+from ._settings import ENVIRONMENT_PREFIX, InvalidSetting, Setting, Settings
 
 _NOT_GIVEN = "(not given)"
 
@@ -13,7 +13,7 @@
     declared: tuple[Setting, ...],
     flag_by_name: Mapping[str, str | None],
     environment: Mapping[str, str],
-) -> Settings | tuple[BadSetting, ...]:
+) -> Settings | tuple[InvalidSetting, ...]:
     """Read every declared setting; return all refusals together if any.
 
     Values are text as the shell gives them. A flag goes before its environment
@@ -23,19 +23,19 @@
     """
     value_by_name: dict[str, Any] = {}
     source_by_name: dict[str, str] = {}
-    refused: list[BadSetting] = list(_undeclared(declared, environment))
+    refused: list[InvalidSetting] = list(_undeclared(declared, environment))
     for setting in declared:
         text, source = _pick(setting, flag_by_name, environment)
         if text is None:
             refused.append(
-                BadSetting(setting.name, _NOT_GIVEN, setting.allowed, source)
+                InvalidSetting(setting.name, _NOT_GIVEN, setting.allowed, source)
             )
             continue
         try:
             value_by_name[setting.name] = setting.parse(text)
         except ValueError:
             shown = "(secret)" if setting.secret else text
-            refused.append(BadSetting(setting.name, shown, setting.allowed, source))
+            refused.append(InvalidSetting(setting.name, shown, setting.allowed, source))
         source_by_name[setting.name] = source
     if refused:
         return tuple(refused)
@@ -60,11 +60,11 @@
 
 def _undeclared(
     declared: tuple[Setting, ...], environment: Mapping[str, str]
-) -> list[BadSetting]:
+) -> list[InvalidSetting]:
     every = (*declared, *SERVE_SETTINGS, *OPERATOR_SETTINGS)
     known = {setting.variable for setting in every}
     return [
-        BadSetting(name, "(not shown)", "a declared setting", f"variable {name}")
+        InvalidSetting(name, "(not shown)", "a declared setting", f"variable {name}")
         for name in sorted(environment)
         if name.startswith(ENVIRONMENT_PREFIX) and name not in known
     ]
--- a/fireflyward/settings/_settings.py
+++ b/fireflyward/settings/_settings.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BadSetting:
+class InvalidSetting:
     """A refused value: the setting, what was given, and what is allowed."""
 
     name: str
--- a/tests/fuzz/test_texts.py
+++ b/tests/fuzz/test_texts.py
@@ -14,7 +14,7 @@
     to_toml,
     verify_whole,
 )
-from fireflyward.settings import SERVE_SETTINGS, BadSetting, Settings, load
+from fireflyward.settings import SERVE_SETTINGS, InvalidSetting, Settings, load
 from fireflyward.upstreams import count_tokens, split_tokens
 from tests.bundles.makers import ANA, BRUNO, ROOTS, bundle
 from tests.fuzz.profiles import fuzz
@@ -79,7 +79,7 @@
         result = load(SERVE_SETTINGS, KEYS | {name: text}, {})
         if isinstance(result, Settings):
             return
-        self.assertTrue(all(isinstance(refused, BadSetting) for refused in result))
+        self.assertTrue(all(isinstance(refused, InvalidSetting) for refused in result))
         self.assertIn(name, str(result[0]))
 
 
