--- a/fireflyward/observe/__init__.py
+++ b/fireflyward/observe/__init__.py
@@ -1,4 +1,4 @@
-"""What a process tells of itself: logs, metrics and traces."""
+"""Observability of a process: logs, metrics and traces."""
 
 from ._logs import set_up_logs
 from ._metrics import Metrics
--- a/fireflyward/observe/_logs.py
+++ b/fireflyward/observe/_logs.py
@@ -1,15 +1,15 @@
-"""Logs: short sentences, each with its part's prefix, as text or JSON."""
+"""Log output as text or JSON; each message starts with the prefix of its package."""
 
 import logging
 import sys
 
 import msgspec
 
-_FIELDS = ("request", "account", "upstream", "bundle")
+_EXTRA_FIELDS = ("request", "account", "upstream", "bundle")
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line, with request, account, upstream and bundle."""
+    """Formats a record as a JSON line with its request, account, upstream, bundle."""
 
     def format(self, record: logging.LogRecord) -> str:
         line = {
@@ -18,7 +18,7 @@
             "part": record.name.removeprefix("fireflyward."),
             "message": record.getMessage(),
         }
-        for name in _FIELDS:
+        for name in _EXTRA_FIELDS:
             value = getattr(record, name, None)
             if value is not None:
                 line[name] = value
@@ -27,10 +27,10 @@
         return msgspec.json.encode(line).decode()
 
 
-def set_up_logs(level: str, form: str) -> None:
-    """Send the package's logs to standard error in ``form``, text or json."""
+def set_up_logs(level: str, log_format: str) -> None:
+    """Write the package's logs to standard error; ``log_format`` is text or json."""
     handler = logging.StreamHandler(sys.stderr)
-    if form == "json":
+    if log_format == "json":
         handler.setFormatter(JsonFormatter())
     else:
         handler.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(message)s"))
--- a/fireflyward/observe/_metrics.py
+++ b/fireflyward/observe/_metrics.py
@@ -2,14 +2,14 @@
 
 from hdrh.histogram import HdrHistogram
 
-_LOWEST = 1
-_HIGHEST_MS = 3_600_000
+_MIN_VALUE_MS = 1
+_MAX_VALUE_MS = 3_600_000
 _SIGNIFICANT_DIGITS = 2
-_QUANTILES = (50.0, 95.0, 99.0)
+_PERCENTILES = (50.0, 95.0, 99.0)
 
 
 class Metrics:
-    """Counts and timings of one process.
+    """Counters, gauges and timings of one process.
 
     >>> metrics = Metrics()
     >>> metrics.count("requests_total", outcome="answered")
@@ -34,44 +34,46 @@
         return self._total_by_series.get((name, tuple(sorted(labels.items()))), 0)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a value that may go down again."""
+        """Set the value of a gauge, which may also decrease."""
         self._gauge_by_name[name] = value
 
     def observe_ms(self, name: str, value_ms: float) -> None:
         """Record a duration in milliseconds."""
         histogram = self._histogram_by_name.get(name)
         if histogram is None:
-            histogram = HdrHistogram(_LOWEST, _HIGHEST_MS, _SIGNIFICANT_DIGITS)
+            histogram = HdrHistogram(_MIN_VALUE_MS, _MAX_VALUE_MS, _SIGNIFICANT_DIGITS)
             self._histogram_by_name[name] = histogram
-        histogram.record_value(min(max(int(value_ms), _LOWEST), _HIGHEST_MS))
+        histogram.record_value(min(max(int(value_ms), _MIN_VALUE_MS), _MAX_VALUE_MS))
 
     def quantile_ms(self, name: str, percentile: float) -> float:
-        """Return a percentile of a recorded duration, 0 when there is none."""
+        """Return a percentile of the recorded durations, 0 if there are none."""
         histogram = self._histogram_by_name.get(name)
         return histogram.get_value_at_percentile(percentile) if histogram else 0
 
     def text(self) -> str:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         lines = []
         for (name, labels), value in sorted(self._total_by_series.items()):
-            lines.append(f"fireflyward_{name}{_labels(labels)} {value:g}")
+            lines.append(f"fireflyward_{name}{_format_labels(labels)} {value:g}")
         for name, value in sorted(self._gauge_by_name.items()):
             lines.append(f"fireflyward_{name} {value:g}")
         for name, histogram in sorted(self._histogram_by_name.items()):
-            for percentile in _QUANTILES:
+            for percentile in _PERCENTILES:
                 value = histogram.get_value_at_percentile(percentile)
                 quantile = (("quantile", f"{percentile / 100:g}"),)
-                lines.append(f"fireflyward_{name}{_labels(quantile)} {value:g}")
+                lines.append(f"fireflyward_{name}{_format_labels(quantile)} {value:g}")
             lines.append(f"fireflyward_{name}_count {histogram.get_total_count()}")
         return "\n".join(lines) + "\n"
 
 
-def _labels(labels: tuple[tuple[str, str], ...]) -> str:
+def _format_labels(labels: tuple[tuple[str, str], ...]) -> str:
     if not labels:
         return ""
-    shown = ",".join(f'{name}="{_escape(value)}"' for name, value in labels)
-    return "{" + shown + "}"
+    formatted = ",".join(
+        f'{name}="{_escape_label_value(value)}"' for name, value in labels
+    )
+    return "{" + formatted + "}"
 
 
-def _escape(value: str) -> str:
+def _escape_label_value(value: str) -> str:
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/fireflyward/observe/_traces.py
+++ b/fireflyward/observe/_traces.py
@@ -11,44 +11,44 @@
 
 _TRACE_PARENT_PARTS = 4
 _SAMPLED_FLAG = 1
-_MOST_WAITING_SPANS = 2_048
+_MAX_QUEUED_SPANS = 2_048
 
-# The tracer of the request that this task serves, None when it is not sampled.
-# A task begun by another inherits it, so hops below need no argument for it.
+# The tracer of the request that this task serves, or None if it is not sampled. A task
+# inherits the value from the task that created it, so nested hops need no argument.
 _current_tracer: ContextVar[Any] = ContextVar("current_tracer", default=None)
 
 
 class Tracing:
     """Opens the first span of each sampled request.
 
-    The SDK is imported with the first sampled request, so that a node that
-    samples nothing pays neither its memory nor its start time. Spans end in a
-    bounded queue that a thread of the SDK empties; when it is full they are
-    dropped, so a slow exporter neither slows nor stops serving.
+    The SDK is imported at the first sampled request, so that a node that samples no
+    requests needs neither the memory nor the start time for it. Finished spans go
+    into a bounded queue, which a thread of the SDK exports. When the queue is full,
+    spans are dropped, so that a slow exporter does not delay requests.
     """
 
-    __slots__ = ("_exporter", "_provider", "_random", "_share", "_tracer")
+    __slots__ = ("_exporter", "_provider", "_random", "_sampled_share", "_tracer")
 
-    def __init__(self, share: float, *, exporter: Any | None = None) -> None:
-        self._share = share
+    def __init__(self, sampled_share: float, *, exporter: Any | None = None) -> None:
+        self._sampled_share = sampled_share
         self._random = random.Random()
         self._exporter = exporter
         self._provider = None
         self._tracer = None
 
     def is_sampled(self, trace_parent: str) -> bool:
-        """Follow the caller's decision if it sent one, else draw one."""
+        """Return the caller's sampling decision, or a random one if it sent none."""
         parts = trace_parent.split("-")
         if len(parts) == _TRACE_PARENT_PARTS:
             try:
                 return bool(int(parts[3], 16) & _SAMPLED_FLAG)
             except ValueError:
                 return False
-        return self._random.random() < self._share
+        return self._random.random() < self._sampled_share
 
     @contextmanager
     def span(self, name: str, trace_parent: str, **attributes: str) -> Iterator[str]:
-        """Open a span below ``trace_parent``; yield the header to pass on."""
+        """Open a child span of ``trace_parent``; yield the header to pass on."""
         tracer = self._tracer or self._make_tracer()
         parent = _propagator().extract({"traceparent": trace_parent})
         token = _current_tracer.set(tracer)
@@ -59,12 +59,12 @@
             _current_tracer.reset(token)
 
     def flush(self) -> None:
-        """Hand finished spans to the exporter now, as a stopping process does."""
+        """Export all finished spans now."""
         if self._provider:
             self._provider.force_flush()
 
     def close(self) -> None:
-        """Flush and end the exporting thread."""
+        """Flush and stop the exporting thread."""
         if self._provider:
             self._provider.shutdown()
             self._provider = self._tracer = None
@@ -75,7 +75,7 @@
 
         self._provider = TracerProvider()
         processor = BatchSpanProcessor(
-            self._exporter or _log_exporter(), max_queue_size=_MOST_WAITING_SPANS
+            self._exporter or _log_exporter(), max_queue_size=_MAX_QUEUED_SPANS
         )
         self._provider.add_span_processor(processor)
         self._tracer = self._provider.get_tracer("fireflyward")
@@ -86,8 +86,8 @@
 def hop(name: str, **attributes: str) -> Iterator[str]:
     """Open a span for one hop of the current request, if it is sampled.
 
-    Yields the W3C ``traceparent`` to send along, empty when there is none. It is
-    for coroutines; a generator that is closed from elsewhere must not hold one.
+    Yields the W3C ``traceparent`` header to send, or an empty string. Use it only in
+    coroutines, not in a generator that another task may close.
 
         with hop("peer", peer="entry-2") as trace_parent:
             ...
@@ -121,7 +121,7 @@
     from opentelemetry.sdk.trace.export import SpanExporter, SpanExportResult
 
     class LogExporter(SpanExporter):
-        """Writes each span as one line at level debug."""
+        """Logs each span as one line at level debug."""
 
         def export(self, spans):
             for span in spans:
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -17,12 +17,12 @@
         self.assertIn('fireflyward_first_token_ms{quantile="0.5"} 50', text)
         self.assertIn("fireflyward_first_token_ms_count 100", text)
 
-    def test_label_values_cannot_break_a_line(self):
+    def test_line_breaks_in_label_values_are_escaped(self):
         metrics = Metrics()
         metrics.count("x_total", part='a"\n} 1')
         self.assertEqual(len(metrics.text().splitlines()), 1)
 
-    def test_value_beyond_the_range_is_held_at_its_end(self):
+    def test_value_above_the_range_is_clamped(self):
         metrics = Metrics()
         metrics.observe_ms("slow_ms", 1e12)
         self.assertLessEqual(metrics.quantile_ms("slow_ms", 99), 3_700_000)
