--- a/fireflyward/settings/__init__.py
+++ b/fireflyward/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a process: flags first, then environment variables, then defaults."""
+"""Settings of a process, from flags, environment variables or defaults."""
 
 from ._load import load
 from ._serve import OPERATOR_SETTINGS, SERVE_SETTINGS
--- a/fireflyward/settings/_load.py
+++ b/fireflyward/settings/_load.py
@@ -1,4 +1,4 @@
-"""Reads every declared setting once, before any socket opens."""
+"""Reads all declared settings once, before the process opens a socket."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -14,36 +14,38 @@
     flag_by_name: Mapping[str, str | None],
     environment: Mapping[str, str],
 ) -> Settings | tuple[InvalidSetting, ...]:
-    """Read every declared setting; return all refusals together if any.
+    """Read all declared settings; if any is invalid, return all errors together.
 
-    Values are text as the shell gives them. A flag goes before its environment
-    variable, which goes before the default; a setting with none of them is
-    refused. A variable with the prefix that no setting declares is refused too,
-    since it is most likely a typing error.
+    All values are given as text. A flag takes precedence over its environment
+    variable, which takes precedence over the default. A setting with none of them
+    is invalid. A variable that has the prefix but belongs to no declared setting is
+    invalid too, since it is most likely a typing error.
     """
     value_by_name: dict[str, Any] = {}
     source_by_name: dict[str, str] = {}
-    refused: list[InvalidSetting] = list(_undeclared(declared, environment))
+    invalid: list[InvalidSetting] = list(_find_undeclared(declared, environment))
     for setting in declared:
-        text, source = _pick(setting, flag_by_name, environment)
+        text, source = _find_text(setting, flag_by_name, environment)
         if text is None:
-            refused.append(
+            invalid.append(
                 InvalidSetting(setting.name, _NOT_GIVEN, setting.allowed, source)
             )
             continue
         try:
             value_by_name[setting.name] = setting.parse(text)
         except ValueError:
-            shown = "(secret)" if setting.secret else text
-            refused.append(InvalidSetting(setting.name, shown, setting.allowed, source))
+            displayed = "(secret)" if setting.secret else text
+            invalid.append(
+                InvalidSetting(setting.name, displayed, setting.allowed, source)
+            )
         source_by_name[setting.name] = source
-    if refused:
-        return tuple(refused)
+    if invalid:
+        return tuple(invalid)
     declared_by_name = {setting.name: setting for setting in declared}
     return Settings(declared_by_name, value_by_name, source_by_name)
 
 
-def _pick(
+def _find_text(
     setting: Setting,
     flag_by_name: Mapping[str, str | None],
     environment: Mapping[str, str],
@@ -58,13 +60,13 @@
     return setting.default, "default"
 
 
-def _undeclared(
+def _find_undeclared(
     declared: tuple[Setting, ...], environment: Mapping[str, str]
 ) -> list[InvalidSetting]:
-    every = (*declared, *SERVE_SETTINGS, *OPERATOR_SETTINGS)
-    known = {setting.variable for setting in every}
+    all_settings = (*declared, *SERVE_SETTINGS, *OPERATOR_SETTINGS)
+    declared_variables = {setting.variable for setting in all_settings}
     return [
         InvalidSetting(name, "(not shown)", "a declared setting", f"variable {name}")
         for name in sorted(environment)
-        if name.startswith(ENVIRONMENT_PREFIX) and name not in known
+        if name.startswith(ENVIRONMENT_PREFIX) and name not in declared_variables
     ]
--- a/fireflyward/settings/_parsers.py
+++ b/fireflyward/settings/_parsers.py
@@ -1,12 +1,12 @@
-"""Turn the text of a setting into its value; ``ValueError`` for what is refused."""
+"""Parsers of settings: each raises ``ValueError`` if the text is invalid."""
 
 import os
 from collections.abc import Callable
 
 MAX_PORT = 65_535
-MOST_PEER_KEYS = 2
-LEAST_PEER_KEY_BYTES = 16
-LEAST_KEPT_KEY_BYTES = 32
+MAX_PEER_KEYS = 2
+MIN_PEER_KEY_BYTES = 16
+MIN_KEPT_KEY_BYTES = 32
 
 
 def parse_text(text: str) -> str:
@@ -21,10 +21,10 @@
     return text
 
 
-def parse_number(low: int, high: int) -> Callable[[str], int]:
+def parse_number(minimum: int, maximum: int) -> Callable[[str], int]:
     def parse(text: str) -> int:
         value = int(text)
-        if not low <= value <= high:
+        if not minimum <= value <= maximum:
             raise ValueError(text)
         return value
 
@@ -76,19 +76,19 @@
 
 def parse_peer_keys(text: str) -> tuple[bytes, ...]:
     parts = [part for part in text.split(",") if part]
-    if not 1 <= len(parts) <= MOST_PEER_KEYS:
-        raise ValueError("number of keys")
-    return tuple(_hex_key(part, LEAST_PEER_KEY_BYTES) for part in parts)
+    if not 1 <= len(parts) <= MAX_PEER_KEYS:
+        raise ValueError("wrong number of keys")
+    return tuple(_parse_hex_key(part, MIN_PEER_KEY_BYTES) for part in parts)
 
 
 def parse_kept_key(text: str) -> bytes:
-    return _hex_key(text, LEAST_KEPT_KEY_BYTES)
+    return _parse_hex_key(text, MIN_KEPT_KEY_BYTES)
 
 
-def _hex_key(text: str, least_bytes: int) -> bytes:
+def _parse_hex_key(text: str, min_bytes: int) -> bytes:
     key = bytes.fromhex(text)
-    if len(key) < least_bytes or not any(key):
-        raise ValueError("key")
+    if len(key) < min_bytes or not any(key):
+        raise ValueError("key is too short or all zeros")
     return key
 
 
--- a/fireflyward/settings/_settings.py
+++ b/fireflyward/settings/_settings.py
@@ -1,4 +1,4 @@
-"""What a setting is, and the checked values of a process."""
+"""The declaration of a setting, and the checked values of a process."""
 
 import argparse
 from collections.abc import Callable, Mapping
@@ -6,12 +6,12 @@
 from typing import Any
 
 ENVIRONMENT_PREFIX = "FIREFLYWARD_"
-_SECRET_SHOWN_AS = "(secret, set)"
+_SECRET_PLACEHOLDER = "(secret, set)"
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidSetting:
-    """A refused value: the setting, what was given, and what is allowed."""
+    """An invalid value: the setting, the given text and what is allowed."""
 
     name: str
     value: str
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One setting: how it is read, what is allowed, and what it is for.
+    """The declaration of one setting.
 
-    ``parse`` turns the text into a value and raises ``ValueError`` for anything
-    that is not allowed; ``allowed`` says in words what that is. A setting whose
-    ``default`` is None has to be given.
+    ``parse`` converts the text to a value and raises ``ValueError`` for a text that
+    is not allowed; ``allowed`` describes the allowed texts in words. A setting whose
+    ``default`` is None must be given.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 
 class Settings:
-    """Checked values by name, each with the place it came from.
+    """Checked values by name, each with its source.
 
     >>> from fireflyward.settings import SERVE_SETTINGS, load
     >>> keys = {"kept_key": "2f" * 32, "peer_keys": "5c" * 32}
@@ -84,23 +84,23 @@
         return f"Settings({', '.join(sorted(self._value_by_name))})"
 
     def rows(self) -> list[tuple[str, str, str]]:
-        """Return name, shown value and source of each; secrets are not shown."""
+        """Return the name, displayed value and source of each; secrets are hidden."""
         return [
-            (name, self._shown(name), self._source_by_name[name])
+            (name, self._format_value(name), self._source_by_name[name])
             for name in sorted(self._value_by_name)
         ]
 
-    def _shown(self, name: str) -> str:
+    def _format_value(self, name: str) -> str:
         value = self._value_by_name[name]
         if self._declared_by_name[name].secret:
-            return _SECRET_SHOWN_AS if value else "(secret, not set)"
+            return _SECRET_PLACEHOLDER if value else "(secret, not set)"
         if isinstance(value, tuple):
             return ",".join(str(item) for item in value)
         return str(value)
 
 
 def add_flags(parser: argparse.ArgumentParser, declared: tuple[Setting, ...]) -> None:
-    """Give ``parser`` one flag for each setting, its help naming the variable."""
+    """Add a flag for each setting to ``parser``; its help names the variable."""
     for setting in declared:
         parser.add_argument(
             setting.flag,
