--- a/fireflyward/weights/_announcer.py
+++ b/fireflyward/weights/_announcer.py
@@ -70,7 +70,7 @@
 
     async def _on_loading(self, sender: str, message: Any) -> None:
         for replica in message.replicas:
-            state = self._directory.find_start(replica)
+            state = self._directory.find_incarnation(replica)
             if (
                 state is not None
                 and state.entry.version_of(message.model) != message.version
@@ -78,6 +78,6 @@
                 state.on_loading(self._clock.now_ms(), message.for_ms)
 
     async def _on_loaded(self, sender: str, message: Any) -> None:
-        state = self._directory.find_start(message.replica)
+        state = self._directory.find_incarnation(message.replica)
         if state is not None:
             state.on_loaded(message.model, message.version)
