--- a/fireflyward/peers/_link.py
+++ b/fireflyward/peers/_link.py
@@ -96,7 +96,7 @@
         self._sequence = itertools.count(1)
         self._handler_by_kind: dict[str, _Handler] = {}
         self._server: asyncio.Server | None = None
-        self._datagrams: asyncio.DatagramTransport | None = None
+        self._datagram_transport: asyncio.DatagramTransport | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
         self._datagram_tasks: set[asyncio.Task[Any]] = set()
 
@@ -122,16 +122,16 @@
         )
         self._port = self._server.sockets[0].getsockname()[1]
         loop = asyncio.get_running_loop()
-        self._datagrams, _ = await loop.create_datagram_endpoint(
+        self._datagram_transport, _ = await loop.create_datagram_endpoint(
             lambda: _DatagramProtocol(self), local_addr=(self._host, self._port)
         )
 
     async def stop(self) -> None:
         """Close both sockets and cancel the handlers that still run."""
-        if self._datagrams:
-            self._datagrams.close()
+        if self._datagram_transport:
+            self._datagram_transport.close()
             # A later send() checks this; sending on the closed socket would fail.
-            self._datagrams = None
+            self._datagram_transport = None
         if self._server:
             self._server.close()
         tasks = self._tasks | self._datagram_tasks
@@ -146,10 +146,10 @@
     def send_all(self, addresses: Iterable[Address], kind: str, message: Any) -> bool:
         """Send one datagram to several peers; it is encoded and signed only once."""
         frame = self._make_frame(kind, message)
-        if len(frame) > _MAX_DATAGRAM_BYTES or self._datagrams is None:
+        if len(frame) > _MAX_DATAGRAM_BYTES or self._datagram_transport is None:
             return False
         for address in addresses:
-            self._datagrams.sendto(frame, address)
+            self._datagram_transport.sendto(frame, address)
             self.bytes_sent += len(frame)
         return True
 
--- a/fireflyward/upstreams/_engine_http.py
+++ b/fireflyward/upstreams/_engine_http.py
@@ -102,7 +102,7 @@
     connections.
     """
 
-    __slots__ = ("_base_url", "_unpooled_session", "_session")
+    __slots__ = ("_base_url", "_session", "_unpooled_session")
 
     def __init__(
         self,
--- a/fireflyward/upstreams/_kv_http.py
+++ b/fireflyward/upstreams/_kv_http.py
@@ -16,7 +16,7 @@
 
 
 class HttpKvEngine:
-    """The KV cache of one replica behind a base URL."""
+    """Calls the KV cache of one replica behind a base URL."""
 
     __slots__ = ("_base_url", "_session")
 
--- a/fireflyward/upstreams/_orders_http.py
+++ b/fireflyward/upstreams/_orders_http.py
@@ -14,7 +14,7 @@
 
 
 class HttpOrderedEngine:
-    """The orders of one replica behind a base URL."""
+    """Sends orders to one replica behind a base URL."""
 
     __slots__ = ("_base_url", "_session")
 
--- a/fireflyward/upstreams/_service_http.py
+++ b/fireflyward/upstreams/_service_http.py
@@ -24,7 +24,7 @@
     call on it would get no reply, and the node could not tell whether it arrived.
     """
 
-    __slots__ = ("_base_url", "_deadline_s", "_unpooled_session", "_session")
+    __slots__ = ("_base_url", "_deadline_s", "_session", "_unpooled_session")
 
     def __init__(
         self,
