--- a/fireflyward/daemon/__init__.py
+++ b/fireflyward/daemon/__init__.py
@@ -3,7 +3,7 @@
 from ._kept_work import KeptWork
 from ._lifecycle_steps import StartStep, StopStep
 from ._node import Node
-from ._outside import Outside
+from ._node_io import Outside
 from ._serve import serve
 
 __all__ = ["KeptWork", "Node", "Outside", "StartStep", "StopStep", "serve"]
--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -32,7 +32,7 @@
 from fireflyward.upstreams import Broken, KvEngine
 
 from ._kept_work import KeptWork
-from ._outside import Outside
+from ._node_io import Outside
 
 log = logging.getLogger("fireflyward.daemon")
 
--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -28,7 +28,7 @@
 from ._lifecycle_steps import StartStep, StopStep
 from ._limits_duty import LimitsDuty
 from ._load_duty import LoadDuty
-from ._outside import Outside
+from ._node_io import Outside
 from ._planned_stop import HandOn, PlannedStop
 from ._rollout_duty import RolloutDuty
 from ._sweep_duty import sweep_for_ever
--- a/fireflyward/daemon/_rollout_duty.py
+++ b/fireflyward/daemon/_rollout_duty.py
@@ -27,7 +27,7 @@
 from fireflyward.steps import StepObserver
 from fireflyward.upstreams import Engine, LoadReport, OrderedEngine
 
-from ._outside import Outside
+from ._node_io import Outside
 
 log = logging.getLogger("fireflyward.rollout")
 
