--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -32,7 +32,7 @@
 from fireflyward.upstreams import Broken, KvEngine
 
 from ._kept_work import KeptWork
-from ._node_io import Outside
+from ._node_io import NodeIO
 
 log = logging.getLogger("fireflyward.daemon")
 
@@ -53,7 +53,7 @@
         settings: Settings,
         *,
         clock: Clock,
-        outside: Outside,
+        outside: NodeIO,
         table: Table,
         objects: Objects,
         router: Router,
--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -28,7 +28,7 @@
 from ._lifecycle_steps import StartStep, StopStep
 from ._limits_duty import LimitsDuty
 from ._load_duty import LoadDuty
-from ._node_io import Outside
+from ._node_io import NodeIO
 from ._planned_stop import HandOn, PlannedStop
 from ._rollout_duty import RolloutDuty
 from ._sweep_duty import sweep_for_ever
@@ -51,12 +51,12 @@
         settings: Settings,
         *,
         clock: Clock | None = None,
-        outside: Outside | None = None,
+        outside: NodeIO | None = None,
         observe: StepObserver = ignore_step,
     ) -> None:
         self.settings = settings
         self.clock = clock or Clock()
-        self.outside = outside or Outside(settings)
+        self.outside = outside or NodeIO(settings)
         self.observe = observe
         self.holder = BundleHolder()
         self.router = Router(settings["failure_domain"])
--- a/fireflyward/daemon/_node_io.py
+++ b/fireflyward/daemon/_node_io.py
@@ -33,7 +33,7 @@
 _IDLE_LIMIT_S = 75.0
 
 
-class Outside:
+class NodeIO:
     """Opens real sockets by the settings; tests give a node one in memory.
 
     ``open`` comes before everything else, since the clients share a session that
--- a/fireflyward/daemon/_rollout_duty.py
+++ b/fireflyward/daemon/_rollout_duty.py
@@ -27,7 +27,7 @@
 from fireflyward.steps import StepObserver
 from fireflyward.upstreams import Engine, LoadReport, OrderedEngine
 
-from ._node_io import Outside
+from ._node_io import NodeIO
 
 log = logging.getLogger("fireflyward.rollout")
 
@@ -41,7 +41,7 @@
 class OrderedEngines:
     """The replicas of the bundle in force, as a driver orders them, by name."""
 
-    def __init__(self, outside: Outside, holder: BundleHolder) -> None:
+    def __init__(self, outside: NodeIO, holder: BundleHolder) -> None:
         self._outside = outside
         self._holder = holder
 
@@ -67,7 +67,7 @@
         members: Members,
         holder: BundleHolder,
         router: Router,
-        outside: Outside,
+        outside: NodeIO,
         observe: StepObserver,
     ) -> None:
         self._settings = settings
--- a/tests/faults/_fakes.py
+++ b/tests/faults/_fakes.py
@@ -8,7 +8,7 @@
 from fireflyward.bundles import Upstream
 from fireflyward.bundles._store import HEAD_KEY, Head
 from fireflyward.checker import BlockRead, BlockSealed, Ran
-from fireflyward.daemon import Outside
+from fireflyward.daemon import NodeIO
 from fireflyward.kept import StoreAway
 from fireflyward.outcomes import Reason
 from fireflyward.standins import (
@@ -323,7 +323,7 @@
         return ServiceReply(200, b"done " + call.body, "text/plain")
 
 
-class MemoryOutside(Outside):
+class MemoryOutside(NodeIO):
     """Everything through which a node in memory meets others."""
 
     def __init__(self, world, process: Process, settings) -> None:
