--- a/tests/faults/_fakes.py
+++ b/tests/faults/_fakes.py
@@ -323,7 +323,7 @@
         return ServiceReply(200, b"done " + call.body, "text/plain")
 
 
-class MemoryOutside(NodeIO):
+class MemoryNodeIO(NodeIO):
     """Everything through which a node in memory meets others."""
 
     def __init__(self, world, process: Process, settings) -> None:
--- a/tests/faults/_world.py
+++ b/tests/faults/_world.py
@@ -32,7 +32,7 @@
 )
 
 from ._callers import MODEL, Ask, Caller
-from ._fakes import URL_PREFIX, EngineVm, MemoryOutside, Remote, WatchedTable
+from ._fakes import URL_PREFIX, EngineVm, MemoryNodeIO, Remote, WatchedTable
 from ._network import PEER_PORT, Network, Process, ProcessClock
 from ._stores import WatchedStore
 
@@ -183,7 +183,7 @@
         node = Node(
             settings,
             clock=ProcessClock(self.network, process),
-            outside=MemoryOutside(self, process, settings),
+            outside=MemoryNodeIO(self, process, settings),
             observe=lambda step: self.on_step(step, process),
         )
         node.process = process
