--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -53,7 +53,7 @@
         settings: Settings,
         *,
         clock: Clock,
-        outside: NodeIO,
+        io: NodeIO,
         table: Table,
         objects: Objects,
         router: Router,
@@ -65,7 +65,7 @@
     ) -> None:
         self._clock = clock
         self._observe = observe
-        self._outside = outside
+        self._outside = io
         self._table = table
         self._router = router
         self._metrics = metrics
--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -51,12 +51,12 @@
         settings: Settings,
         *,
         clock: Clock | None = None,
-        outside: NodeIO | None = None,
+        io: NodeIO | None = None,
         observe: StepObserver = ignore_step,
     ) -> None:
         self.settings = settings
         self.clock = clock or Clock()
-        self.outside = outside or NodeIO(settings)
+        self.io = io or NodeIO(settings)
         self.observe = observe
         self.holder = BundleHolder()
         self.router = Router(settings["failure_domain"])
@@ -67,7 +67,7 @@
         self.service_by_name: dict[str, PlainService] = {}
         self._retired_ms_by_name: dict[str, int] = {}
         self.port = settings["port"]
-        self.link = self.outside.make_link(self.clock.wall_ms())
+        self.link = self.io.make_link(self.clock.wall_ms())
         self._membership = Membership(self.clock.now_ms(), self._own_member())
         self.members = self._membership.members
         self.guards = Guards(
@@ -80,7 +80,7 @@
             members=self.members,
             holder=self.holder,
             router=self.router,
-            outside=self.outside,
+            io=self.io,
             observe=observe,
         )
         self.hand_on: list[HandOn] = [self.rollout.hand_on]
@@ -114,9 +114,9 @@
 
     async def start(self) -> None:
         """Open the sockets and begin the periodic tasks."""
-        await self.outside.open()
-        table = self.guards.table(self.outside.make_table())
-        objects = self.guards.objects(self.outside.make_objects())
+        await self.io.open()
+        table = self.guards.table(self.io.make_table())
+        objects = self.guards.objects(self.io.make_objects())
         self.bundles = make_bundle_duty(
             self.settings,
             link=self.link,
@@ -132,7 +132,7 @@
             bundles=self.bundles,
             table=table,
             objects=objects,
-            weights=self.guards.weights(self.outside.make_weights()),
+            weights=self.guards.weights(self.io.make_weights()),
         )
         self.records = RunRecords(
             table, self.clock, node_name=self.settings["node_name"]
@@ -140,7 +140,7 @@
         self.kept = KeptDuty(
             self.settings,
             clock=self.clock,
-            outside=self.outside,
+            io=self.io,
             table=table,
             objects=objects,
             router=self.router,
@@ -151,10 +151,10 @@
             observe=self.observe,
         )
         app = build_app(self._entry_parts(self.records))
-        self.port = await self.outside.listen(app)
+        self.port = await self.io.listen(app)
         self.observe(StartStep.PORT_OPEN)
         await self.link.start()
-        vms = self.guards.vms(self.outside.make_vms())
+        vms = self.guards.vms(self.io.make_vms())
         self.membership = self._make_membership(self.bundles, vms)
         self.membership.start()
         self.leaving = LeavingTask(
@@ -196,7 +196,7 @@
             limit_ms=self.settings["drain_limit_ms"],
             tell_peers=self._tell_peers,
             hand_on=self.hand_on,
-            stop_accepting=self.outside.stop_accepting,
+            stop_accepting=self.io.stop_accepting,
         )
         await self._planned_stop.run()
         if not self._planned_stop.is_cut:
@@ -232,10 +232,10 @@
             await self.membership.stop()
         if self.records:
             self.records.stop()
-        await self.outside.stop_listening()
+        await self.io.stop_listening()
         await self.link.stop()
         self.observe(StopStep.CLOSED)
-        await self.outside.close()
+        await self.io.close()
         self.tracing.close()
 
     def is_ready(self) -> bool:
@@ -243,7 +243,7 @@
         return not self._stopping and self.holder.bundle is not None
 
     async def _renew_certificate(self) -> None:
-        self.outside.tls.renew()
+        self.io.tls.renew()
 
     def _own_member(self) -> Member:
         return Member(
@@ -365,13 +365,13 @@
         candidates = []
         for name, upstream in bundle.upstreams.items():
             if upstream.kind == ENGINE:
-                engine = self.outside.make_engine(name, upstream)
+                engine = self.io.make_engine(name, upstream)
                 self.engine_by_name[name] = self.rollout.watched(engine)
                 candidates.append(
                     Candidate(name, upstream.failure_domain, upstream.models)
                 )
             elif upstream.kind == SERVICE:
-                self.service_by_name[name] = self.outside.make_service(name, upstream)
+                self.service_by_name[name] = self.io.make_service(name, upstream)
         self.router.set_replicas(candidates)
         if self.kept:
             self.kept.apply(bundle)
--- a/fireflyward/daemon/_rollout_duty.py
+++ b/fireflyward/daemon/_rollout_duty.py
@@ -41,8 +41,8 @@
 class OrderedEngines:
     """The replicas of the bundle in force, as a driver orders them, by name."""
 
-    def __init__(self, outside: NodeIO, holder: BundleHolder) -> None:
-        self._outside = outside
+    def __init__(self, io: NodeIO, holder: BundleHolder) -> None:
+        self._outside = io
         self._holder = holder
 
     def get(self, name: str) -> OrderedEngine | None:
@@ -67,7 +67,7 @@
         members: Members,
         holder: BundleHolder,
         router: Router,
-        outside: NodeIO,
+        io: NodeIO,
         observe: StepObserver,
     ) -> None:
         self._settings = settings
@@ -75,7 +75,7 @@
         self._members = members
         self._holder = holder
         self._router = router
-        self._outside = outside
+        self._outside = io
         self._observe = observe
         self._watch = HealthWatch()
         self._plan: Plan | None = None
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -69,7 +69,7 @@
             self.addAsyncCleanup(node.close)
             self.assertIn(b"first", await self.certificate_shown(node.port))
             write_pair(self.folder, "second")
-            self.assertTrue(node.outside.tls.renew())
+            self.assertTrue(node.io.tls.renew())
             self.assertIn(b"second", await self.certificate_shown(node.port))
 
     async def certificate_shown(self, port):
--- a/tests/entry/test_resume.py
+++ b/tests/entry/test_resume.py
@@ -61,7 +61,7 @@
         async with self.ask(first, **{"Idempotency-Key": "k1"}) as response:
             before, last_id = await self.read(response, pieces=3)
             self.deployment.node_by_name.pop(name)
-            await first.outside.stop_listening()
+            await first.io.stop_listening()
         headers = {"Idempotency-Key": "k1", "Last-Event-ID": last_id}
         async with self.ask(second, **headers) as response:
             after, _ = await self.read(response)
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -225,7 +225,7 @@
         self._writer = writer
         method, path = "POST", SERVICE_PATH if self.ask.is_call else "/v1/completions"
         request = _make_request(method, path, self.ask, writer, self._transport)
-        task = self._world.handle(node, _respond(node.outside.app, request))
+        task = self._world.handle(node, _respond(node.io.app, request))
         await asyncio.wait({task})
         error = None if task.cancelled() else task.exception()
         if error and not isinstance(error, ConnectionResetError):
--- a/tests/faults/_world.py
+++ b/tests/faults/_world.py
@@ -183,7 +183,7 @@
         node = Node(
             settings,
             clock=ProcessClock(self.network, process),
-            outside=MemoryNodeIO(self, process, settings),
+            io=MemoryNodeIO(self, process, settings),
             observe=lambda step: self.on_step(step, process),
         )
         node.process = process
@@ -203,7 +203,7 @@
             node = self.node_by_name[names[(self._turn + index) % len(names)]]
             process = node.process
             is_paused = process.paused_until_ms > self.clock.now_ms()
-            if process.is_alive and node.outside.is_listening and not is_paused:
+            if process.is_alive and node.io.is_listening and not is_paused:
                 if node.is_ready():
                     return node
         return None
@@ -230,7 +230,7 @@
 
     def kill_node(self, node: Node) -> None:
         self.see(NodeLost(self.clock.now_ms(), node.settings["node_name"]))
-        node.outside.is_listening = False
+        node.io.is_listening = False
         node.process.die()
         for task in node._tasks:
             task.cancel()
