--- a/fireflyward/daemon/__init__.py
+++ b/fireflyward/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The one program that every entry VM runs."""
+"""The node process that runs on every entry VM."""
 
 from ._kept_work import KeptWork
 from ._lifecycle_steps import StartStep, StopStep
--- a/fireflyward/daemon/_admin_duty.py
+++ b/fireflyward/daemon/_admin_duty.py
@@ -1,4 +1,4 @@
-"""The administration API of a node, on its own port."""
+"""The administration API of a node, served on a port of its own."""
 
 import logging
 
@@ -21,7 +21,7 @@
 
 
 class AdminDuty:
-    """Owns the port; ``port`` is the one that was opened, 0 while none is."""
+    """Owns the administration port; ``port`` is 0 while it is not open."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
     ) -> None:
         self.port = 0
         self._host = settings["admin_host"]
-        self._wanted_port = settings["admin_port"]
+        self._configured_port = settings["admin_port"]
         self._runner: web.AppRunner | None = None
         store = BundleStore(table, objects, clock=clock)
         bundle_admin = BundleAdmin(
@@ -62,12 +62,12 @@
         return f"AdminDuty(port={self.port})"
 
     async def start(self) -> None:
-        """Open the port, unless the settings leave it off."""
-        if self._wanted_port is None:
+        """Open the port, unless the settings disable it."""
+        if self._configured_port is None:
             return
         self._runner = web.AppRunner(self._app, access_log=None)
         await self._runner.setup()
-        await web.TCPSite(self._runner, self._host, self._wanted_port).start()
+        await web.TCPSite(self._runner, self._host, self._configured_port).start()
         self.port = self._runner.addresses[0][1]
         log.info("admin: operators are served on port %d", self.port)
 
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -1,4 +1,4 @@
-"""The duty that brings accepted bundles into force at this node."""
+"""The duty that fetches accepted bundles and brings them into force at this node."""
 
 import asyncio
 import logging
@@ -45,16 +45,16 @@
 from fireflyward.peers import PeerLink
 from fireflyward.settings import Settings
 
-from ._bundle_peers import BundlePeers, seen_state
+from ._bundle_peers import BundlePeers, observation_of_state
 
 log = logging.getLogger("fireflyward.bundles")
 
-_TICK_MS = 100
-_LOOK_MS = 1_000
-_CATCH_UP_MS = 500
-_CATCH_UP_STEP_MS = 20
-_START_LIMIT_S = 5.0
-_UNCONFIRMED = -1
+_TICK_PERIOD_MS = 100
+_PEER_CHECK_PERIOD_MS = 1_000
+_CATCH_UP_TIMEOUT_MS = 500
+_CATCH_UP_POLL_MS = 20
+_START_TIMEOUT_S = 5.0
+_NEVER_CONFIRMED = -1
 
 
 def make_bundle_duty(
@@ -87,10 +87,10 @@
 
 
 class BundleDuty:
-    """Owns the follower, the shelf and the calls that they lead to.
+    """Performs the actions of the follower, and answers other nodes from the cache.
 
-    ``apply`` is called with each newer bundle. ``refused`` holds why the last one
-    that came was not taken.
+    ``apply`` is called with each newer bundle. ``last_error`` says why the last
+    fetched bundle was rejected; it is None after a bundle was applied.
     """
 
     def __init__(
@@ -105,9 +105,9 @@
         peers: BundlePeers,
         apply: Callable[[Bundle], None],
     ) -> None:
-        self.shelf = BundleShelf()
-        self.watch = BundleWatch()
-        self.refused: BundleError | None = None
+        self.cache = BundleShelf()
+        self.status_tracker = BundleWatch()
+        self.last_error: BundleError | None = None
         self._link = link
         self._clock = clock
         self._follower = follower
@@ -120,7 +120,7 @@
         self._unanswered: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._ticker: asyncio.Task[None] | None = None
-        link.register(NEWS_KIND, BundleNews, self._on_news)
+        link.register(NEWS_KIND, BundleNews, self._on_announcement)
         link.register(CHANGES_KIND, ChangesRequest, self._on_changes_request)
         link.register(WHOLE_KIND, WholeRequest, self._on_whole_request)
         link.register(STATE_KIND, StateRequest, self._on_state_request)
@@ -129,61 +129,68 @@
         return f"BundleDuty({self._follower!r})"
 
     async def start(self) -> None:
-        """Learn a first bundle if one can be had soon, then keep following.
+        """Fetch a first bundle, then keep following newer ones.
 
-        A node in a failure domain that is cut off from the platform learns from
-        its peers. It cannot know whether something newer was accepted outside:
-        it serves by the highest number that any of them has.
+        The method returns without a bundle if none is found within the timeout. A
+        node in a failure domain without a connection to the platform fetches the
+        bundle from other nodes. It cannot know whether a newer one was accepted
+        outside the domain, and uses the highest number that any of them has.
         """
-        self._ticker = asyncio.create_task(self._tick_always())
+        self._ticker = asyncio.create_task(self._run_ticks())
         try:
-            async with asyncio.timeout(_START_LIMIT_S):
+            async with asyncio.timeout(_START_TIMEOUT_S):
                 await self._read_head()
                 await asyncio.gather(*self._tasks, return_exceptions=True)
-                if self.shelf.state is None:
-                    await self._ask_peers()
+                if self.cache.state is None:
+                    await self._query_peers()
         except TimeoutError:
             log.warning("bundles: none found yet, neither platform nor peers answer")
 
     async def stop(self) -> None:
-        """End the ticking and every call under way."""
+        """Stop the periodic task and every call in flight."""
         tasks = [*self._tasks, *([self._ticker] if self._ticker else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def catch_up(self, number: int) -> bool:
-        """Wait shortly for ``number``, which a caller saw elsewhere."""
-        ends_ms = self._clock.now_ms() + _CATCH_UP_MS
-        while self._follower.number < number and self._clock.now_ms() < ends_ms:
-            self._do(self._follower.on_asked(self._clock.now_ms(), number))
-            await self._clock.sleep_ms(_CATCH_UP_STEP_MS)
+        """Wait briefly for the bundle ``number``, which another node has served."""
+        deadline_ms = self._clock.now_ms() + _CATCH_UP_TIMEOUT_MS
+        while self._follower.number < number and self._clock.now_ms() < deadline_ms:
+            self._perform_all(self._follower.on_asked(self._clock.now_ms(), number))
+            await self._clock.sleep_ms(_CATCH_UP_POLL_MS)
         return self._follower.number >= number
 
     def on_member_number(self, name: str, number: int) -> None:
-        """Take note of the number that a member's heartbeat carried."""
+        """Handle the bundle number that a member's heartbeat contained."""
         if number != self._follower.number:
-            self._do(self._follower.on_news(self._clock.now_ms(), name, number))
+            self._perform_all(
+                self._follower.on_news(self._clock.now_ms(), name, number)
+            )
 
     def state(self) -> BundleState | None:
         """Return the bundle in force at this node."""
-        return self.shelf.state
+        return self.cache.state
 
     async def node_statuses(self) -> tuple[NodeStatus, ...]:
-        """Ask every known node which number it serves by."""
-        known = {status.name for status in self.watch.statuses()}
-        replies = (await self._peers.states()).values()
-        seen = [seen_state(self.own_state())]
-        seen += [seen_state(reply) for reply in replies if _is_state(reply)]
-        silent = known - {node.name for node in seen}
-        self._unanswered = set(silent)
-        seen += [Seen(name, "", 0, is_reached=False) for name in sorted(silent)]
-        number = max(self._follower.wanted, *(node.number for node in seen))
-        self.watch.observe(self._clock.wall_ms(), number, seen)
-        return self.watch.statuses()
+        """Request from every known node the number of its bundle in force."""
+        known = {status.name for status in self.status_tracker.statuses()}
+        replies = (await self._peers.fetch_states()).values()
+        observations = [observation_of_state(self.own_state())]
+        observations += [
+            observation_of_state(reply) for reply in replies if _is_state_reply(reply)
+        ]
+        unanswered = known - {node.name for node in observations}
+        self._unanswered = set(unanswered)
+        observations += [
+            Seen(name, "", 0, is_reached=False) for name in sorted(unanswered)
+        ]
+        number = max(self._follower.wanted, *(node.number for node in observations))
+        self.status_tracker.observe(self._clock.wall_ms(), number, observations)
+        return self.status_tracker.statuses()
 
     def own_state(self) -> Any:
-        """Return what this node tells an operator who asks for its state."""
+        """Return this node's reply to a state request."""
         confirmed_at_ms = self._follower.confirmed_at_ms
         is_confirmed = confirmed_at_ms is not None
         return StateReply(
@@ -193,54 +200,60 @@
             head_number=self._follower.head_number,
             confirmed_ms_ago=self._clock.now_ms() - confirmed_at_ms
             if is_confirmed
-            else _UNCONFIRMED,
-            refused=str(self.refused or ""),
+            else _NEVER_CONFIRMED,
+            refused=str(self.last_error or ""),
         )
 
     def apply_state(
         self, state: BundleState, changes: tuple[SignedBundle, ...] = ()
     ) -> None:
-        """Serve by a verified state from now on, unless it is not newer."""
-        if self.shelf.state is not None and state.number <= self.shelf.state.number:
+        """Bring a verified state into force, if it is newer than the current one."""
+        if self.cache.state is not None and state.number <= self.cache.state.number:
             return
-        self.shelf.put(state, changes)
-        self.refused = None
+        self.cache.put(state, changes)
+        self.last_error = None
         self._apply(state.bundle)
         names = list(self._peers.addresses())
         now_ms = self._clock.now_ms()
-        self._do(self._follower.on_taken(now_ms, state.number, names))
+        self._perform_all(self._follower.on_taken(now_ms, state.number, names))
 
-    async def _tick_always(self) -> None:
-        look_at_ms = 0
+    async def _run_ticks(self) -> None:
+        next_check_ms = 0
         names: list[str] = []
         while True:
             now_ms = self._clock.now_ms()
-            if now_ms >= look_at_ms:
-                look_at_ms = now_ms + _LOOK_MS
+            if now_ms >= next_check_ms:
+                next_check_ms = now_ms + _PEER_CHECK_PERIOD_MS
                 names = list(self._peers.addresses())
-                self._watch_members()
-            self._do(self._follower.on_tick(now_ms, names))
-            await self._clock.sleep_ms(_TICK_MS)
-
-    def _watch_members(self) -> None:
-        """Note since when each member is at its number, behind or unreachable."""
-        members = [self._judge_silence(member) for member in self._peers.seen()]
-        own = seen_state(self.own_state())
-        self.watch.observe(
+                self._update_statuses()
+            self._perform_all(self._follower.on_tick(now_ms, names))
+            await self._clock.sleep_ms(_TICK_PERIOD_MS)
+
+    def _update_statuses(self) -> None:
+        """Record since when each member is up to date, behind or unreachable."""
+        members = [
+            self._apply_unanswered(member) for member in self._peers.observations()
+        ]
+        own = observation_of_state(self.own_state())
+        self.status_tracker.observe(
             self._clock.wall_ms(), self._follower.wanted, [own, *members]
         )
         if members:
-            kept = {own.name, *(member.name for member in members)}
+            current = {own.name, *(member.name for member in members)}
             gone = [
-                item.name for item in self.watch.statuses() if item.name not in kept
+                item.name
+                for item in self.status_tracker.statuses()
+                if item.name not in current
             ]
-            self.watch.forget(gone)
+            self.status_tracker.forget(gone)
 
-    def _judge_silence(self, member: Seen) -> Seen:
-        """Believe a call without an answer until membership has judged itself.
+    def _apply_unanswered(self, member: Seen) -> Seen:
+        """Treat a member that did not answer a call as unreachable.
 
-        Membership takes some seconds to give a node up; without this a dead node
-        would be shown as serving again in between, with a new beginning.
+        The membership needs some seconds to detect that a node has crashed. Without
+        this rule, the status would meanwhile show the crashed node as serving again,
+        and then as unreachable since a later time. The rule ends when the membership
+        reports the member as unreachable itself.
         """
         if not member.is_reached:
             self._unanswered.discard(member.name)
@@ -248,29 +261,29 @@
             return replace(member, is_reached=False)
         return member
 
-    def _do(self, actions: list[Any]) -> None:
+    def _perform_all(self, actions: list[Any]) -> None:
         for action in actions:
-            self._act(action)
+            self._perform(action)
 
     @singledispatchmethod
-    def _act(self, action: Any) -> None:
+    def _perform(self, action: Any) -> None:
         raise TypeError(f"unknown action {action!r}")
 
-    @_act.register
+    @_perform.register
     def _(self, action: ReadHead) -> None:
         self._spawn(self._read_head())
 
-    @_act.register
+    @_perform.register
     def _(self, action: FetchFromStore) -> None:
         self._spawn(self._fetch_from_store())
 
-    @_act.register
+    @_perform.register
     def _(self, action: FetchFromPeer) -> None:
         self._spawn(self._fetch_from_peer(action.peer))
 
-    @_act.register
+    @_perform.register
     def _(self, action: Tell) -> None:
-        self._peers.tell(action.peer, action.number)
+        self._peers.announce_number(action.peer, action.number)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
@@ -285,62 +298,66 @@
         if self._head is None or head.number >= self._head.number:
             self._head = head
         now_ms = self._clock.now_ms()
-        self._do(self._follower.on_head(now_ms, head.number, head.digest))
+        self._perform_all(self._follower.on_head(now_ms, head.number, head.digest))
 
     async def _fetch_from_store(self) -> None:
         head = self._head
         if head is None or head.number <= self._follower.number:
             await self._read_head()
-            self._do(self._follower.on_fetch_failed(self._clock.now_ms()))
+            self._perform_all(self._follower.on_fetch_failed(self._clock.now_ms()))
             return
-        loaded = await self._loader.load(head, self.shelf.state)
+        loaded = await self._loader.load(head, self.cache.state)
         if isinstance(loaded, BundleError):
             self._follower.on_head_refused(head.number, head.digest)
-        self._take_or_fail(loaded)
+        self._apply_or_fail(loaded)
 
     async def _fetch_from_peer(self, name: str) -> None:
-        state = self.shelf.state
+        state = self.cache.state
         if state is None:
-            whole = await self._peers.whole(name)
-            is_whole = isinstance(whole, Whole)
-            loaded = await self._loader.begin(whole) if is_whole else whole
+            snapshot = await self._peers.fetch_snapshot(name)
+            has_snapshot = isinstance(snapshot, Whole)
+            loaded = await self._loader.begin(snapshot) if has_snapshot else snapshot
         else:
-            changes = await self._peers.changes(name, state.number)
-            is_some = isinstance(changes, tuple)
-            loaded = await self._loader.follow(state, changes) if is_some else changes
-        self._take_or_fail(loaded)
-
-    def _take_or_fail(self, loaded: object) -> None:
+            changes = await self._peers.fetch_changes(name, state.number)
+            has_changes = isinstance(changes, tuple)
+            loaded = (
+                await self._loader.follow(state, changes) if has_changes else changes
+            )
+        self._apply_or_fail(loaded)
+
+    def _apply_or_fail(self, loaded: object) -> None:
         if isinstance(loaded, Loaded):
             self.apply_state(loaded.state, loaded.changes)
             return
-        if isinstance(loaded, BundleError) and loaded != self.refused:
-            self.refused = loaded
+        if isinstance(loaded, BundleError) and loaded != self.last_error:
+            self.last_error = loaded
             log.error("bundles: refused, %s", loaded)
-        self._do(self._follower.on_fetch_failed(self._clock.now_ms()))
+        self._perform_all(self._follower.on_fetch_failed(self._clock.now_ms()))
 
-    async def _ask_peers(self) -> None:
-        """Ask every known peer at once which number it serves by."""
-        for reply in (await self._peers.states()).values():
-            if _is_state(reply) and reply.number:
+    async def _query_peers(self) -> None:
+        """Request the bundle number of every known node, all at once."""
+        for reply in (await self._peers.fetch_states()).values():
+            if _is_state_reply(reply) and reply.number:
                 now_ms = self._clock.now_ms()
-                self._do(self._follower.on_news(now_ms, reply.node_name, reply.number))
+                self._perform_all(
+                    self._follower.on_news(now_ms, reply.node_name, reply.number)
+                )
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _on_news(self, sender: str, news: Any) -> None:
-        self._peers.heard(sender, (news.host, news.port))
+    async def _on_announcement(self, sender: str, announcement: Any) -> None:
+        self._peers.record_sender(sender, (announcement.host, announcement.port))
         now_ms = self._clock.now_ms()
-        self._do(self._follower.on_news(now_ms, sender, news.number))
+        self._perform_all(self._follower.on_news(now_ms, sender, announcement.number))
 
     async def _on_changes_request(self, sender: str, request: Any) -> Any:
-        return self.shelf.changes_after(request.after)
+        return self.cache.changes_after(request.after)
 
     async def _on_whole_request(self, sender: str, request: Any) -> Any:
-        return self.shelf.page(request.digest, request.after_part)
+        return self.cache.page(request.digest, request.after_part)
 
     async def _on_state_request(self, sender: str, request: Any) -> Any:
         return self.own_state()
 
 
-def _is_state(reply: object) -> bool:
+def _is_state_reply(reply: object) -> bool:
     return isinstance(reply, StateReply)
--- a/fireflyward/daemon/_bundle_peers.py
+++ b/fireflyward/daemon/_bundle_peers.py
@@ -1,4 +1,4 @@
-"""The other nodes, as the duty for bundles knows and calls them."""
+"""The addresses of the other nodes, and the calls to them that concern bundles."""
 
 import asyncio
 from collections.abc import Iterable, Mapping
@@ -27,26 +27,26 @@
 from fireflyward.membership import Member, Members, MemberState
 from fireflyward.peers import Address, PeerLink
 
-_CALLS_AT_ONCE = 64
-_REACHED = (MemberState.LIVE, MemberState.LEAVING)
+_MAX_CONCURRENT_CALLS = 64
+_REACHABLE_STATES = (MemberState.LIVE, MemberState.LEAVING)
 
 
 class BundlePeers:
-    """Addresses of the other nodes, and the calls that concern bundles.
+    """Knows the addresses of the other nodes and calls them for bundles.
 
-    The members that membership keeps go first. Until it knows any, the nodes of
-    the settings are asked, and those that sent news are remembered.
+    The addresses come from the node's membership. Until that contains another live
+    node, this class uses the seeds from the settings and the nodes that sent a message.
     """
 
-    __slots__ = ("_asked_first", "_heard_by_name", "_link", "_members")
+    __slots__ = ("_seeds", "_sender_address_by_name", "_link", "_members")
 
     def __init__(
-        self, link: PeerLink, members: Members, asked_first: Iterable[Address]
+        self, link: PeerLink, members: Members, seeds: Iterable[Address]
     ) -> None:
         self._link = link
         self._members = members
-        self._asked_first = tuple(asked_first)
-        self._heard_by_name: dict[str, Address] = {}
+        self._seeds = tuple(seeds)
+        self._sender_address_by_name: dict[str, Address] = {}
 
     def __repr__(self) -> str:
         return f"BundlePeers({len(self.addresses())})"
@@ -60,41 +60,44 @@
             if member.name != own
         }
         if live:
-            self._heard_by_name.clear()
+            self._sender_address_by_name.clear()
             return live
-        named = dict(self._heard_by_name)
-        known = {self._link.address, *named.values()}
-        for host, port in self._asked_first:
-            if (host, port) not in known:
-                named[f"{host}:{port}"] = (host, port)
-        return named
-
-    def heard(self, name: str, address: Address) -> None:
-        """Remember where news came from."""
+        address_by_name = dict(self._sender_address_by_name)
+        known_addresses = {self._link.address, *address_by_name.values()}
+        for host, port in self._seeds:
+            if (host, port) not in known_addresses:
+                address_by_name[f"{host}:{port}"] = (host, port)
+        return address_by_name
+
+    def record_sender(self, name: str, address: Address) -> None:
+        """Record the address of a node that sent a message."""
         if name != self._link.node_name:
-            self._heard_by_name[name] = address
+            self._sender_address_by_name[name] = address
 
-    def seen(self) -> list[Seen]:
-        """Return what membership knows of the other nodes."""
+    def observations(self) -> list[Seen]:
+        """Return the state of each other node according to the membership."""
         own = self._link.node_name
         return [
-            _seen_member(member)
+            _observation_of_member(member)
             for member in self._members.known()
             if member.name != own
         ]
 
-    def tell(self, name: str, number: int) -> None:
-        """Send our number to a node, if it is known where that is."""
+    def announce_number(self, name: str, number: int) -> None:
+        """Send this node's bundle number to a node, if its address is known."""
         address = self.addresses().get(name)
         if address:
             host, port = self._link.address
-            news = BundleNews(number=number, host=host, port=port)
-            self._link.send(address, NEWS_KIND, news)
+            announcement = BundleNews(number=number, host=host, port=port)
+            self._link.send(address, NEWS_KIND, announcement)
 
-    async def changes(
+    async def fetch_changes(
         self, name: str, after: int
     ) -> tuple[SignedBundle, ...] | BundleError | None:
-        """Ask a node for the changes after a number; None without an answer."""
+        """Fetch the changes after a number from a node.
+
+        Return None if the node does not answer.
+        """
         address = self.addresses().get(name)
         if address is None:
             return None
@@ -104,36 +107,39 @@
             return None
         return decode_changes(reply) or None
 
-    async def whole(self, name: str) -> Whole | BundleError | None:
-        """Ask a node for everything; None without an answer."""
+    async def fetch_snapshot(self, name: str) -> Whole | BundleError | None:
+        """Fetch the full state from a node; return None if it does not answer."""
         address = self.addresses().get(name)
         if address is None:
             return None
 
-        async def ask(request: Any) -> Any:
+        async def fetch_page(request: Any) -> Any:
             return await self._link.call(address, WHOLE_KIND, request, WholeReply)
 
-        return await collect_whole(ask)
+        return await collect_whole(fetch_page)
+
+    async def fetch_states(self) -> dict[str, Any]:
+        """Request the state of every node.
 
-    async def states(self) -> dict[str, Any]:
-        """Ask every node for its state; what did not answer has ``CallFailed``."""
+        Return the reply of each node by name: ``CallFailed`` if it did not answer.
+        """
         addresses: Mapping[str, Address] = self.addresses()
         request = StateRequest(asker=self._link.node_name)
-        at_once = asyncio.Semaphore(_CALLS_AT_ONCE)
+        call_slots = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
 
-        async def ask(address: Address) -> Any:
-            async with at_once:
+        async def request_state(address: Address) -> Any:
+            async with call_slots:
                 return await self._link.call(address, STATE_KIND, request, StateReply)
 
-        replies = await asyncio.gather(*map(ask, addresses.values()))
+        replies = await asyncio.gather(*map(request_state, addresses.values()))
         for address, reply in zip(addresses.values(), replies, strict=True):
             if isinstance(reply, StateReply):
-                self.heard(reply.node_name, address)
+                self.record_sender(reply.node_name, address)
         return dict(zip(addresses, replies, strict=True))
 
 
-def seen_state(reply: Any) -> Seen:
-    """Return what a node's own answer tells of it."""
+def observation_of_state(reply: Any) -> Seen:
+    """Return the observation that a node's own state reply contains."""
     return Seen(
         reply.node_name,
         reply.failure_domain,
@@ -143,11 +149,11 @@
     )
 
 
-def _seen_member(member: Member) -> Seen:
+def _observation_of_member(member: Member) -> Seen:
     return Seen(
         member.name,
         member.failure_domain,
         member.bundle_number,
-        is_reached=member.state in _REACHED,
+        is_reached=member.state in _REACHABLE_STATES,
         is_leaving=member.state is MemberState.LEAVING,
     )
--- a/fireflyward/daemon/_guards.py
+++ b/fireflyward/daemon/_guards.py
@@ -1,4 +1,4 @@
-"""Puts a guard before each service of the platform that a node asks."""
+"""Rate limits and circuit breakers for a node's requests to the platform."""
 
 import random
 from collections.abc import Callable
@@ -21,14 +21,15 @@
 from fireflyward.settings import Settings
 
 _LIST_READS_PER_S = 100
-_LONGEST_READ_WAIT_MS = 1_000
-# One of 350 nodes has a write every 1.5 s. A node that writes one after the other
-# would otherwise be refused though it never asks for more than its share.
-_LONGEST_WRITE_WAIT_MS = 2_000
+_MAX_READ_WAIT_MS = 1_000
+# With 350 nodes, each node's share is one write every 1.5 s. With a shorter wait, a
+# node that sends its writes one after the other would be rejected although it stays
+# within its share.
+_MAX_WRITE_WAIT_MS = 2_000
 
 
 class Guards:
-    """Makes the guarded clients of one node, each service with its own breaker."""
+    """Wraps the platform clients of one node; each service has its own breaker."""
 
     def __init__(
         self, settings: Settings, *, clock: Clock, members: Members, metrics: Metrics
@@ -56,7 +57,7 @@
             reads=self._budget(self._settings["store_reads_per_s"]),
             writes=self._budget(
                 self._settings["store_writes_per_s"],
-                longest_wait_ms=_LONGEST_WRITE_WAIT_MS,
+                longest_wait_ms=_MAX_WRITE_WAIT_MS,
             ),
         )
 
@@ -64,7 +65,7 @@
         return self._guard(name, reads=self._budget(_LIST_READS_PER_S))
 
     def _budget(
-        self, per_second: float, *, longest_wait_ms: int = _LONGEST_READ_WAIT_MS
+        self, per_second: float, *, longest_wait_ms: int = _MAX_READ_WAIT_MS
     ) -> Budget:
         return Budget(
             per_second=per_second, nodes=self._nodes, longest_wait_ms=longest_wait_ms
@@ -84,10 +85,10 @@
 
 
 def count_nodes(members: Members) -> Callable[[], int]:
-    """Return a count of the nodes that may be asking the platform.
+    """Return a function that counts the nodes that may be using the platform.
 
-    Nodes of a failure domain that is not heard count too: they may be cut off
-    from this one only, and still use their share.
+    Nodes of a silent failure domain are included: they may be unreachable only from
+    this node, and still use their share.
     """
     return lambda: sum(
         member.state is not MemberState.DEAD for member in members.stored_all()
--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -1,4 +1,4 @@
-"""Kept work on a node: its stores, its part of the index, and the sweeps."""
+"""Kept KV blocks on a node: its stores, its shards of the index, and the sweeps."""
 
 import asyncio
 import logging
@@ -38,15 +38,15 @@
 
 STORE = "store"
 ENGINE = "engine"
-_LISTING_MS = 1_000
-_EVENTS_MS = 500
-_EXPORT_MS = 250
-_SWEEP_MS = 10_000
-_FOLLOW_ALL = 32
+_LISTING_PERIOD_MS = 1_000
+_EVENTS_PERIOD_MS = 500
+_EXPORT_PERIOD_MS = 250
+_SWEEP_PERIOD_MS = 10_000
+_FOLLOW_ALL_MAX_REPLICAS = 32
 
 
 class KeptDuty:
-    """Follows stores and engines, and sweeps the stores whose leases it holds."""
+    """Follows stores and engines; sweeps the stores whose lease this node holds."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
     ) -> None:
         self._clock = clock
         self._observe = observe
-        self._outside = io
+        self._io = io
         self._table = table
         self._router = router
         self._metrics = metrics
@@ -81,7 +81,7 @@
         self._store_reader_by_name: dict[str, StoreReader] = {}
         self._engine_reader_by_name: dict[str, EngineReader] = {}
         self._lease_by_store: dict[str, LeaseTask] = {}
-        self._lease_loops: dict[str, asyncio.Task[None]] = {}
+        self._lease_run_by_store: dict[str, asyncio.Task[None]] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self.work = KeptWork(
             clock=clock,
@@ -98,36 +98,36 @@
         )
 
     def start(self) -> None:
-        """Begin the periodic work."""
+        """Start the periodic tasks."""
         for period_ms, step in (
-            (_LISTING_MS, self.read_listings),
-            (_EVENTS_MS, self.read_events),
-            (_EXPORT_MS, self.work.export_due),
-            (_SWEEP_MS, self.sweep),
+            (_LISTING_PERIOD_MS, self.read_listings),
+            (_EVENTS_PERIOD_MS, self.read_events),
+            (_EXPORT_PERIOD_MS, self.work.export_due),
+            (_SWEEP_PERIOD_MS, self.sweep),
         ):
-            self._tasks.append(asyncio.create_task(self._repeat(period_ms, step)))
+            self._tasks.append(asyncio.create_task(self._run_periodic(period_ms, step)))
 
     async def stop(self) -> None:
-        """End the periodic work; what it left half done a sweep finds."""
-        tasks = [*self._tasks, *self._lease_loops.values()]
+        """Stop the periodic tasks; a later sweep frees what they left unfinished."""
+        tasks = [*self._tasks, *self._lease_run_by_store.values()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def apply(self, bundle: Bundle) -> None:
-        """Take the stores and the engines of a bundle."""
+        """Use the stores and the engines of a bundle from now on."""
         stores = {
             name: upstream
             for name, upstream in bundle.upstreams.items()
             if upstream.kind == STORE
         }
         for name in self.store_by_name.keys() - stores.keys():
-            self._drop_store(name)
+            self._remove_store(name)
         for name, upstream in stores.items():
             if self.url_by_store.get(name) != upstream.url:
                 self._add_store(name, upstream.url)
         self._connect_engines(bundle)
-        followed = self._followed(bundle)
+        followed = self._replicas_to_follow(bundle)
         for name in self._engine_reader_by_name.keys() - followed:
             del self._engine_reader_by_name[name]
             self.index.forget(name)
@@ -139,16 +139,16 @@
             self._router.set_estimate(self.work.placement)
 
     def _connect_engines(self, bundle: Bundle) -> None:
-        """Take the engines' KV calls, which are of no use without a store."""
+        """Create the clients of the engines' KV caches, if there is any store."""
         self.kv_by_replica.clear()
         if not self.store_by_name:
             return
         for name, upstream in bundle.upstreams.items():
             if upstream.kind == ENGINE:
-                self.kv_by_replica[name] = self._outside.make_kv_engine(upstream)
+                self.kv_by_replica[name] = self._io.make_kv_engine(upstream)
 
     async def read_listings(self) -> None:
-        """Bring this node's shards up to what the stores say."""
+        """Update this node's shards from the listings of the stores."""
         shards = self._shards()
         for name, store in list(self.store_by_name.items()):
             reader = self._store_reader_by_name[name]
@@ -161,13 +161,13 @@
         self._metrics.gauge("kept_index_entries", len(self.index))
 
     async def read_events(self) -> None:
-        """Bring this node's shards up to what the engines say of their caches."""
+        """Update this node's shards from the engines' cache events."""
         shards = self._shards()
         readers = list(self._engine_reader_by_name.values())
         await asyncio.gather(*(self._read_engine(item, shards) for item in readers))
 
     async def sweep(self) -> None:
-        """Sweep every store whose lease is held here."""
+        """Sweep every store whose lease this node holds."""
         for name, lease in list(self._lease_by_store.items()):
             store = self.store_by_name.get(name)
             if store is None or lease.claim() is None:
@@ -190,8 +190,8 @@
 
     def _add_store(self, name: str, url: str) -> None:
         if name in self.store_by_name:
-            self._drop_store(name)
-        self.store_by_name[name] = self._outside.make_store(name, url)
+            self._remove_store(name)
+        self.store_by_name[name] = self._io.make_store(name, url)
         self.url_by_store[name] = url
         self._store_reader_by_name[name] = StoreReader(name)
         lease = LeaseTask(
@@ -203,22 +203,26 @@
             observe=self._observe,
         )
         self._lease_by_store[name] = lease
-        self._lease_loops[name] = asyncio.create_task(lease.run())
+        self._lease_run_by_store[name] = asyncio.create_task(lease.run())
 
-    def _drop_store(self, name: str) -> None:
-        """Forget a store that the bundle no longer has; nothing is asked of it."""
+    def _remove_store(self, name: str) -> None:
+        """Remove a store that the bundle no longer has, without a request to it."""
         self.index.forget(name)
         del self.store_by_name[name], self.url_by_store[name]
         del self._store_reader_by_name[name], self._lease_by_store[name]
-        self._lease_loops.pop(name).cancel()
+        self._lease_run_by_store.pop(name).cancel()
 
     def _contends(self, store: str) -> bool:
         names = [member.name for member in self._members.all_live()]
         return self._own_name in contenders(f"sweep/{store}", names)
 
-    def _followed(self, bundle: Bundle) -> frozenset[str]:
-        """Return the replicas whose events are read: all, or the domain's own."""
-        if len(self.kv_by_replica) <= _FOLLOW_ALL:
+    def _replicas_to_follow(self, bundle: Bundle) -> frozenset[str]:
+        """Return the replicas whose cache events this node reads.
+
+        These are all replicas in a small deployment, and otherwise those of the node's
+        own failure domain.
+        """
+        if len(self.kv_by_replica) <= _FOLLOW_ALL_MAX_REPLICAS:
             return frozenset(self.kv_by_replica)
         own_domain = self._members.own.failure_domain
         return frozenset(
@@ -236,13 +240,13 @@
         return self._members.live_in(self._members.own.failure_domain)
 
     def _is_served(self, model: str, version: str) -> bool:
-        """Tell whether the bundle in force gives new requests this version."""
+        """Return whether the bundle in force assigns this version to any request."""
         bundle = self._holder.bundle
         if bundle is None or model not in bundle.models:
             return False
         return version in _versions_of(bundle, model)
 
-    async def _repeat(
+    async def _run_periodic(
         self, period_ms: int, step: Callable[[], Awaitable[None]]
     ) -> None:
         while True:
@@ -252,8 +256,8 @@
             except InvariantBroken:
                 raise
             except Exception:
-                # A loop that ended here would leave the index as it is for good:
-                # reuse would fall slowly and nothing would say why.
+                # If the loop stopped here, the index would never be updated again.
+                # The share of reused tokens would drop slowly without any error.
                 self._metrics.count("kept_errors_total")
                 log.exception("daemon: kept work goes on after an error")
 
--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -1,4 +1,4 @@
-"""Imports before a prompt is dispatched, and exports after it was served."""
+"""Imports of KV blocks before a prompt is dispatched, exports after it was served."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
@@ -39,50 +39,51 @@
 
 _EXPORT_DELAY_MS = 1_000
 _EXPORT_BLOCKS = 8
-_YIELD_MS = 5
-_LONGEST_YIELD_MS = 2_000
-_MAX_WAITING = 256
+_YIELD_POLL_MS = 5
+_MAX_YIELD_MS = 2_000
+_MAX_PENDING_EXPORTS = 256
 _MAX_HINTS = 4_096
 
 
 class IndexedPrefixes:
-    """What the index says of a prompt, for placement.
+    """Finds the cached and stored blocks of a prompt, for placement.
 
-    Of replicas whose events are followed the index knows evictions. Of the others
-    only this node's own record tells, which knows of none.
+    For replicas whose cache events this node follows, it uses the index, which takes
+    evictions into account. For the other replicas it uses this node's own record of
+    dispatched prompts, which contains no evictions.
     """
 
-    __slots__ = ("_last", "_look_up", "_router", "followed", "store_names")
+    __slots__ = ("_cached", "_look_up", "_router", "followed", "store_names")
 
     def __init__(self, look_up: ShardLookUp, router: Router) -> None:
         self._look_up = look_up
         self._router = router
         self.store_names: frozenset[str] = frozenset()
         self.followed: frozenset[str] = frozenset()
-        self._last: tuple[float, RunShape, PrefixLocations] | None = None
+        self._cached: tuple[float, RunShape, PrefixLocations] | None = None
 
     def locate(self, now_ms: float, shape: RunShape) -> PrefixLocations:
-        """Return the replicas' and the stores' parts of a prompt.
+        """Return which blocks of a prompt the replicas and the stores have.
 
-        Routing asks once for each replica within one choice; the answer is worked
-        out for the first of them only.
+        Routing calls this once for each replica while it chooses one. The result is
+        computed at the first call and cached for the others.
         """
-        if self._last and self._last[0] == now_ms and self._last[1] is shape:
-            return self._last[2]
-        known = self._find(shape)
-        self._last = now_ms, shape, known
-        return known
+        if self._cached and self._cached[0] == now_ms and self._cached[1] is shape:
+            return self._cached[2]
+        locations = self._find(shape)
+        self._cached = now_ms, shape, locations
+        return locations
 
     async def look_up(self, shape: RunShape) -> None:
-        """Ask the holders of the prompt's shard, if this node is none."""
+        """Query a holder of the prompt's index shard, unless this node is one."""
         await self._look_up.ask(shape.block_keys)
-        self._last = None
+        self._cached = None
 
     def _find(self, shape: RunShape) -> PrefixLocations:
-        sent = self._router.affinity.record.cached_tokens(shape.block_keys)
-        held = {
+        tokens_by_replica = self._router.affinity.record.cached_tokens(shape.block_keys)
+        blocks_by_replica = {
             name: tokens // BLOCK_TOKENS
-            for name, tokens in sent.items()
+            for name, tokens in tokens_by_replica.items()
             if name not in self.followed
         }
         stored = []
@@ -90,11 +91,11 @@
             if run.holder in self.store_names:
                 stored.append(StoredRun(run.holder, run.first, run.blocks))
             elif run.first == 0:
-                held[run.holder] = run.blocks
-        return PrefixLocations(held, tuple(stored))
+                blocks_by_replica[run.holder] = run.blocks
+        return PrefixLocations(blocks_by_replica, tuple(stored))
 
-    def start_of(self, shape: RunShape, plan: Import) -> int:
-        """Return where the store's run begins that a plan is a part of."""
+    def run_start(self, shape: RunShape, plan: Import) -> int:
+        """Return the first block of the stored run that contains the plan's blocks."""
         for run in self._look_up.find(shape.block_keys):
             if run.holder == plan.store and run.first <= plan.first:
                 if plan.first < run.first + run.blocks:
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptHint:
-    """What a caller told of a prompt's return: a named prefix, or a session."""
+    """A caller's hint that a prompt will return: a named prefix or a session."""
 
     prefix_blocks: int = 0
     has_session: bool = False
@@ -112,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Served:
-    """A prompt that a replica has computed, or soon will have."""
+    """A prompt that was dispatched to a replica and may be exported from it."""
 
     at_ms: int
     replica: str
@@ -121,12 +122,13 @@
 
 
 class KeptWork:
-    """Orders the imports and exports of one node.
+    """Performs the imports and exports of one node.
 
-    An import has its limit from the estimate of what recomputing would take, so a
-    store that is slow, dead or full delays an answer by at most a small share of
-    that. Exports wait until the prompt was computed and while an import is under
-    way; the oldest are dropped when too many wait, since they only save later work.
+    The time limit of an import comes from the estimated time to compute its blocks.
+    So a slow, crashed or full store delays an answer by at most a small share of that
+    time. An export waits for one second, so that its prompt is computed first, and as
+    long as an import is in flight. When too many exports are pending, the oldest are
+    dropped, because an export only saves later computation.
     """
 
     def __init__(
@@ -157,11 +159,11 @@
         self._importer = Importer(clock, url_by_store, is_served, observe=observe)
         self._exporter = Exporter(url_by_store, observe=observe)
         self._served_by_run: OrderedDict[str, _Served] = OrderedDict()
-        self._imports = 0
+        self._imports_in_flight = 0
         self._hint_by_run: OrderedDict[str, PromptHint] = OrderedDict()
 
-    def hint(self, run_id: str, prefix_blocks: int, has_session: bool) -> None:
-        """Take what a caller told of a prompt's return, before it is prepared."""
+    def on_hint(self, run_id: str, prefix_blocks: int, has_session: bool) -> None:
+        """Record a caller's hint for a prompt, before ``prepare`` is called for it."""
         if not prefix_blocks and not has_session:
             return
         self._hint_by_run[run_id] = PromptHint(prefix_blocks, has_session)
@@ -169,7 +171,7 @@
             self._hint_by_run.popitem(last=False)
 
     async def prepare(self, replica: str, call: EngineCall, shape: RunShape) -> None:
-        """Import what placement would import to this replica, in bounded time."""
+        """Import the blocks that placement plans for this replica, in bounded time."""
         if self._store_by_name:
             await self.prefixes.look_up(shape)
         now_ms = self._clock.now_ms()
@@ -179,31 +181,31 @@
             if isinstance(estimate.plan, Import):
                 await self._import(replica, call, shape, estimate)
         if self._store_by_name:
-            self._note_served(now_ms, replica, shape)
+            self._record_served(now_ms, replica, shape)
 
-    def _note_served(self, now_ms: int, replica: str, shape: RunShape) -> None:
-        """Remember a prompt; a later attempt of the same run replaces an earlier.
+    def _record_served(self, now_ms: int, replica: str, shape: RunShape) -> None:
+        """Record a prompt; a later attempt of the same run replaces an earlier one.
 
-        Counted twice, a prompt that was only tried again would look like one that
-        returned, and would be kept for it.
+        If both attempts counted, a prompt that was only retried would look like one
+        that returned, and would be exported for that reason.
         """
-        waiting = self._served_by_run
-        earlier = waiting.get(shape.run_id)
+        pending = self._served_by_run
+        earlier = pending.get(shape.run_id)
         default = earlier.hint if earlier else PromptHint()
         hint = self._hint_by_run.pop(shape.run_id, default)
-        waiting[shape.run_id] = _Served(now_ms, replica, shape, hint)
-        waiting.move_to_end(shape.run_id)
-        while len(waiting) > _MAX_WAITING:
-            waiting.popitem(last=False)
+        pending[shape.run_id] = _Served(now_ms, replica, shape, hint)
+        pending.move_to_end(shape.run_id)
+        while len(pending) > _MAX_PENDING_EXPORTS:
+            pending.popitem(last=False)
 
     async def export_due(self) -> None:
-        """Export the prompts that were served long enough ago."""
-        waiting = self._served_by_run
-        while waiting and not self._imports:
-            oldest = next(iter(waiting.values()))
+        """Export the prompts whose export delay is over."""
+        pending = self._served_by_run
+        while pending and not self._imports_in_flight:
+            oldest = next(iter(pending.values()))
             if self._clock.now_ms() - oldest.at_ms < _EXPORT_DELAY_MS:
                 return
-            del waiting[oldest.shape.run_id]
+            del pending[oldest.shape.run_id]
             await self._export_prompt(oldest)
 
     async def _import(
@@ -214,12 +216,12 @@
         engine = self._kv_by_replica.get(replica)
         if store is None or engine is None:
             return
-        # What the replica was expected to hold may have been evicted, and a part
-        # without its beginning is of no use. So the order starts where the store's
-        # run starts; the engine reads nothing of what it has.
-        first = self.prefixes.start_of(shape, plan)
+        # The replica may have evicted blocks that it was assumed to have, and blocks
+        # are of no use without those before them. So the request covers the stored
+        # run from its first block. The engine reads only the blocks that it lacks.
+        first = self.prefixes.run_start(shape, plan)
         keys = shape.block_keys[first : plan.first + plan.blocks]
-        ask = ImportAsk(
+        import_request = ImportAsk(
             call.run_id,
             call.model,
             call.version,
@@ -227,19 +229,19 @@
             shape.block_keys[0],
             plan.block_ms,
         )
-        began_ms = self._clock.now_ms()
-        watch = ImportWatch(began_ms, plan, queue_ms=estimate.queue_ms)
+        started_ms = self._clock.now_ms()
+        watch = ImportWatch(started_ms, plan, queue_ms=estimate.queue_ms)
         links, size = self.placement.links, plan.blocks * self._block_bytes
         links.on_start(plan.store, size)
-        self._imports += 1
+        self._imports_in_flight += 1
         try:
-            result = await self._importer.load(ask, engine, store, watch)
+            result = await self._importer.load(import_request, engine, store, watch)
         finally:
-            self._imports -= 1
+            self._imports_in_flight -= 1
             links.on_end(plan.store, size)
-        self._note_import(plan.store, result, self._clock.now_ms() - began_ms)
+        self._record_import(plan.store, result, self._clock.now_ms() - started_ms)
 
-    def _note_import(self, store: str, result: Imported, took_ms: float) -> None:
+    def _record_import(self, store: str, result: Imported, took_ms: float) -> None:
         now_ms, links = self._clock.now_ms(), self.placement.links
         if result.blocks:
             size = result.blocks * self._block_bytes
@@ -255,20 +257,22 @@
 
     async def _export_prompt(self, served: _Served) -> None:
         shape = served.shape
-        known = self.prefixes.locate(self._clock.now_ms(), shape)
-        kept = max((run.end for run in known.stored if not run.first), default=0)
-        seen = ServedPrompt(
+        locations = self.prefixes.locate(self._clock.now_ms(), shape)
+        stored_blocks = max(
+            (run.end for run in locations.stored if not run.first), default=0
+        )
+        served_prompt = ServedPrompt(
             shape.account,
             shape.block_keys,
             has_session=served.hint.has_session,
             hinted_blocks=served.hint.prefix_blocks,
-            kept_blocks=kept,
+            kept_blocks=stored_blocks,
         )
-        offers = self._keep.on_prompt(self._clock.now_ms(), seen)
+        offers = self._keep.on_prompt(self._clock.now_ms(), served_prompt)
         engine = self._kv_by_replica.get(served.replica)
         if engine is None or not self._store_by_name:
             return
-        for first, blocks in _consecutive(offers):
+        for first, blocks in _join_consecutive(offers):
             for store in self._stores_for(shape, offers):
                 await self._export(engine, store, shape, first, blocks)
 
@@ -280,29 +284,30 @@
         first: int,
         blocks: int,
     ) -> None:
-        """Export in small parts, so that an import that comes waits for one only."""
+        """Export in small parts, so that a new import waits for one part at most."""
         end = first + blocks
         for start in range(first, end, _EXPORT_BLOCKS):
-            await self._let_imports_go_first()
-            places = range(start, min(end, start + _EXPORT_BLOCKS))
-            if not await self._export_part(engine, store, shape, places):
+            await self._yield_to_imports()
+            positions = range(start, min(end, start + _EXPORT_BLOCKS))
+            if not await self._export_part(engine, store, shape, positions):
                 return
 
-    async def _let_imports_go_first(self) -> None:
-        until_ms = self._clock.now_ms() + _LONGEST_YIELD_MS
-        while self._imports and self._clock.now_ms() < until_ms:
-            await self._clock.sleep_ms(_YIELD_MS)
+    async def _yield_to_imports(self) -> None:
+        deadline_ms = self._clock.now_ms() + _MAX_YIELD_MS
+        while self._imports_in_flight and self._clock.now_ms() < deadline_ms:
+            await self._clock.sleep_ms(_YIELD_POLL_MS)
 
     async def _export_part(
-        self, engine: KvEngine, store: StoreClient, shape: RunShape, places: range
+        self, engine: KvEngine, store: StoreClient, shape: RunShape, positions: range
     ) -> bool:
-        """Export the blocks at these places; return whether the rest is of use."""
+        """Export the blocks at these positions; return whether to continue."""
         owner = self._names.owner_tag(shape.account)
         shard = shard_of(shape.block_keys[0])
         wanted = tuple(
-            Wanted(shape.block_keys[place], place + 1, shard, owner) for place in places
+            Wanted(shape.block_keys[position], position + 1, shard, owner)
+            for position in positions
         )
-        order_id = f"{shape.run_id}-{store.name}-{places.start}"
+        order_id = f"{shape.run_id}-{store.name}-{positions.start}"
         plan = ExportPlan(order_id, shape.model, shape.version, wanted)
         result = await self._exporter.export(plan, engine, store)
         if not isinstance(result, Exported):
@@ -323,16 +328,20 @@
     def _stores_for(
         self, shape: RunShape, offers: list[KeepOffer]
     ) -> list[StoreClient]:
-        """Return every store for a shared prompt, else one by its first block."""
+        """Return the stores that receive a prompt's pieces.
+
+        These are all stores if a piece occurs in several prompts, and otherwise one
+        store, chosen by the prompt's first block.
+        """
         names = sorted(self._store_by_name)
         if any(offer.is_shared for offer in offers):
             return [self._store_by_name[name] for name in names]
-        place = shard_of(shape.block_keys[0]) % len(names)
-        return [self._store_by_name[names[place]]]
+        index = shard_of(shape.block_keys[0]) % len(names)
+        return [self._store_by_name[names[index]]]
 
 
-def _consecutive(offers: list[KeepOffer]) -> list[tuple[int, int]]:
-    """Join pieces that follow each other into runs of first block and count."""
+def _join_consecutive(offers: list[KeepOffer]) -> list[tuple[int, int]]:
+    """Join consecutive pieces into runs, each a first block and a block count."""
     runs: list[tuple[int, int]] = []
     for first in sorted(offer.piece.first for offer in offers):
         if runs and sum(runs[-1]) == first:
--- a/fireflyward/daemon/_lifecycle_steps.py
+++ b/fireflyward/daemon/_lifecycle_steps.py
@@ -1,10 +1,10 @@
-"""The named points of a node's start and of its planned stop."""
+"""The named steps of a node's start and of its planned stop."""
 
 from fireflyward.steps import Step
 
 
 class StartStep(Step):
-    """Start of a node, in order."""
+    """The steps of a node's start, in order."""
 
     LINK_OPEN = "start: peer link open"
     PORT_OPEN = "start: port for callers open"
@@ -13,8 +13,9 @@
 
 
 class StopStep(Step):
-    """Planned stop of a node, in order; a hard limit or second signal jumps to
-    ``CUT``.
+    """The steps of a node's planned stop, in order.
+
+    The hard limit or a second signal skips to ``CUT``.
     """
 
     READINESS_GONE = "stop: readiness gone"
--- a/fireflyward/daemon/_limits_duty.py
+++ b/fireflyward/daemon/_limits_duty.py
@@ -1,4 +1,4 @@
-"""The duty that shares the accounts' limits among the nodes of a domain."""
+"""The duty that divides the accounts' limits among the nodes of a failure domain."""
 
 import asyncio
 from functools import singledispatchmethod
@@ -19,11 +19,11 @@
 
 _DEMAND_KIND = "demand"
 _TALLY_KIND = "tally"
-_TICK_MS = 250
+_TICK_PERIOD_MS = 250
 
 
 class LimitsDuty:
-    """Owns the datagrams; ``AccountShares`` decides on them."""
+    """Sends and receives the datagrams; ``AccountShares`` decides what to send."""
 
     def __init__(
         self, *, link: PeerLink, clock: Clock, members: Members, gate: AdmissionGate
@@ -36,23 +36,23 @@
         self._clock = clock
         self._members = members
         self._live = members.live_in(own.failure_domain)
-        self._ticking: asyncio.Task[None] | None = None
+        self._ticker: asyncio.Task[None] | None = None
         link.register(_DEMAND_KIND, Demand, self._on_demand)
         link.register(_TALLY_KIND, Tally, self._on_tally)
 
     async def start(self) -> None:
-        """Begin the periodic round."""
-        self._ticking = asyncio.create_task(self._tick())
+        """Start the periodic task."""
+        self._ticker = asyncio.create_task(self._run_ticks())
 
     async def stop(self) -> None:
-        """End the periodic round."""
-        if self._ticking:
-            self._ticking.cancel()
-            await asyncio.gather(self._ticking, return_exceptions=True)
+        """Stop the periodic task."""
+        if self._ticker:
+            self._ticker.cancel()
+            await asyncio.gather(self._ticker, return_exceptions=True)
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
-            await self._clock.sleep_ms(_TICK_MS)
+            await self._clock.sleep_ms(_TICK_PERIOD_MS)
             self._live = self._members.live_in(self._members.own.failure_domain)
             self.shares.set_nodes(len(self._live))
             in_flight = self._gate.admission.in_flight
--- a/fireflyward/daemon/_load_duty.py
+++ b/fireflyward/daemon/_load_duty.py
@@ -1,4 +1,4 @@
-"""The duty that learns the replicas' loads, by polling and from peers."""
+"""The duty that collects the replicas' loads, by polling and from other nodes."""
 
 import asyncio
 import logging
@@ -24,17 +24,17 @@
 
 log = logging.getLogger("fireflyward.routing")
 
-_KIND = "loads"
-_TICK_MS = 50
-_TICKS_BETWEEN_LOOKS = 10
+_LOADS_KIND = "loads"
+_TICK_PERIOD_MS = 50
+_TICKS_PER_PEER_UPDATE = 10
 _ENGINE = "engine"
 
 
 class LoadDuty:
-    """Owns the polls and the datagrams; ``LoadSharing`` decides on them.
+    """Polls replicas and exchanges load updates as ``LoadSharing`` decides.
 
-    ``as_routed`` gives a report the form in which routing is to see it, without
-    what this node knows to be about to change.
+    ``without_loading_models`` removes from a load report the models that are about
+    to be reloaded on that replica, so that routing does not choose it for them.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         router: Router,
         members: Members,
         engine_by_name: Mapping[str, Engine],
-        as_routed: Callable[[str, LoadReport], LoadReport],
+        without_loading_models: Callable[[str, LoadReport], LoadReport],
     ) -> None:
         own = members.own
         self.sharing = LoadSharing(own.name, own.failure_domain)
@@ -54,13 +54,13 @@
         self._router = router
         self._members = members
         self._engine_by_name = engine_by_name
-        self._as_routed = as_routed
-        self._ticking: asyncio.Task[None] | None = None
+        self._without_loading_models = without_loading_models
+        self._ticker: asyncio.Task[None] | None = None
         self._polls: dict[str, asyncio.Task[None]] = {}
-        link.register(_KIND, LoadNews, self._on_news)
+        link.register(_LOADS_KIND, LoadNews, self._on_load_update)
 
     def set_bundle(self, bundle: Bundle) -> None:
-        """Watch the engines of a bundle."""
+        """Collect the loads of the engines of a bundle."""
         self.sharing.set_replicas(
             WatchedReplica(
                 name,
@@ -72,35 +72,35 @@
         )
 
     async def start(self) -> None:
-        """Ask every watched replica once, then begin the periodic rounds."""
+        """Poll every watched replica once, then start the periodic task."""
         await asyncio.gather(*(self._poll(name) for name in self.sharing.watched))
-        self._ticking = asyncio.create_task(self._tick())
+        self._ticker = asyncio.create_task(self._run_ticks())
 
     async def stop(self) -> None:
-        """End the rounds and the polls under way."""
-        tasks = [*self._polls.values(), *([self._ticking] if self._ticking else [])]
+        """Stop the periodic task and the polls in flight."""
+        tasks = [*self._polls.values(), *([self._ticker] if self._ticker else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
-            self._look_at_peers()
-            for _ in range(_TICKS_BETWEEN_LOOKS):
-                await self._clock.sleep_ms(_TICK_MS)
+            self._update_peers()
+            for _ in range(_TICKS_PER_PEER_UPDATE):
+                await self._clock.sleep_ms(_TICK_PERIOD_MS)
                 now_ms = self._clock.now_ms()
-                self._tell_leaving(now_ms)
+                self._share_leaving(now_ms)
                 self._perform_all(
                     [Poll(name) for name in self._router.pop_outdated_replicas()]
                 )
                 self._perform_all(self.sharing.tick(now_ms))
 
-    def _look_at_peers(self) -> None:
+    def _update_peers(self) -> None:
         live = self._members.live_in(self._members.own.failure_domain)
         self.sharing.set_peers(member.name for member in live)
         self._router.set_report_period(self.sharing.period_ms())
 
-    def _tell_leaving(self, now_ms: int) -> None:
+    def _share_leaving(self, now_ms: int) -> None:
         for name in self.sharing.watched:
             candidate = self._router.candidate(name)
             if candidate is not None and candidate.leaving:
@@ -116,7 +116,7 @@
 
     @_perform.register
     def _(self, action: Poll) -> None:
-        """Begin a poll, unless the one before it still waits for its answer."""
+        """Start a poll, unless the previous one still waits for its answer."""
         if action.name in self._polls:
             return
         task = asyncio.create_task(self._poll(action.name))
@@ -128,7 +128,7 @@
         for name in action.peers:
             member = self._members.get(name)
             if member is not None:
-                self._link.send(member.address, _KIND, action.update)
+                self._link.send(member.address, _LOADS_KIND, action.update)
 
     async def _poll(self, name: str) -> None:
         engine = self._engine_by_name.get(name)
@@ -139,19 +139,19 @@
         report = None if isinstance(result, Broken) else result
         entry, actions = self.sharing.on_polled(now_ms, name, report)
         if entry:
-            self._take(now_ms, entry)
+            self._apply_entry(now_ms, entry)
         self._perform_all(actions)
 
-    async def _on_news(self, sender: str, news: Any) -> None:
+    async def _on_load_update(self, sender: str, update: Any) -> None:
         now_ms = self._clock.now_ms()
-        entries, actions = self.sharing.on_load_update(now_ms, sender, news)
+        entries, actions = self.sharing.on_load_update(now_ms, sender, update)
         for entry in entries:
-            self._take(now_ms, entry)
+            self._apply_entry(now_ms, entry)
         self._perform_all(actions)
 
-    def _take(self, now_ms: int, entry: LoadEntry) -> None:
+    def _apply_entry(self, now_ms: int, entry: LoadEntry) -> None:
         if entry.report is None:
             self._router.on_failure(now_ms, entry.name)
         else:
-            report = self._as_routed(entry.name, entry.report)
+            report = self._without_loading_models(entry.name, entry.report)
             self._router.on_report(entry.measured_ms, entry.name, report)
--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -1,4 +1,4 @@
-"""A node: every duty of an entry VM, put together."""
+"""A node: the parts and duties of an entry VM, assembled."""
 
 import asyncio
 import logging
@@ -29,16 +29,16 @@
 from ._limits_duty import LimitsDuty
 from ._load_duty import LoadDuty
 from ._node_io import NodeIO
-from ._planned_stop import HandOn, PlannedStop
+from ._planned_stop import Handover, PlannedStop
 from ._rollout_duty import RolloutDuty
-from ._sweep_duty import sweep_for_ever
+from ._sweep_duty import run_sweeper
 
 log = logging.getLogger("fireflyward.daemon")
 
-_CONFIRM_LIMIT_MS = 300
-_MOST_CONFIRMED = 8
-_DETACHED_LIMIT_S = 30.0
-_CERTIFICATE_POLL_MS = 60_000
+_REFRESH_TIMEOUT_MS = 300
+_MAX_REFRESHED_REPLICAS = 8
+_DETACHED_RUNS_TIMEOUT_S = 30.0
+_CERTIFICATE_CHECK_PERIOD_MS = 60_000
 ENGINE = "engine"
 SERVICE = "service"
 
@@ -83,7 +83,7 @@
             io=self.io,
             observe=observe,
         )
-        self.hand_on: list[HandOn] = [self.rollout.hand_on]
+        self.handovers: list[Handover] = [self.rollout.hand_over]
         self._planned_stop: PlannedStop | None = None
         self._stopping = False
         self._tasks: list[asyncio.Task[None]] = []
@@ -93,7 +93,7 @@
             router=self.router,
             members=self.members,
             engine_by_name=self.engine_by_name,
-            as_routed=self.rollout.as_routed,
+            without_loading_models=self.rollout.without_loading_models,
         )
         self.account_limits = LimitsDuty(
             link=self.link,
@@ -113,7 +113,7 @@
         return f"Node({self.settings['node_name']!r}, port={self.port})"
 
     async def start(self) -> None:
-        """Open the sockets and begin the periodic tasks."""
+        """Open the sockets and start the periodic tasks."""
         await self.io.open()
         table = self.guards.table(self.io.make_table())
         objects = self.guards.objects(self.io.make_objects())
@@ -171,9 +171,9 @@
         await self.admin.start()
         await self.rollout.start(table)
         self.kept.start()
-        self._every(_CERTIFICATE_POLL_MS, self._renew_certificate)
+        self._start_periodic(_CERTIFICATE_CHECK_PERIOD_MS, self._renew_certificate)
         sweeper = Sweeper(table, self.clock, observe=self.observe)
-        self._tasks.append(asyncio.create_task(sweep_for_ever(sweeper, self.clock)))
+        self._tasks.append(asyncio.create_task(run_sweeper(sweeper, self.clock)))
         self.observe(StartStep.DUTIES_BEGUN)
         await self.loads.start()
         await self.account_limits.start()
@@ -186,7 +186,7 @@
         )
 
     async def stop(self) -> None:
-        """Shut down gracefully: no request that could be served is cut."""
+        """Stop as planned; requests that finish within the limit are not cut."""
         self._stopping = True
         self._planned_stop = PlannedStop(
             clock=self.clock,
@@ -194,26 +194,26 @@
             observe=self.observe,
             balancer_wait_ms=self.settings["balancer_wait_ms"],
             limit_ms=self.settings["drain_limit_ms"],
-            tell_peers=self._tell_peers,
-            hand_on=self.hand_on,
+            announce_leaving=self._announce_leaving,
+            handovers=self.handovers,
             stop_accepting=self.io.stop_accepting,
         )
         await self._planned_stop.run()
         if not self._planned_stop.is_cut:
-            await finish_detached(_DETACHED_LIMIT_S)
+            await finish_detached(_DETACHED_RUNS_TIMEOUT_S)
         await self.close()
 
     def cut(self) -> None:
-        """End a planned stop that waits; what is still under way is cut."""
+        """End the waiting of a planned stop; requests in flight are cancelled."""
         if self._planned_stop:
             self._planned_stop.cut()
 
-    def _tell_peers(self) -> None:
+    def _announce_leaving(self) -> None:
         if self.membership:
             self.membership.leave()
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close everything immediately."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -239,7 +239,7 @@
         self.tracing.close()
 
     def is_ready(self) -> bool:
-        """Tell the balancer whether new requests may come here."""
+        """Return whether the balancer may send new requests to this node."""
         return not self._stopping and self.holder.bundle is not None
 
     async def _renew_certificate(self) -> None:
@@ -283,10 +283,10 @@
             ready=self.is_ready,
             observe=self.observe,
             catch_up=self.bundles.catch_up,
-            confirm_versions=self.confirm_versions,
+            refresh_reports=self.refresh_reports,
             prepare=self.kept.work.prepare,
             prefixes=self.kept.prefixes,
-            on_hint=self.kept.work.hint,
+            on_hint=self.kept.work.on_hint,
             run_ids=RunIds(self.settings["kept_key"]),
             limits=SilenceLimits(silence_ms=self.settings["silence_limit_ms"]),
             in_flight=self.in_flight,
@@ -294,11 +294,11 @@
             leaving=self.leaving_upstreams,
         )
 
-    async def confirm_versions(self, model: str, version: str) -> None:
-        """Ask a few replicas that are not known to have a version what they have.
+    async def refresh_reports(self, model: str, version: str) -> None:
+        """Poll a few replicas whose last load report does not contain the version.
 
-        Few, since in a large deployment every node would otherwise ask every
-        replica at once when a version ends.
+        The number is limited: in a large deployment, every node would otherwise poll
+        every replica at the same time when the last replica leaves a version.
         """
         names = [
             name
@@ -306,24 +306,26 @@
             if model in self.router.candidate(name).models
             and self.router.candidate(name).version_by_model.get(model) != version
         ]
-        asked = random.sample(names, min(len(names), _MOST_CONFIRMED))
-        await asyncio.gather(*(self._confirm(name) for name in asked))
+        sampled_names = random.sample(names, min(len(names), _MAX_REFRESHED_REPLICAS))
+        await asyncio.gather(*(self._refresh_report(name) for name in sampled_names))
 
-    async def _confirm(self, name: str) -> None:
+    async def _refresh_report(self, name: str) -> None:
         engine = self.engine_by_name.get(name)
         if engine is None:
             return
         try:
-            report = await within(self.clock, _CONFIRM_LIMIT_MS, engine.load())
+            report = await within(self.clock, _REFRESH_TIMEOUT_MS, engine.load())
         except TimeoutError:
             return
         if not isinstance(report, Broken):
             self.router.on_report(self.clock.now_ms(), name, report)
 
-    def _every(self, period_ms: int, step: Callable[[], Awaitable[None]]) -> None:
-        self._tasks.append(asyncio.create_task(self._repeat(period_ms, step)))
+    def _start_periodic(
+        self, period_ms: int, step: Callable[[], Awaitable[None]]
+    ) -> None:
+        self._tasks.append(asyncio.create_task(self._run_periodic(period_ms, step)))
 
-    async def _repeat(
+    async def _run_periodic(
         self, period_ms: int, step: Callable[[], Awaitable[None]]
     ) -> None:
         while True:
@@ -331,7 +333,7 @@
             await step()
 
     def apply(self, bundle: Bundle) -> None:
-        """Serve by ``bundle`` from now on, unless it is not newer."""
+        """Bring ``bundle`` into force, if it is newer than the current one."""
         if not self.holder.offer(bundle):
             return
         self.rollout.versions.on_bundle(
@@ -342,12 +344,13 @@
             "daemon: bundle %d in force", bundle.number, extra={"bundle": bundle.number}
         )
 
-    def _retire_upstreams(self, bundle: Bundle) -> None:
-        """Forget upstreams that bundles left out, once no run can still need them.
+    def _remove_retired_upstreams(self, bundle: Bundle) -> None:
+        """Remove upstreams that the bundle no longer has, after a delay.
 
-        A run that goes on over a change has to be resumed or cancelled where it
-        is. Had its client gone with the bundle, it would be lost to its caller
-        and go on costing its engine.
+        A run that is in flight during the change may have to be resumed or cancelled
+        at its upstream. Without the client, its caller would lose the run and the
+        engine would continue to compute it. So a client is kept for as long as a
+        request can last.
         """
         now_ms = self.clock.now_ms()
         for name in (*self.engine_by_name, *self.service_by_name):
@@ -361,12 +364,12 @@
                 del self._retired_ms_by_name[name]
 
     def _connect_upstreams(self, bundle: Bundle) -> None:
-        self._retire_upstreams(bundle)
+        self._remove_retired_upstreams(bundle)
         candidates = []
         for name, upstream in bundle.upstreams.items():
             if upstream.kind == ENGINE:
                 engine = self.io.make_engine(name, upstream)
-                self.engine_by_name[name] = self.rollout.watched(engine)
+                self.engine_by_name[name] = self.rollout.count_runs(engine)
                 candidates.append(
                     Candidate(name, upstream.failure_domain, upstream.models)
                 )
--- a/fireflyward/daemon/_node_io.py
+++ b/fireflyward/daemon/_node_io.py
@@ -1,4 +1,4 @@
-"""Everything through which a node meets others: its sockets and its clients."""
+"""The sockets of a node and its clients for other services."""
 
 from aiohttp import web
 
@@ -30,14 +30,14 @@
 
 from ._tls import CallerTls
 
-_IDLE_LIMIT_S = 75.0
+_IDLE_TIMEOUT_S = 75.0
 
 
 class NodeIO:
-    """Opens real sockets by the settings; tests give a node one in memory.
+    """Opens the sockets and creates the clients that the settings describe.
 
-    ``open`` comes before everything else, since the clients share a session that
-    belongs to the running event loop.
+    Tests replace it by an implementation in memory. ``open`` must be called first,
+    because the clients share a session that belongs to the running event loop.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -47,7 +47,7 @@
         self._runner: web.AppRunner | None = None
 
     def make_link(self, incarnation: int) -> PeerLink:
-        """Return the link to other nodes, not yet started."""
+        """Return the link to the other nodes; it is not started yet."""
         return PeerLink(
             node_name=self._settings["node_name"],
             incarnation=incarnation,
@@ -57,17 +57,17 @@
         )
 
     async def open(self) -> None:
-        """Begin the sessions that all clients share."""
+        """Create the sessions that all clients share."""
         self._sessions = Sessions()
 
     async def listen(self, app: web.Application) -> int:
         """Serve callers and return the port.
 
-        A connection that stays without a whole request for the idle limit is
-        closed, whether it never sent one or has finished its last.
+        A connection on which no complete request arrives within the idle timeout is
+        closed, whether it never sent a request or its last one is finished.
         """
         self._runner = web.AppRunner(
-            app, access_log=None, keepalive_timeout=_IDLE_LIMIT_S
+            app, access_log=None, keepalive_timeout=_IDLE_TIMEOUT_S
         )
         await self._runner.setup()
         host, port = self._settings["host"], self._settings["port"]
@@ -76,7 +76,7 @@
         return self._runner.addresses[0][1]
 
     async def stop_accepting(self) -> None:
-        """Close the port; connections that are open stay so."""
+        """Close the port; open connections stay open."""
         if self._runner:
             for site in list(self._runner.sites):
                 await site.stop()
@@ -110,7 +110,7 @@
         )
 
     def make_ordered_engine(self, name: str, upstream: Upstream) -> OrderedEngine:
-        """Return the client through which a driver orders the replica ``name``."""
+        """Return the client with which the rollout driver controls a replica."""
         return HttpOrderedEngine(self._sessions.pooled, upstream.url)
 
     def make_kv_engine(self, upstream: Upstream) -> KvEngine:
@@ -122,7 +122,7 @@
         return HttpStore(self._sessions.pooled, name, url)
 
     def make_service(self, name: str, upstream: Upstream) -> PlainService:
-        """Return the client of the plain service's replica ``name``."""
+        """Return the client of ``name``, a replica of a plain service."""
         return HttpService(
             self._sessions.pooled, upstream.url, fresh=self._sessions.fresh
         )
--- a/fireflyward/daemon/_rollout_duty.py
+++ b/fireflyward/daemon/_rollout_duty.py
@@ -1,4 +1,4 @@
-"""The duty that rolls weight versions out and tells the entry which to use."""
+"""The duty that rolls out weight versions and selects them for new requests."""
 
 import asyncio
 import logging
@@ -31,32 +31,34 @@
 
 log = logging.getLogger("fireflyward.rollout")
 
-# All nodes together read the row at most this often, and each at least as often
-# as lets them agree within seconds at 350 nodes.
+# The limit for all nodes together. With 350 nodes, each reads the row every 3.5 s, so
+# all of them use the same shares within seconds.
 _ROW_READS_PER_S = 100
-_LEAST_POLL_MS = 1_000
-_CONFIRMED_FOR_MS = 100
+_MIN_POLL_PERIOD_MS = 1_000
+_VERSIONS_CACHE_MS = 100
 
 
 class OrderedEngines:
-    """The replicas of the bundle in force, as a driver orders them, by name."""
+    """Finds the clients that control the replicas of the bundle in force, by name."""
 
     def __init__(self, io: NodeIO, holder: BundleHolder) -> None:
-        self._outside = io
+        self._io = io
         self._holder = holder
 
     def get(self, name: str) -> OrderedEngine | None:
-        """Return a replica, or None if the bundle has no such upstream."""
+        """Return a replica's client, or None if the bundle has no such upstream."""
         bundle = self._holder.bundle
         upstream = bundle.upstreams.get(name) if bundle else None
-        return self._outside.make_ordered_engine(name, upstream) if upstream else None
+        return self._io.make_ordered_engine(name, upstream) if upstream else None
 
 
 class RolloutDuty:
-    """Contends for the driver's lease, drives while it has it, reads the shares.
+    """Competes for the driver's lease, drives the rollout, and reads the shares.
 
-    ``versions`` is what the entry asks; ``watched`` and ``as_routed`` are the two
-    places at which a node lets the rollout see and steer its runs.
+    Only the node that holds the lease drives the rollout; every node reads the shares.
+    ``versions`` selects the weight version of new requests. The rollout observes runs
+    through ``count_runs``, and ``without_loading_models`` keeps requests for a model
+    away from replicas that are about to reload it.
     """
 
     def __init__(
@@ -75,25 +77,25 @@
         self._members = members
         self._holder = holder
         self._router = router
-        self._outside = io
+        self._io = io
         self._observe = observe
         self._watch = HealthWatch()
         self._plan: Plan | None = None
-        self._confirmed: dict[str, frozenset[str]] = {}
-        self._confirmed_until_ms = 0
-        self._confirmed_at_change = 0
+        self._cached_versions: dict[str, frozenset[str]] = {}
+        self._cache_expires_ms = 0
+        self._cached_at_change = 0
         self._tasks: list[asyncio.Task[None]] = []
         self._table: Table | None = None
         self._lease: LeaseTask | None = None
         self._driver: RolloutTask | None = None
         self.versions = ServingVersions(self._confirmed_versions)
 
-    def watched(self, engine: Engine) -> Engine:
-        """Return ``engine`` with its runs counted by weight version."""
+    def count_runs(self, engine: Engine) -> Engine:
+        """Return a wrapper of ``engine`` that counts its runs by weight version."""
         return WatchedEngine(engine, self._watch, self._clock)
 
-    def as_routed(self, replica: str, report: LoadReport) -> LoadReport:
-        """Return a load report without the models that are about to reload."""
+    def without_loading_models(self, replica: str, report: LoadReport) -> LoadReport:
+        """Return a load report without the models that are about to be reloaded."""
         loading = self.versions.loading_models(replica)
         if not loading:
             return report
@@ -105,7 +107,7 @@
         return replace(report, version_by_model=versions)
 
     async def start(self, table: Table) -> None:
-        """Read the shares once, then begin the tasks."""
+        """Read the shares once, then start the tasks."""
         self._table = table
         self._lease = LeaseTask(
             LEASE_NAME,
@@ -124,7 +126,7 @@
             clock=self._clock,
             table=table,
             lease=self._lease,
-            engine_by_name=OrderedEngines(self._outside, self._holder),
+            engine_by_name=OrderedEngines(self._io, self._holder),
             plan=self._current_plan,
             watch=self._watch,
             observe=self._observe,
@@ -133,13 +135,13 @@
         for run in (self._lease.run(), self._driver.run(), self._follow_row()):
             self._tasks.append(asyncio.create_task(run))
 
-    async def hand_on(self) -> None:
-        """Give the duty to another node in a planned stop."""
+    async def hand_over(self) -> None:
+        """Hand the rollout over to another node during a planned stop."""
         if self._driver and self._lease.claim():
             await self._driver.hand_over()
 
     async def stop(self) -> None:
-        """End the tasks; a lease that is still held lapses."""
+        """Stop the tasks; a lease that this node still holds expires."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -161,7 +163,7 @@
     async def _follow_row(self) -> None:
         while True:
             nodes = len(self._members.all_live())
-            period_ms = max(_LEAST_POLL_MS, nodes * 1_000 // _ROW_READS_PER_S)
+            period_ms = max(_MIN_POLL_PERIOD_MS, nodes * 1_000 // _ROW_READS_PER_S)
             await self._clock.sleep_ms(period_ms)
             await self._read_row()
 
@@ -171,16 +173,20 @@
             self.versions.update(row.version, decode_row(row.value))
 
     def _confirmed_versions(self, model: str) -> frozenset[str]:
-        """Return the versions that replicas confirm; worked out ten times a second
-        at most, since a request must not look at 1,200 replicas, and at once when
-        one changed: a version that the last replica has left would be refused."""
+        """Return the versions of a model that replicas report as loaded.
+
+        The result is cached for 100 ms, because checking up to 1,200 replicas for each
+        request would be too slow. It is computed again at once when a replica's
+        versions change: after the last replica has left a version, requests for that
+        version would be rejected.
+        """
         now_ms = self._clock.now_ms()
         changes = self._router.version_changes
-        if now_ms >= self._confirmed_until_ms or changes != self._confirmed_at_change:
-            self._confirmed_at_change = changes
-            self._confirmed = _versions_by_model(self._router)
-            self._confirmed_until_ms = now_ms + _CONFIRMED_FOR_MS
-        return self._confirmed.get(model, frozenset())
+        if now_ms >= self._cache_expires_ms or changes != self._cached_at_change:
+            self._cached_at_change = changes
+            self._cached_versions = _versions_by_model(self._router)
+            self._cache_expires_ms = now_ms + _VERSIONS_CACHE_MS
+        return self._cached_versions.get(model, frozenset())
 
 
 def _versions_by_model(router: Router) -> dict[str, frozenset[str]]:
--- a/fireflyward/daemon/_sweep_duty.py
+++ b/fireflyward/daemon/_sweep_duty.py
@@ -6,9 +6,12 @@
 from fireflyward.runs import LOOK_MS, Sweeper
 
 
-async def sweep_for_ever(sweeper: Sweeper, clock: Clock) -> None:
-    """Look about once a minute; the pauses differ so that nodes do not meet."""
-    draw = random.Random()
+async def run_sweeper(sweeper: Sweeper, clock: Clock) -> None:
+    """Check for work about once a minute, with random pauses.
+
+    The random pauses keep the nodes from sweeping at the same moment.
+    """
+    rng = random.Random()
     while True:
-        await clock.sleep_ms(draw.randint(LOOK_MS // 2, LOOK_MS * 3 // 2))
+        await clock.sleep_ms(rng.randint(LOOK_MS // 2, LOOK_MS * 3 // 2))
         await sweeper.look()
--- a/fireflyward/daemon/_tls.py
+++ b/fireflyward/daemon/_tls.py
@@ -1,4 +1,4 @@
-"""TLS towards callers, with certificates that are renewed under way."""
+"""TLS for the caller port, with certificates that are reloaded while the node runs."""
 
 import logging
 import ssl
@@ -8,21 +8,22 @@
 
 
 class CallerTls:
-    """The TLS context of the caller port; None when no certificate is set.
-
-    Certificates are short-lived and renewed in place. A node that read them only
-    at its start would one day refuse every caller at once with an expired one;
-    ``renew`` looks at the files again and new handshakes use what it finds. A
-    renewal that cannot be read (a half-written file, a key of another pair) is
-    logged and the last good one stays in use.
+    """Holds the TLS context of the caller port; None when no certificate is set.
+
+    Certificates are short-lived and their files are replaced in place. A node that
+    read them only at its start would at some point present an expired certificate,
+    and every new connection would fail. ``renew`` reads changed files again, and new
+    handshakes use the new certificate. When the files cannot be loaded (a half-written
+    file, a key that does not match), the error is logged and the previous certificate
+    stays in use.
     """
 
-    __slots__ = ("_certificate", "_key", "_seen", "context")
+    __slots__ = ("_certificate", "_key", "_loaded_times_ns", "context")
 
     def __init__(self, certificate: str, key: str) -> None:
         self._certificate = Path(certificate)
         self._key = Path(key)
-        self._seen: tuple[int, int] = (0, 0)
+        self._loaded_times_ns: tuple[int, int] = (0, 0)
         self.context: ssl.SSLContext | None = None
         if certificate:
             self.context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -30,11 +31,11 @@
             self._load()
 
     def renew(self) -> bool:
-        """Read the files again if they changed; return whether they were taken."""
+        """Load the files again if they changed; return whether a new pair is in use."""
         if self.context is None:
             return False
         try:
-            if self._stamp() == self._seen:
+            if self._modification_times_ns() == self._loaded_times_ns:
                 return False
             self._load()
         except (OSError, ssl.SSLError) as error:
@@ -44,14 +45,15 @@
         return True
 
     def _load(self) -> None:
-        stamp = self._stamp()
-        # Loading a bad pair into the context in use would spoil it.
+        times_ns = self._modification_times_ns()
+        # Loading an invalid pair would damage the context in use, so the pair is
+        # loaded into a separate context first.
         trial = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         trial.load_cert_chain(self._certificate, self._key)
         self.context.load_cert_chain(self._certificate, self._key)
-        self._seen = stamp
+        self._loaded_times_ns = times_ns
 
-    def _stamp(self) -> tuple[int, int]:
+    def _modification_times_ns(self) -> tuple[int, int]:
         return (
             self._certificate.stat().st_mtime_ns,
             self._key.stat().st_mtime_ns,
--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -175,7 +175,7 @@
         return None
     if not may_ask_again(asked) or parts.clock.now_ms() >= asked.identity.deadline_ms:
         return None
-    await parts.confirm_versions(asked.prompt.model, asked.version)
+    await parts.refresh_reports(asked.prompt.model, asked.version)
     renewed = ask_by_version_now(parts, asked)
     has_it = parts.router.has_version(renewed.prompt.model, renewed.version)
     return renewed if has_it else None
--- a/fireflyward/entry/_parts.py
+++ b/fireflyward/entry/_parts.py
@@ -29,7 +29,7 @@
 JSON = "application/json"
 
 
-async def _confirm_nothing(model: str, version: str) -> None:
+async def _refresh_nothing(model: str, version: str) -> None:
     """Ask no replica: what a node without replicas does."""
 
 
@@ -60,7 +60,7 @@
     budget: RetryBudget = field(default_factory=RetryBudget)
     in_flight: InFlight = field(default_factory=InFlight)
     versions: ServingVersions | None = None
-    confirm_versions: Callable[[str, str], Awaitable[None]] = _confirm_nothing
+    refresh_reports: Callable[[str, str], Awaitable[None]] = _refresh_nothing
     leaving: LeavingUpstreams = field(default_factory=LeavingUpstreams)
 
 
--- a/tests/daemon/test_bundle_duty.py
+++ b/tests/daemon/test_bundle_duty.py
@@ -19,13 +19,13 @@
 
 
 class Network:
-    """Delivers messages between links in memory; ``cut`` names unreached nodes."""
+    """Delivers messages between links in memory; ``cut`` names unreachable nodes."""
 
     def __init__(self):
         self.link_by_address = {}
         self.cut = set()
 
-    def reach(self, sender, address):
+    def find_link(self, sender, address):
         link = self.link_by_address.get(address)
         names = {sender.node_name, link.node_name if link else ""}
         return None if link is None or names & self.cut else link
@@ -49,7 +49,7 @@
 
     def send(self, address, kind, message):
         self.sent.append((address, kind))
-        link = self.network.reach(self, address)
+        link = self.network.find_link(self, address)
         if link:
             struct_type, handle = link.handler_by_kind[kind]
             coroutine = handle(self.node_name, unpack(struct_type, pack(message)))
@@ -60,7 +60,7 @@
         return True
 
     async def call(self, address, kind, message, reply_type, *, timeout_s=2.0):
-        link = self.network.reach(self, address)
+        link = self.network.find_link(self, address)
         if link is None:
             return CallFailed("cut off")
         struct_type, handle = link.handler_by_kind[kind]
@@ -68,39 +68,39 @@
         return unpack(reply_type, pack(reply))
 
 
-class CutTable(MemoryTable):
-    """One node's way to the table: it can be away for this node alone."""
+class NodeTable(MemoryTable):
+    """One node's access to the shared table; it can fail for this node only."""
 
     def __init__(self, shared):
         super().__init__()
         self.row_by_key = shared.row_by_key
 
 
-class CountedObjects(MemoryObjects):
-    """Counts the reads of one node."""
+class CountingObjects(MemoryObjects):
+    """One node's access to the shared objects; it counts the reads."""
 
     def __init__(self, shared):
         super().__init__()
         self.body_by_name = shared.body_by_name
-        self.gets = 0
+        self.reads = 0
 
     async def get(self, name):
-        self.gets += 1
+        self.reads += 1
         return await super().get(name)
 
 
-class NodeBed:
-    """One node's duty with its own ways to the platform."""
+class NodeFixture:
+    """One node's bundle duty with its own access to the platform."""
 
     def __init__(self, world, name, port, members=None):
-        self.table = CutTable(world.table)
-        self.objects = CountedObjects(world.objects)
+        self.table = NodeTable(world.table)
+        self.objects = CountingObjects(world.objects)
         self.link = FakeLink(world.network, name, port)
         own = Member(name, self.link.address, "norte", "santiago", 1)
         self.members = Members(own)
         self.applied = []
         store = BundleStore(self.table, self.objects, clock=world.clock)
-        asked_first = [("10.0.0.1", other) for other in (1, 2, 3)]
+        seeds = [("10.0.0.1", other) for other in (1, 2, 3)]
         self.duty = BundleDuty(
             link=self.link,
             clock=world.clock,
@@ -108,8 +108,8 @@
             store=store,
             loader=BundleLoader(store, roots=ROOTS, deployment=DEPLOYMENT),
             failure_domain="norte",
-            peers=BundlePeers(self.link, self.members, asked_first),
-            apply=lambda made: self.applied.append(made.number),
+            peers=BundlePeers(self.link, self.members, seeds),
+            apply=lambda applied: self.applied.append(applied.number),
         )
 
     def set_platform(self, *, away):
@@ -148,7 +148,7 @@
         return self.nodes
 
     def make_node(self, port):
-        node = NodeBed(self, f"entry-{port}", port)
+        node = NodeFixture(self, f"entry-{port}", port)
         self.nodes.append(node)
         return node
 
@@ -156,7 +156,7 @@
         return [node.number for node in self.nodes]
 
 
-class SpreadTests(DutyTestCase):
+class DistributionTests(DutyTestCase):
     async def test_accepted_bundle_is_in_force_at_every_node(self):
         await self.accept(bundle())
         await self.start()
@@ -165,7 +165,7 @@
         await self.clock.advance_ms(2_300)
         self.assertEqual(self.numbers(), [2, 2, 2])
 
-    async def test_node_without_the_platform_takes_changes_from_its_peers(self):
+    async def test_node_without_the_platform_fetches_changes_from_its_peers(self):
         await self.accept(bundle())
         one, other, cut = await self.start()
         cut.set_platform(away=True)
@@ -174,29 +174,31 @@
         self.assertEqual(cut.number, 2)
         self.assertEqual(cut.applied, [1, 2])
 
-    async def test_node_that_starts_in_a_cut_off_domain_learns_from_its_peers(self):
-        """Symptom: a node that was replaced during an outage serves nobody.
-        Sequence: the platform is away, a VM is replaced and starts empty. Cause:
-        the bundle could only come from the platform."""
+    async def test_node_that_starts_without_the_platform_fetches_from_its_peers(self):
+        """Guards against replaced VMs that cannot serve during a platform outage.
+
+        A VM is replaced while the platform is unavailable, and starts without a
+        bundle. It must not depend on the platform to get one.
+        """
         await self.accept(bundle())
         await self.start(2)
-        late = self.make_node(3)
-        late.set_platform(away=True)
-        await late.duty.start()
-        self.assertEqual(late.number, 1)
-        self.assertEqual(late.duty.own_state().confirmed_ms_ago, -1)
-
-    async def test_node_that_starts_alone_and_cut_off_has_no_bundle(self):
-        late = self.make_node(1)
-        late.set_platform(away=True)
-        await late.duty.start()
-        self.assertEqual(late.number, 0)
-        late.set_platform(away=False)
+        new = self.make_node(3)
+        new.set_platform(away=True)
+        await new.duty.start()
+        self.assertEqual(new.number, 1)
+        self.assertEqual(new.duty.own_state().confirmed_ms_ago, -1)
+
+    async def test_node_that_starts_without_platform_and_peers_has_no_bundle(self):
+        new = self.make_node(1)
+        new.set_platform(away=True)
+        await new.duty.start()
+        self.assertEqual(new.number, 0)
+        new.set_platform(away=False)
         await self.accept(bundle())
         await self.clock.advance_ms(3_000)
-        self.assertEqual(late.number, 1)
+        self.assertEqual(new.number, 1)
 
-    async def test_node_cut_off_for_long_keeps_its_bundle_and_then_catches_up(self):
+    async def test_node_without_connections_keeps_its_bundle_and_then_catches_up(self):
         await self.accept(bundle())
         *_, cut = await self.start()
         cut.set_platform(away=True)
@@ -220,10 +222,13 @@
         self.assertGreater(head.snapshot_number, 64)
 
 
-class NeverBackTests(DutyTestCase):
-    async def test_lagging_table_and_peer_do_not_set_a_node_back(self):
-        """Symptom: a withdrawn account is served again. Sequence: the table
-        answers from a replica that lags, while a peer still has the old number."""
+class NoRollbackTests(DutyTestCase):
+    async def test_lagging_table_and_peer_do_not_roll_a_node_back(self):
+        """Guards against serving an account again that was withdrawn.
+
+        The table service answers from a lagging replica, while a peer still has the
+        older bundle number.
+        """
         await self.accept(bundle())
         old_rows = dict(self.table.row_by_key)
         node, lagging = await self.start(2)
@@ -238,9 +243,11 @@
         self.assertEqual(node.number, 2)
         self.assertEqual(node.applied, [1, 2])
 
-    async def test_head_that_does_not_verify_is_refused_once_and_shown(self):
-        """Symptom: a head that nobody signed is served, or fetched without end.
-        Sequence: someone with access to the table writes a head of his own."""
+    async def test_head_that_fails_verification_is_fetched_once_and_reported(self):
+        """Guards against serving a forged head, and against fetching it endlessly.
+
+        Someone with access to the table writes a head without valid signatures.
+        """
         await self.accept(bundle())
         (node,) = await self.start(1)
         forged = sign_bundle(bundle(2), author=ANA, approver=ANA, base=self.state)
@@ -249,14 +256,16 @@
             await self.clock.advance_ms(3_000)
         self.assertEqual(node.number, 1)
         self.assertIn("same person", node.duty.own_state().refused)
-        fetched = node.objects.gets
+        fetched = node.objects.reads
         await self.clock.advance_ms(10_000)
-        self.assertEqual(node.objects.gets, fetched)
+        self.assertEqual(node.objects.reads, fetched)
 
-    async def test_after_the_head_is_put_back_the_next_bundle_comes_into_force(self):
-        """Symptom: after a forged head nothing can be accepted any more. Sequence:
-        the platform's owners put the head back as docs/operate/first-week.md says,
-        and the same number is accepted properly."""
+    async def test_after_the_head_is_restored_the_next_bundle_comes_into_force(self):
+        """Guards against rejecting every bundle after a forged head.
+
+        The owners of the platform restore the head as docs/operate/first-week.md says,
+        and a properly signed bundle with the same number is accepted.
+        """
         await self.accept(bundle())
         (node,) = await self.start(1)
         good = self.table.row_by_key[HEAD_KEY]
@@ -273,21 +282,21 @@
 
 
 class CatchUpTests(DutyTestCase):
-    async def test_number_that_a_caller_saw_is_fetched_at_once(self):
+    async def test_number_that_a_caller_sends_is_fetched_at_once(self):
         await self.accept(bundle())
         (node,) = await self.start(1)
         await self.clock.advance_ms(500)
         await self.accept(bundle(2))
-        waiting = asyncio.create_task(node.duty.catch_up(2))
+        catching_up = asyncio.create_task(node.duty.catch_up(2))
         await self.clock.advance_ms(300)
-        self.assertTrue(await waiting)
+        self.assertTrue(await catching_up)
 
-    async def test_number_that_does_not_exist_is_waited_for_shortly(self):
+    async def test_wait_for_a_number_that_does_not_exist_is_short(self):
         await self.accept(bundle())
         (node,) = await self.start(1)
-        waiting = asyncio.create_task(node.duty.catch_up(99))
+        catching_up = asyncio.create_task(node.duty.catch_up(99))
         await self.clock.advance_ms(600)
-        self.assertFalse(await waiting)
+        self.assertFalse(await catching_up)
 
 
 class StatusTests(DutyTestCase):
@@ -301,11 +310,11 @@
         self.assertEqual(statuses["entry-3"].condition, Condition.UNREACHABLE)
         self.assertEqual(statuses["entry-3"].number, 1)
 
-    async def test_heartbeats_tell_the_number_and_who_is_gone(self):
+    async def test_heartbeats_carry_the_number_and_membership_reports_crashes(self):
         await self.accept(bundle())
         one, other = await self.start(2)
-        beside = Member("entry-2", other.link.address, "sur", "santiago", 1)
-        one.members.put(beside)
+        other_member = Member("entry-2", other.link.address, "sur", "santiago", 1)
+        one.members.put(other_member)
         one.set_platform(away=True)
         other.members.put(Member("entry-9", ("10.0.0.1", 9), "sur", "santiago", 1))
         await self.accept(bundle(2))
@@ -314,15 +323,20 @@
         one.duty.on_member_number("entry-2", 2)
         await self.clock.advance_ms(300)
         self.assertEqual(one.number, 2)
-        gone = Member("entry-2", other.link.address, "sur", "", 1, MemberState.DEAD, 2)
-        one.members.put(gone)
+        dead = Member("entry-2", other.link.address, "sur", "", 1, MemberState.DEAD, 2)
+        one.members.put(dead)
         await self.clock.advance_ms(1_500)
-        conditions = {item.name: item.condition for item in one.duty.watch.statuses()}
+        conditions = {
+            item.name: item.condition for item in one.duty.status_tracker.statuses()
+        }
         self.assertEqual(conditions["entry-2"], Condition.UNREACHABLE)
 
-    async def test_node_that_did_not_answer_stays_unreachable_from_then_on(self):
-        """Symptom: "since" of a dead node moves on. Sequence: it dies, status asks
-        it in vain, membership still counts it as live, then gives it up."""
+    async def test_node_that_did_not_answer_stays_unreachable_since_then(self):
+        """Guards against a start of the condition that moves for a crashed node.
+
+        The node crashes and does not answer a status request. The membership still
+        considers it live, and declares it dead some seconds later.
+        """
         await self.accept(bundle())
         one, other = await self.start(2)
         live = Member("entry-2", other.link.address, "sur", "santiago", 1)
@@ -330,12 +344,12 @@
         await self.clock.advance_ms(1_500)
         self.network.cut = {"entry-2"}
         await one.duty.node_statuses()
-        began_ms = self.clock.wall_ms()
+        unreachable_since_ms = self.clock.wall_ms()
         await self.clock.advance_ms(2_500)
         one.members.put(
             Member("entry-2", other.link.address, "sur", "", 1, MemberState.DEAD, 1)
         )
         await self.clock.advance_ms(2_500)
-        status = one.duty.watch.statuses()[1]
+        status = one.duty.status_tracker.statuses()[1]
         self.assertEqual(status.condition, Condition.UNREACHABLE)
-        self.assertEqual(status.since_wall_ms, began_ms)
+        self.assertEqual(status.since_wall_ms, unreachable_since_ms)
--- a/tests/daemon/test_kept_duty.py
+++ b/tests/daemon/test_kept_duty.py
@@ -20,7 +20,7 @@
 
 
 class StoreDeployment(DemoDeployment):
-    """The demo's deployment with a store of kept work."""
+    """The demo deployment with a store for KV blocks."""
 
     def __init__(self) -> None:
         super().__init__(nodes_per_domain=1, engines_per_domain=1, costs=COSTS)
@@ -46,7 +46,7 @@
         self.deployment = await self.enterAsyncContext(StoreDeployment())
         self.session = await self.enterAsyncContext(aiohttp.ClientSession())
 
-    async def ask(self, question):
+    async def complete(self, question):
         node = next(iter(self.deployment.node_by_name.values()))
         body = {
             "model": "clauses",
@@ -63,32 +63,34 @@
             answer = await response.json()
         return answer["usage"]["prompt_tokens_details"]["cached_tokens"]
 
-    async def until(self, is_so):
+    async def wait_until(self, condition):
         async with asyncio.timeout(20):
-            while not is_so():
+            while not condition():
                 await asyncio.sleep(0.05)
 
-    async def test_prompt_that_every_engine_forgot_is_found_in_the_store(self):
-        """Symptom: a prompt that returns after hours is computed anew. Sequence: it
-        is served, every engine evicts it, it comes again. Cause: kept work that is
-        written and never found."""
+    async def test_prompt_evicted_by_every_engine_is_found_in_the_store(self):
+        """Guards against stored blocks that are written but never found.
+
+        A prompt is served, every engine evicts its blocks, and hours later the prompt
+        returns. Without this lookup it would be computed again.
+        """
         for _ in range(3):
-            await self.ask("beam 7?")
+            await self.complete("beam 7?")
         store = self.deployment.store.model
-        await self.until(lambda: len(store.describe(self.keys()).refs) >= 96)
+        await self.wait_until(lambda: len(store.describe(self.block_keys()).refs) >= 96)
         for engine in self.deployment.engine_by_name.values():
             engine.model.cache.lose_all("2")
         node = next(iter(self.deployment.node_by_name.values()))
         await node.kept.read_events()
         await node.kept.read_listings()
-        shape = RunShape("bridge-team", "clauses", "v1", 8_000, self.keys())
-        known = node.kept.work.prefixes.locate(node.clock.now_ms(), shape)
-        self.assertEqual(known.cached_blocks_by_replica, {})
-        self.assertGreaterEqual(known.stored[0].blocks, 96)
-        await self.load_everywhere(node)
-        self.assertGreaterEqual(await self.ask("beam 7?"), 96 * 64)
-
-    async def test_dead_writers_slots_are_swept_by_the_lease_holder_only(self):
+        shape = RunShape("bridge-team", "clauses", "v1", 8_000, self.block_keys())
+        locations = node.kept.work.prefixes.locate(node.clock.now_ms(), shape)
+        self.assertEqual(locations.cached_blocks_by_replica, {})
+        self.assertGreaterEqual(locations.stored[0].blocks, 96)
+        await self.import_into_all_engines(node)
+        self.assertGreaterEqual(await self.complete("beam 7?"), 96 * 64)
+
+    async def test_slots_of_crashed_writers_are_swept_by_the_lease_holder_only(self):
         store = self.deployment.store.model
         store.reserve(Clock().now_ms() - 120_000, (Wanted("aa" * 16, 1),))
         nodes = list(self.deployment.node_by_name.values())
@@ -96,23 +98,23 @@
             while store.used_slots():
                 await asyncio.gather(*(node.kept.sweep() for node in nodes))
                 await asyncio.sleep(0.05)
-        swept = [
+        swept_slots = [
             node.metrics.total("kept_garbage_total", store="store-1") for node in nodes
         ]
-        self.assertEqual(sorted(swept), [0, 1])
+        self.assertEqual(sorted(swept_slots), [0, 1])
 
-    def keys(self):
+    def block_keys(self):
         names = BlockNames(bytes.fromhex(KEPT_KEY))
         return names.of_prompt("bridge-team", "clauses", "v1", "", PROMPT + "beam 7?")
 
-    async def load_everywhere(self, node):
-        """Import with a limit that does not depend on this machine's speed."""
+    async def import_into_all_engines(self, node):
+        """Import with a time limit that does not depend on the machine's speed."""
         importer = Importer(
             node.clock, node.kept.url_by_store, lambda model, version: True
         )
         store = node.kept.store_by_name["store-1"]
         limit = Until(node.clock.now_ms() + 30_000)
         for name, engine in node.kept.kv_by_replica.items():
-            ask = ImportAsk(name, "clauses", "v1", self.keys()[:96])
-            result = await importer.load(ask, engine, store, limit)
+            import_request = ImportAsk(name, "clauses", "v1", self.block_keys()[:96])
+            result = await importer.load(import_request, engine, store, limit)
             self.assertEqual((result.blocks, result.reason), (96, None))
--- a/tests/daemon/test_kept_work.py
+++ b/tests/daemon/test_kept_work.py
@@ -31,8 +31,8 @@
 CALL = EngineCall("r1", MODEL, VERSION, PROMPT, 8, block_keys=KEYS)
 
 
-class NoLink:
-    """A link in a domain of one node, which asks nobody."""
+class UnusedLink:
+    """The link of a node that is alone in its domain and sends no requests."""
 
     node_name = "n"
 
@@ -58,7 +58,7 @@
             router=self.router,
             metrics=self.metrics,
             names=NAMES,
-            look_up=ShardLookUp(NoLink(), self.index, lambda: ()),
+            look_up=ShardLookUp(UnusedLink(), self.index, lambda: ()),
             kv_by_replica={"A": self.world.kv, "B": self.second},
             store_by_name={"s1": self.store},
             url_by_store={},
@@ -68,36 +68,38 @@
         self.work.prefixes.store_names = frozenset({"s1"})
         self.reader = StoreReader("s1")
 
-    async def run_ms(self, work):
+    async def measure_ms(self, work):
         task = asyncio.ensure_future(work)
-        began_ms = self.world.clock.now_ms()
+        started_ms = self.world.clock.now_ms()
         await self.world.advance_until(task)
-        return self.world.clock.now_ms() - began_ms
+        return self.world.clock.now_ms() - started_ms
 
     async def serve_and_export(self):
-        """Serve the prompt on A three times, so that it counts as returning."""
+        """Serve the prompt on A three times, so that the keep policy exports it."""
         for number in range(3):
             shape = shape_of(run_id=f"r{number}")
-            await self.run_ms(self.work.prepare("A", CALL, shape))
+            await self.measure_ms(self.work.prepare("A", CALL, shape))
             self.world.compute(KEYS)
             await self.world.clock.advance_ms(1_500)
-            await self.run_ms(self.work.export_due())
+            await self.measure_ms(self.work.export_due())
         listing = await self.store.list(self.reader.query(ALL_SHARDS))
         self.reader.take(listing, self.index)
 
-    def held_by_second(self):
+    def blocks_at_second(self):
         return self.second.engine.cache.prefix_blocks(KEYS)
 
     async def test_served_prompt_is_exported_and_imported_elsewhere(self):
         await self.serve_and_export()
-        took_ms = await self.run_ms(self.work.prepare("B", CALL, shape_of()))
-        self.assertGreaterEqual(self.held_by_second(), len(KEYS) // 8 * 8)
+        took_ms = await self.measure_ms(self.work.prepare("B", CALL, shape_of()))
+        self.assertGreaterEqual(self.blocks_at_second(), len(KEYS) // 8 * 8)
         self.assertLess(took_ms, RECOMPUTE_MS)
 
     async def test_store_faults_delay_an_answer_by_at_most_a_twentieth(self):
-        """Symptom: first tokens come later than without any store. Sequence: the
-        store dies, hangs or slows down after the index learnt of its blocks.
-        Cause: an import that waits for its store instead of for its use."""
+        """Guards against first tokens that arrive later than without any store.
+
+        The store crashes, hangs or slows down after its blocks were indexed. Without
+        a time limit, the import would wait for the store.
+        """
         cases = (
             ("dead", True, "store_away"),
             ("late_ms", 60_000, "deadline"),
@@ -108,62 +110,66 @@
                 self.setUp()
                 await self.serve_and_export()
                 setattr(self.store.model.faults, name, value)
-                took_ms = await self.run_ms(self.work.prepare("B", CALL, shape_of()))
-                saved_ms = self.held_by_second() * BLOCK_TOKENS * 0.05
-                late_ms = took_ms - saved_ms
-                self.assertLessEqual(late_ms, 0.05 * RECOMPUTE_MS + 1)
+                took_ms = await self.measure_ms(
+                    self.work.prepare("B", CALL, shape_of())
+                )
+                saved_ms = self.blocks_at_second() * BLOCK_TOKENS * 0.05
+                delay_ms = took_ms - saved_ms
+                self.assertLessEqual(delay_ms, 0.05 * RECOMPUTE_MS + 1)
                 missed = self.metrics.total("kept_misses_total", reason=reason)
                 self.assertEqual(missed, 1)
 
-    async def test_swap_between_choosing_and_importing_imports_nothing(self):
+    async def test_version_change_between_choosing_and_importing_imports_nothing(self):
         await self.serve_and_export()
         self.version = "v2"
-        await self.run_ms(self.work.prepare("B", CALL, shape_of()))
-        self.assertEqual(self.held_by_second(), 0)
+        await self.measure_ms(self.work.prepare("B", CALL, shape_of()))
+        self.assertEqual(self.blocks_at_second(), 0)
         self.assertEqual(
             self.metrics.total("kept_misses_total", reason="wrong_version"), 1
         )
 
-    async def test_full_store_refuses_exports_and_nothing_else_happens(self):
+    async def test_full_store_rejects_exports_without_other_effects(self):
         self.store.model.faults.full = True
         await self.serve_and_export()
         self.assertEqual(len(self.index), 0)
         self.assertGreater(self.metrics.total("kept_store_full_total", store="s1"), 0)
 
-    async def test_index_that_promises_too_much_costs_recomputation_only(self):
+    async def test_outdated_index_causes_recomputation_only(self):
         await self.serve_and_export()
         self.store.model.restart_empty(2)
-        await self.run_ms(self.work.prepare("B", CALL, shape_of()))
-        self.assertEqual(self.held_by_second(), 0)
+        await self.measure_ms(self.work.prepare("B", CALL, shape_of()))
+        self.assertEqual(self.blocks_at_second(), 0)
         self.assertEqual(self.metrics.total("kept_misses_total", reason="not_kept"), 1)
 
-    async def test_run_that_was_tried_again_is_exported_from_its_last_replica(self):
-        await self.run_ms(self.work.prepare("A", CALL, shape_of()))
-        await self.run_ms(self.work.prepare("B", CALL, shape_of()))
+    async def test_retried_run_is_exported_from_its_last_replica(self):
+        await self.measure_ms(self.work.prepare("A", CALL, shape_of()))
+        await self.measure_ms(self.work.prepare("B", CALL, shape_of()))
         for position, key in enumerate(KEYS, start=1):
             self.second.engine.cache.store(key, position, KEYS[0])
         await self.world.clock.advance_ms(1_500)
-        await self.run_ms(self.work.export_due())
+        await self.measure_ms(self.work.export_due())
         self.assertGreater(self.store.model.used_slots(), 0)
 
-    async def test_export_waits_while_a_caller_waits_for_an_import(self):
-        """Symptom: first tokens come late while a store is being filled. Sequence:
-        an import begins during a long export. Cause: exports that hold the link
-        until they are done."""
+    async def test_export_pauses_while_an_import_is_in_flight(self):
+        """Guards against late first tokens while a store is being filled.
+
+        An import starts during a long export. It would be delayed if the export used
+        the link until all of its blocks are written.
+        """
         await self.serve_and_export()
         self.store.model.restart_empty(2)
         self.index.forget("s1")
         self.world.compute(KEYS)
-        await self.run_ms(self.work.prepare("A", CALL, shape_of()))
+        await self.measure_ms(self.work.prepare("A", CALL, shape_of()))
         await self.world.clock.advance_ms(1_500)
         self.store.model.faults.late_ms = 20
         exporting = asyncio.ensure_future(self.work.export_due())
         await self.world.clock.advance_ms(60)
-        self.work._imports = 1
+        self.work._imports_in_flight = 1
         await self.world.clock.advance_ms(400)
-        begun = self.store.model.used_slots()
+        used_slots = self.store.model.used_slots()
         await self.world.clock.advance_ms(1_000)
-        self.assertEqual(self.store.model.used_slots(), begun)
-        self.work._imports = 0
+        self.assertEqual(self.store.model.used_slots(), used_slots)
+        self.work._imports_in_flight = 0
         await self.world.advance_until(exporting)
-        self.assertGreater(self.store.model.used_slots(), begun)
+        self.assertGreater(self.store.model.used_slots(), used_slots)
--- a/tests/daemon/test_rollout_duty.py
+++ b/tests/daemon/test_rollout_duty.py
@@ -28,7 +28,7 @@
         self.session = await self.enterAsyncContext(aiohttp.ClientSession())
         self.nodes = tuple(self.deployment.node_by_name.values())
 
-    async def ask(self, node):
+    async def complete(self, node):
         body = {"model": "clauses", "prompt": PROMPT, "max_tokens": TOKENS}
         async with self.session.post(
             f"http://127.0.0.1:{node.port}/v1/completions",
@@ -44,18 +44,21 @@
         models = {"clauses": Model(version)}
         await self.deployment.accept(msgspec.structs.replace(bundle, models=models))
 
-    async def test_new_version_takes_over_without_one_refusal(self):
-        """Symptom: every request is refused for as long as weights load. Sequence:
-        a bundle names a new version, nodes have it at once, replicas do not yet.
-        Cause: the entry asked for exactly the bundle's version."""
+    async def test_new_version_replaces_the_old_one_without_rejections(self):
+        """Guards against rejecting every request while new weights load.
+
+        A bundle names a new version. The nodes apply the bundle at once, but the
+        replicas still have the old version. So a node must not use the bundle's
+        version before replicas have it.
+        """
         await self.accept(2, "v2")
-        seen = []
+        answers = []
         async with asyncio.timeout(LIMIT_S):
-            while seen[-4:] != [(text_at("v2"), "2")] * 4:
-                seen += [await self.ask(node) for node in self.nodes]
+            while answers[-4:] != [(text_at("v2"), "2")] * 4:
+                answers += [await self.complete(node) for node in self.nodes]
                 await asyncio.sleep(PAUSE_S)
-        self.assertIn((text_at("v1"), "2"), seen)
-        texts = {text for text, _ in seen}
+        self.assertIn((text_at("v1"), "2"), answers)
+        texts = {text for text, _ in answers}
         self.assertEqual(texts, {text_at("v1"), text_at("v2")})
 
 
--- a/tests/daemon/test_serve.py
+++ b/tests/daemon/test_serve.py
@@ -13,7 +13,7 @@
 from fireflyward.invariants import Invariant, require
 
 
-async def break_it(request):
+async def violate_invariant(request):
     require(False, Invariant.ONE_END, "on purpose")
 
 
@@ -35,19 +35,22 @@
             while not self.nodes or not self.nodes[0].is_ready():
                 await asyncio.sleep(0.01)
                 if task.done():
-                    self.fail(f"it ended before it served: {task.exception()}")
+                    self.fail(f"serve() returned too early: {task.exception()}")
         return task
 
-    async def test_a_signal_stops_it_as_planned(self):
+    async def test_signal_causes_a_planned_stop(self):
         task = await self.serve()
         os.kill(os.getpid(), signal.SIGTERM)
         self.assertTrue(await task)
 
-    async def test_a_broken_invariant_stops_it_at_once_and_is_counted(self):
-        """Symptom: a node goes on serving from state that cannot be right.
-        Sequence: a check fails in the handler of a request. Cause: whatever turns
-        errors into responses, or a task that nobody awaits, kept the failure."""
-        with mock.patch.object(_app, "_handle_health", break_it):
+    async def test_broken_invariant_stops_the_node_at_once_and_is_counted(self):
+        """Guards against a node that continues to serve from an invalid state.
+
+        A check of an invariant fails in a request handler. The failure must not be
+        hidden by code that turns errors into responses, or by a task that is not
+        awaited.
+        """
+        with mock.patch.object(_app, "_handle_health", violate_invariant):
             task = await self.serve()
             url = f"http://127.0.0.1:{self.nodes[0].port}/healthz"
             with self.assertLogs(level="CRITICAL") as logs:
--- a/tests/daemon/test_stopping.py
+++ b/tests/daemon/test_stopping.py
@@ -18,7 +18,7 @@
 
 
 class GatedService(ServiceServer):
-    """Answers only once its gate is open; ``reached`` tells that a call waits."""
+    """Answers after ``gate`` is set; ``reached`` is set when a call has arrived."""
 
     def __init__(self):
         super().__init__()
@@ -34,7 +34,7 @@
 
 class StoppingCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.enterContext(asyncio_limit())
+        self.enterContext(suppress_logs())
         deployment = DemoDeployment(
             nodes_per_domain=1,
             engines_per_domain=1,
@@ -52,7 +52,7 @@
     async def open_gate(self):
         self.service.gate.set()
 
-    async def reach(self, step):
+    async def wait_for_step(self, step):
         async with asyncio.timeout(LIMIT_S):
             while step not in self.steps:
                 await asyncio.sleep(0.01)
@@ -67,8 +67,8 @@
             return response.status, await response.text(), response.headers
 
 
-def asyncio_limit():
-    """Keep the logs of nodes that are stopped on purpose out of the report."""
+def suppress_logs():
+    """Keep the logs of nodes that the tests stop out of the test output."""
     return mock.patch.object(
         logging.getLogger("fireflyward"), "level", logging.CRITICAL
     )
@@ -76,9 +76,11 @@
 
 class DrainTests(StoppingCase):
     async def test_service_call_in_flight_is_not_cut(self):
-        """Symptom: a caller of a plain service gets a reset connection while its
-        call ran. Sequence: the call is under way, SIGTERM comes, the node sees no
-        prompt and goes. Cause: only admitted prompts counted as in flight."""
+        """Guards against resetting the connection of a plain service's caller.
+
+        SIGTERM arrives while a service call is in flight. If only admitted prompts
+        counted as in flight, the node would exit during the call.
+        """
         call = self.call_service()
         await self.service.reached.wait()
         stopping = asyncio.create_task(self.node.stop())
@@ -88,10 +90,12 @@
         self.assertEqual((status, text), (200, "POST /drawings\nr7"))
         await stopping
 
-    async def test_request_whose_body_is_still_read_is_not_cut(self):
-        """Symptom: a large building model fails half-way at every deployment.
-        Sequence: half of the body is here, SIGTERM comes, the node goes. Cause: a
-        request counted as in flight only once its body was read."""
+    async def test_request_whose_body_is_still_arriving_is_not_cut(self):
+        """Guards against failures of large uploads at every deployment.
+
+        SIGTERM arrives when half of a request's body has arrived. If a request counted
+        as in flight only after its body was read, the node would exit before that.
+        """
         body = json.dumps(
             {"model": "clauses", "prompt": "beam 9?", "max_tokens": TOKENS}
         ).encode()
@@ -114,7 +118,7 @@
         self.assertIn(json.dumps(wanted).encode(), answer)
         await stopping
 
-    async def test_stream_runs_to_its_end_marker(self):
+    async def test_stream_is_served_up_to_its_end_marker(self):
         body = {"model": "clauses", "prompt": "beam 8?", "stream": True}
         body = json.dumps({**body, "max_tokens": TOKENS}).encode()
         stream = asyncio.create_task(self.fetch("/v1/completions", body))
@@ -125,13 +129,15 @@
         _, text, _ = await stream
         self.assertTrue(text.endswith("data: [DONE]\n\n"))
 
-    async def test_requests_are_served_while_the_balancer_has_its_time(self):
-        """Symptom: refusals at each deployment. Sequence: SIGTERM comes, the
-        balancer looks at readiness only a second later and goes on sending.
-        Cause: the port closed before anybody could know."""
+    async def test_requests_are_served_during_the_balancer_wait(self):
+        """Guards against refused connections at every deployment.
+
+        SIGTERM arrives, and the balancer checks readiness only a second later. Until
+        then it sends new requests to the node, so the port must stay open.
+        """
         reader, writer = await asyncio.open_connection("127.0.0.1", self.node.port)
         stopping = asyncio.create_task(self.node.stop())
-        await self.reach(StopStep.PEERS_TOLD)
+        await self.wait_for_step(StopStep.PEERS_TOLD)
         body = json.dumps({"model": "clauses", "prompt": "beam 7?"}).encode()
         status, _, headers = await self.fetch("/v1/completions", body)
         self.assertEqual((status, headers["Connection"]), (200, "close"))
@@ -142,7 +148,7 @@
         self.assertIn(b"503", answer.split(b"\r\n")[0])
         await stopping
 
-    async def test_peers_know_while_requests_run_out(self):
+    async def test_peers_see_the_node_leaving_while_requests_finish(self):
         self.node.membership.add_seeds((self.other.link.address,))
         name = self.node.settings["node_name"]
         async with asyncio.timeout(LIMIT_S):
@@ -159,13 +165,13 @@
 
 
 class CutTests(StoppingCase):
-    async def test_second_signal_cuts_and_names_the_requests(self):
+    async def test_second_signal_cuts_and_logs_the_requests(self):
         call = self.call_service()
         await self.service.reached.wait()
         (flight,) = self.node.in_flight.flights()
         with self.assertLogs("fireflyward.daemon", logging.WARNING) as logs:
             stopping = asyncio.create_task(self.node.stop())
-            await self.reach(StopStep.KEEP_ALIVE_ENDED)
+            await self.wait_for_step(StopStep.KEEP_ALIVE_ENDED)
             self.node.cut()
             await stopping
         with self.assertRaises(aiohttp.ClientError):
@@ -176,7 +182,7 @@
 
 
 class StepTests(StoppingCase):
-    async def test_steps_come_in_their_order(self):
+    async def test_steps_are_reached_in_order(self):
         await self.node.stop()
         wanted = [step for step in StopStep if step is not StopStep.CUT]
         self.assertEqual(self.steps, wanted)
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -54,9 +54,11 @@
         self.certificate, self.key = write_pair(self.folder, "first")
 
     async def test_node_serves_over_tls_with_the_renewed_certificate(self):
-        """Symptom: every caller is refused at midnight. Sequence: the certificate
-        is renewed in its file, the node goes on with the one it read at start.
-        Cause: files that were read once."""
+        """Guards against presenting an expired certificate to every caller.
+
+        The certificate is renewed in its file while the node runs. The node must not
+        continue to use the certificate that it read at its start.
+        """
         async with DemoDeployment(nodes_per_domain=0, engines_per_domain=1) as demo:
             values = demo.flag_values("entry-1", "sala-sur") | {
                 "port": "0",
@@ -67,25 +69,25 @@
             node = Node(load(SERVE_SETTINGS, values, {}))
             await node.start()
             self.addAsyncCleanup(node.close)
-            self.assertIn(b"first", await self.certificate_shown(node.port))
+            self.assertIn(b"first", await self.presented_certificate(node.port))
             write_pair(self.folder, "second")
             self.assertTrue(node.io.tls.renew())
-            self.assertIn(b"second", await self.certificate_shown(node.port))
+            self.assertIn(b"second", await self.presented_certificate(node.port))
 
-    async def certificate_shown(self, port):
-        """Return the certificate that a new handshake shows, in DER."""
+    async def presented_certificate(self, port):
+        """Return the certificate that a new handshake presents, in DER format."""
         context = ssl.create_default_context()
         context.check_hostname = False
         context.verify_mode = ssl.CERT_NONE
         reader, writer = await asyncio.open_connection("127.0.0.1", port, ssl=context)
-        shown = writer.get_extra_info("ssl_object").getpeercert(True)
+        presented = writer.get_extra_info("ssl_object").getpeercert(True)
         writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         self.assertIn(b"alive", await reader.read())
         writer.close()
         await writer.wait_closed()
-        return shown
+        return presented
 
-    def test_half_written_renewal_leaves_the_last_good_one(self):
+    def test_half_written_renewal_keeps_the_previous_certificate(self):
         tls = CallerTls(self.certificate, self.key)
         Path(self.certificate).write_text("-----BEGIN CERTIFICATE-----\n")
         with self.assertLogs("fireflyward.daemon", "ERROR"):
--- a/tests/entry/test_app.py
+++ b/tests/entry/test_app.py
@@ -93,7 +93,7 @@
         """Symptom: a node runs out of connections while its CPU is idle. Sequence:
         callers open connections and send headers a byte at a time. Cause: nothing
         bounded the time to the first whole request."""
-        with mock.patch("fireflyward.daemon._node_io._IDLE_LIMIT_S", 0.05):
+        with mock.patch("fireflyward.daemon._node_io._IDLE_TIMEOUT_S", 0.05):
             node = Node(self.deployment.make_settings("entry-9", "sala-sur"))
             await node.start()
         self.addAsyncCleanup(node.close)
