--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -8,13 +8,6 @@
 from fireflyward.runs import Deliver, Mark, Placed
 from fireflyward.upstreams import count_tokens
 
-from ._asked import (
-    Asked,
-    ask_by_version_now,
-    make_task,
-    may_ask_again,
-    read_asked,
-)
 from ._body import read_body
 from ._errors import error_bytes, headers_of
 from ._identity import Identity, identify, identify_again
@@ -28,6 +21,13 @@
     read_prompt,
     usage_body,
 )
+from ._run_request import (
+    Asked,
+    ask_by_version_now,
+    make_task,
+    may_ask_again,
+    read_asked,
+)
 
 _MS_PER_SECOND = 1_000
 # Making a token takes about as long as prefilling this many.
