--- a/fireflyward/entry/_app.py
+++ b/fireflyward/entry/_app.py
@@ -10,7 +10,7 @@
 from fireflyward.outcomes import NotRun, Reason, Unknown
 
 from . import _completions, _services
-from ._behind import refuse_while_behind
+from ._bundle_check import refuse_while_behind
 from ._errors import headers_of
 from ._identity import identify
 from ._in_flight import close_connection, write_whole
