--- a/fireflyward/entry/_app.py
+++ b/fireflyward/entry/_app.py
@@ -11,10 +11,10 @@
 
 from . import _completions, _services
 from ._bundle_check import refuse_while_behind
+from ._context import JSON, PARTS, REQUEST_ID, EntryParts, new_request_id, refuse
 from ._errors import headers_of
 from ._identity import identify
 from ._in_flight import close_connection, write_whole
-from ._parts import JSON, PARTS, REQUEST_ID, EntryParts, new_request_id, refuse
 from ._requests import ModelEntry, ModelsBody
 
 log = logging.getLogger("fireflyward.entry")
--- a/fireflyward/entry/_bundle_check.py
+++ b/fireflyward/entry/_bundle_check.py
@@ -7,8 +7,8 @@
 
 from fireflyward.outcomes import NotRun, Reason
 
+from ._context import PARTS, new_request_id, refuse
 from ._errors import BUNDLE_HEADER
-from ._parts import PARTS, new_request_id, refuse
 
 _NUMBER = re.compile(r"^[0-9]{1,15}$")
 _RETRY_AFTER_MS = 1_000
--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -9,9 +9,9 @@
 from fireflyward.upstreams import count_tokens
 
 from ._body import read_body
+from ._context import JSON, PARTS, EntryParts, new_request_id, refuse
 from ._errors import error_bytes, headers_of
 from ._identity import Identity, identify, identify_again
-from ._parts import JSON, PARTS, EntryParts, new_request_id, refuse
 from ._prefixes import add_prefix, prefix_blocks, prefix_headers
 from ._requests import (
     ChatDelta,
--- a/fireflyward/entry/_identity.py
+++ b/fireflyward/entry/_identity.py
@@ -8,7 +8,7 @@
 from fireflyward.bundles import Account
 from fireflyward.outcomes import NotRun, Reason
 
-from ._parts import ACCOUNT, PARTS, REQUEST_ID
+from ._context import ACCOUNT, PARTS, REQUEST_ID
 
 _BEARER = re.compile(r"^Bearer ([\x21-\x7e]{1,512})$")
 _IDEMPOTENCY_KEY = re.compile(r"^[\x21-\x7e]{1,200}$")
--- a/fireflyward/entry/_prefixes.py
+++ b/fireflyward/entry/_prefixes.py
@@ -6,8 +6,8 @@
 from fireflyward.outcomes import NotRun, Reason
 from fireflyward.upstreams import BLOCK_TOKENS, count_tokens
 
+from ._context import EntryParts
 from ._identity import Identity
-from ._parts import EntryParts
 from ._requests import Prompt
 
 PREFIX_HEADER = "X-Prefix"
--- a/fireflyward/entry/_run_request.py
+++ b/fireflyward/entry/_run_request.py
@@ -10,8 +10,8 @@
 from fireflyward.runs import Mark, RecordOfRun, RunTask
 from fireflyward.upstreams import EngineCall, count_tokens
 
+from ._context import EntryParts
 from ._identity import Identity
-from ._parts import EntryParts
 from ._requests import Prompt
 
 _MARK_HEADER = "Last-Event-ID"
--- a/fireflyward/entry/_services.py
+++ b/fireflyward/entry/_services.py
@@ -11,9 +11,9 @@
 from fireflyward.upstreams import ServiceCall, ServiceReply
 
 from ._body import read_body
+from ._context import PARTS, EntryParts, new_request_id, refuse
 from ._errors import headers_of
 from ._identity import Identity, identify, identify_again
-from ._parts import PARTS, EntryParts, new_request_id, refuse
 
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
