--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -146,7 +146,7 @@
     parts.on_hint(asked.run_id, prefix_blocks(prompt), bool(prompt.session))
     is_behind = request[_TICKET].is_beyond_share
     task = make_task(parts, asked, trace_parent, is_behind=is_behind)
-    answer = _Answer(request, asked)
+    answer = _ResponseWriter(request, asked)
     results = task.results()
     try:
         async for result in results:
@@ -181,7 +181,7 @@
     return renewed if has_it else None
 
 
-class _Answer:
+class _ResponseWriter:
     """Writes one answer, streamed or whole, to its caller.
 
     Events of a stream are held while ``has_more`` says that the next is there
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -160,12 +160,12 @@
 
 
 def answers_without_end_marker():
-    original = _completions._Answer.end
+    original = _completions._ResponseWriter.end
 
     async def end(self, outcome):
         return await original(self, Answered())
 
-    return mock.patch.object(_completions._Answer, "end", end)
+    return mock.patch.object(_completions._ResponseWriter, "end", end)
 
 
 def every_failure_called_not_run():
