--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptHint:
-    """A caller's hint that a prompt will return: a named prefix or a session."""
+    """A caller's hint that it will send a prompt again: a named prefix or a session."""
 
     prefix_blocks: int = 0
     has_session: bool = False
--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -9,7 +9,7 @@
 from fireflyward.bundles import Bundle, BundleHolder
 from fireflyward.clock import Clock
 from fireflyward.connections import SilenceLimits, within
-from fireflyward.entry import EntryParts, InFlight, build_app
+from fireflyward.entry import EntryContext, InFlightRequests, build_app
 from fireflyward.kept import BlockNames
 from fireflyward.leaving import LeavingTask, LeavingUpstreams
 from fireflyward.limits import AdmissionGate
@@ -73,7 +73,7 @@
         self.guards = Guards(
             settings, clock=self.clock, members=self.members, metrics=self.metrics
         )
-        self.in_flight = InFlight()
+        self.in_flight = InFlightRequests()
         self.rollout = RolloutDuty(
             settings,
             clock=self.clock,
@@ -150,7 +150,7 @@
             holder=self.holder,
             observe=self.observe,
         )
-        app = build_app(self._entry_parts(self.records))
+        app = build_app(self._entry_context(self.records))
         self.port = await self.io.listen(app)
         self.observe(StartStep.PORT_OPEN)
         await self.link.start()
@@ -266,8 +266,8 @@
             vms=vms,
         )
 
-    def _entry_parts(self, records: RunRecords) -> EntryParts:
-        return EntryParts(
+    def _entry_context(self, records: RunRecords) -> EntryContext:
+        return EntryContext(
             clock=self.clock,
             holder=self.holder,
             router=self.router,
@@ -280,7 +280,7 @@
             tracing=self.tracing,
             request_limit_bytes=self.settings["request_limit_bytes"],
             deadline_ms=self.settings["request_deadline_ms"],
-            ready=self.is_ready,
+            is_ready=self.is_ready,
             observe=self.observe,
             catch_up=self.bundles.catch_up,
             refresh_reports=self.refresh_reports,
@@ -288,10 +288,10 @@
             prefixes=self.kept.prefixes,
             on_hint=self.kept.work.on_hint,
             run_ids=RunIds(self.settings["kept_key"]),
-            limits=SilenceLimits(silence_ms=self.settings["silence_limit_ms"]),
+            silence_limits=SilenceLimits(silence_ms=self.settings["silence_limit_ms"]),
             in_flight=self.in_flight,
-            versions=self.rollout.versions,
-            leaving=self.leaving_upstreams,
+            serving_versions=self.rollout.versions,
+            leaving_upstreams=self.leaving_upstreams,
         )
 
     async def refresh_reports(self, model: str, version: str) -> None:
--- a/fireflyward/daemon/_planned_stop.py
+++ b/fireflyward/daemon/_planned_stop.py
@@ -6,7 +6,7 @@
 
 from fireflyward.clock import Clock
 from fireflyward.connections import within
-from fireflyward.entry import InFlight
+from fireflyward.entry import InFlightRequests
 from fireflyward.steps import StepObserver
 
 from ._lifecycle_steps import StopStep
@@ -32,7 +32,7 @@
         self,
         *,
         clock: Clock,
-        in_flight: InFlight,
+        in_flight: InFlightRequests,
         observe: StepObserver,
         balancer_wait_ms: int,
         limit_ms: int,
@@ -99,10 +99,10 @@
         reason = "a second signal" if self._is_cut else "the hard limit"
         cut = self._in_flight.cut()
         log.warning("daemon: %s cuts %d requests", reason, len(cut))
-        for flight in cut:
+        for request in cut:
             log.warning(
                 "daemon: cut request %s, %s",
-                flight.request_id,
-                flight.described,
-                extra={"request": flight.request_id},
+                request.request_id,
+                request.description,
+                extra={"request": request.request_id},
             )
--- a/fireflyward/entry/__init__.py
+++ b/fireflyward/entry/__init__.py
@@ -1,7 +1,7 @@
-"""What callers meet: the HTTP interface of an entry VM."""
+"""The HTTP interface of an entry VM, which callers use."""
 
 from ._app import build_app
-from ._context import EntryParts
-from ._in_flight import Flight, InFlight
+from ._context import EntryContext
+from ._in_flight import InFlightRequest, InFlightRequests
 
-__all__ = ["EntryParts", "Flight", "InFlight", "build_app"]
+__all__ = ["EntryContext", "InFlightRequest", "InFlightRequests", "build_app"]
--- a/fireflyward/entry/_app.py
+++ b/fireflyward/entry/_app.py
@@ -10,11 +10,18 @@
 from fireflyward.outcomes import NotRun, Reason, Unknown
 
 from . import _completions, _services
-from ._bundle_check import refuse_while_behind
-from ._context import JSON, PARTS, REQUEST_ID, EntryParts, new_request_id, refuse
+from ._bundle_check import reject_if_behind
+from ._context import (
+    CONTEXT,
+    JSON_CONTENT_TYPE,
+    REQUEST_ID,
+    EntryContext,
+    new_request_id,
+    reject,
+)
 from ._errors import headers_of
 from ._identity import identify
-from ._in_flight import close_connection, write_whole
+from ._in_flight import close_connection, write_response
 from ._requests import ModelEntry, ModelsBody
 
 log = logging.getLogger("fireflyward.entry")
@@ -22,13 +29,13 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def build_app(parts: EntryParts) -> web.Application:
-    """Return the application that serves callers by ``parts``."""
+def build_app(context: EntryContext) -> web.Application:
+    """Return the application that serves callers."""
     app = web.Application(
-        client_max_size=parts.request_limit_bytes,
-        middlewares=[_count_in_flight, _refuse_in_form, refuse_while_behind],
+        client_max_size=context.request_limit_bytes,
+        middlewares=[_track_in_flight, _convert_errors, reject_if_behind],
     )
-    app[PARTS] = parts
+    app[CONTEXT] = context
     app.on_response_prepare.append(_close_when_stopping)
     for method, path, handler in (
         ("POST", "/v1/completions", _completions.handle_completion),
@@ -40,34 +47,34 @@
         ("GET", "/metrics", _handle_metrics),
         ("*", "/{path:.*}", _handle_unknown),
     ):
-        app.router.add_route(method, path, handler, expect_handler=_on_expect)
+        app.router.add_route(method, path, handler, expect_handler=_handle_expect)
     return app
 
 
-async def _on_expect(request: web.Request) -> web.Response | None:
-    """Tell a caller that waits for it to go on with its body.
+async def _handle_expect(request: web.Request) -> web.Response | None:
+    """Answer ``Expect: 100-continue``, and reject any other expectation.
 
-    The library repeats any other expectation in its refusal; one that is not valid
-    text then ends as a status 500, as if the node were at fault.
+    aiohttp would repeat another expectation in its response. If that is not valid
+    text, the response becomes a status 500, as if the node had failed.
     """
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         request.writer.output_size = 0
         return None
-    outcome = NotRun(Reason.BAD_REQUEST, "Expect: only 100-continue")
-    return refuse(request, outcome, new_request_id())
+    outcome = NotRun(Reason.BAD_REQUEST, "Expect: only 100-continue is supported")
+    return reject(request, outcome, new_request_id())
 
 
 @web.middleware
-async def _count_in_flight(
+async def _track_in_flight(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    in_flight = request.app[PARTS].in_flight
+    in_flight = request.app[CONTEXT].in_flight
     request_id = request[REQUEST_ID] = new_request_id()
     in_flight.enter(request_id, f"{request.method} {request.path}")
     try:
         response = await handler(request)
-        await write_whole(request, response)
+        await write_response(request, response)
         return response
     finally:
         in_flight.leave(request_id)
@@ -76,17 +83,19 @@
 async def _close_when_stopping(
     request: web.Request, response: web.StreamResponse
 ) -> None:
-    if request.app[PARTS].in_flight.is_closing:
+    if request.app[CONTEXT].in_flight.is_closing:
         close_connection(response)
 
 
 @web.middleware
-async def _refuse_in_form(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Give the library's own refusals (404, 405, 413) the form of the others."""
+async def _convert_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
+    """Convert aiohttp's own errors (404, 405, 413) and failures to error bodies."""
     try:
         return await handler(request)
     except web.HTTPRequestEntityTooLarge:
-        outcome = NotRun(Reason.TOO_LARGE, "the body is larger than this node reads")
+        outcome = NotRun(
+            Reason.TOO_LARGE, "the body exceeds the size limit of this node"
+        )
     except web.HTTPNotFound:
         outcome = NotRun(Reason.UNKNOWN_ROUTE, f"no route {request.path}")
     except web.HTTPMethodNotAllowed:
@@ -97,12 +106,14 @@
         raise
     except Exception:
         log.exception("entry: %s %s failed", request.method, request.path)
-        outcome = Unknown(Reason.INTERNAL, "this node failed; it may have run")
-    return refuse(request, outcome, new_request_id())
+        outcome = Unknown(
+            Reason.INTERNAL, "internal error of this node; the request may have run"
+        )
+    return reject(request, outcome, new_request_id())
 
 
 async def _handle_unknown(request: web.Request) -> web.Response:
-    """Refuse what no route takes, telling an unknown path from a wrong method."""
+    """Reject a request without a route: an unknown path or a wrong method."""
     for resource in request.app.router.resources():
         _, allowed_methods = await resource.resolve(request)
         if allowed_methods and "*" not in allowed_methods:
@@ -113,8 +124,8 @@
 async def _handle_models(request: web.Request) -> web.Response:
     identity = identify(request)
     if isinstance(identity, NotRun):
-        return refuse(request, identity, new_request_id())
-    bundle = request.app[PARTS].holder.bundle
+        return reject(request, identity, new_request_id())
+    bundle = request.app[CONTEXT].holder.bundle
     entries = []
     for name in bundle.models_of(identity.account, identity.caller_name):
         entries.append(ModelEntry(name))
@@ -123,7 +134,7 @@
     return web.Response(
         body=msgspec.json.encode(ModelsBody(entries)),
         headers=headers_of("answered", identity.request_id, identity.bundle_number),
-        content_type=JSON,
+        content_type=JSON_CONTENT_TYPE,
     )
 
 
@@ -132,11 +143,11 @@
 
 
 async def _handle_ready(request: web.Request) -> web.Response:
-    ready = request.app[PARTS].ready()
+    ready = request.app[CONTEXT].is_ready()
     return web.Response(
         status=200 if ready else 503, text="ready\n" if ready else "not ready\n"
     )
 
 
 async def _handle_metrics(request: web.Request) -> web.Response:
-    return web.Response(text=request.app[PARTS].metrics.text())
+    return web.Response(text=request.app[CONTEXT].metrics.text())
--- a/fireflyward/entry/_body.py
+++ b/fireflyward/entry/_body.py
@@ -1,4 +1,4 @@
-"""Reading what a caller sends, within a size and a time."""
+"""Reading a request's body, with limits on its size and time."""
 
 import asyncio
 
@@ -6,22 +6,23 @@
 
 from fireflyward.outcomes import NotRun, Reason
 
-_BODY_LIMIT_S = 30.0
+_BODY_TIMEOUT_S = 30.0
 _RETRY_AFTER_MS = 1_000
 
 
 async def read_body(
-    request: web.Request, *, limit_s: float = _BODY_LIMIT_S
+    request: web.Request, *, timeout_s: float = _BODY_TIMEOUT_S
 ) -> bytes | NotRun:
-    """Return the whole body, or the refusal of one that does not arrive.
+    """Return the complete body, or a rejection if it does not arrive in time.
 
-    A caller that sends a byte now and then would otherwise hold a connection and
-    its buffers for ever; many of them fill the node while its CPU is idle. The
-    size is bounded by the application, which raises before it reads further.
+    Without the time limit, a caller that sends single bytes would occupy a connection
+    and its buffers for an unlimited time. Many such callers exhaust the node while its
+    CPU is idle. The size is limited by the application, which raises an error when the
+    limit is exceeded.
     """
     try:
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             return await request.read()
     except TimeoutError:
-        detail = f"the body did not arrive within {limit_s:g} s"
+        detail = f"the body did not arrive within {timeout_s:g} s"
         return NotRun(Reason.BODY_TIMEOUT, detail, _RETRY_AFTER_MS)
--- a/fireflyward/entry/_bundle_check.py
+++ b/fireflyward/entry/_bundle_check.py
@@ -1,4 +1,4 @@
-"""A caller that has seen a bundle's number is not served by an older one."""
+"""Rejects a caller that has seen a newer bundle than this node has."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -7,34 +7,35 @@
 
 from fireflyward.outcomes import NotRun, Reason
 
-from ._context import PARTS, new_request_id, refuse
+from ._context import CONTEXT, new_request_id, reject
 from ._errors import BUNDLE_HEADER
 
-_NUMBER = re.compile(r"^[0-9]{1,15}$")
+_BUNDLE_NUMBER = re.compile(r"^[0-9]{1,15}$")
 _RETRY_AFTER_MS = 1_000
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 @web.middleware
-async def refuse_while_behind(
+async def reject_if_behind(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Catch up with the number in the request's ``X-Bundle``, or refuse.
+    """Catch up with the bundle number in the request's ``X-Bundle``, or reject it.
 
-    Every response names the number that it was served by. A caller that sends it
-    along is refused by a node which does not have it, instead of being served by
-    rules that it has already seen replaced.
+    Every response contains the number of the bundle by which it was served. A caller
+    can send that number with its next request. A node that does not have the bundle
+    yet then rejects the request, so that it is not served by rules that the caller
+    has already seen replaced.
     """
     header = request.headers.get(BUNDLE_HEADER)
     if header is None:
         return await handler(request)
-    if not _NUMBER.match(header):
-        outcome = NotRun(Reason.BAD_REQUEST, "X-Bundle: a whole number")
-        return refuse(request, outcome, new_request_id())
-    parts = request.app[PARTS]
-    seen = int(header)
-    if parts.holder.number < seen and not await parts.catch_up(seen):
-        detail = f"this node is at bundle {parts.holder.number}, not yet at {seen}"
+    if not _BUNDLE_NUMBER.match(header):
+        outcome = NotRun(Reason.BAD_REQUEST, "X-Bundle: must be a whole number")
+        return reject(request, outcome, new_request_id())
+    context = request.app[CONTEXT]
+    number = int(header)
+    if context.holder.number < number and not await context.catch_up(number):
+        detail = f"this node is at bundle {context.holder.number}, not yet at {number}"
         outcome = NotRun(Reason.BUNDLE_BEHIND, detail, _RETRY_AFTER_MS)
-        return refuse(request, outcome, new_request_id())
+        return reject(request, outcome, new_request_id())
     return await handler(request)
--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -1,4 +1,4 @@
-"""Prompts: from the request's body to the last byte of its answer."""
+"""Prompts, from the request's body to the last byte of the answer."""
 
 import msgspec
 from aiohttp import web
@@ -9,9 +9,9 @@
 from fireflyward.upstreams import count_tokens
 
 from ._body import read_body
-from ._context import JSON, PARTS, EntryParts, new_request_id, refuse
+from ._context import CONTEXT, JSON_CONTENT_TYPE, EntryContext, new_request_id, reject
 from ._errors import error_bytes, headers_of
-from ._identity import Identity, identify, identify_again
+from ._identity import Identity, identify, identify_by_current_bundle
 from ._prefixes import add_prefix, prefix_blocks, prefix_headers
 from ._requests import (
     ChatDelta,
@@ -22,18 +22,18 @@
     usage_body,
 )
 from ._run_request import (
-    Asked,
-    ask_by_version_now,
+    RunRequest,
     make_task,
-    may_ask_again,
-    read_asked,
+    may_change_version,
+    read_run_request,
+    with_current_version,
 )
 
 _MS_PER_SECOND = 1_000
-# Making a token takes about as long as prefilling this many.
-_TOKENS_PER_DECODED = 4
+# Decoding a token takes about as long as prefilling this many tokens.
+_PREFILL_TOKENS_PER_DECODED_TOKEN = 4
 _TICKET = web.RequestKey("admission_ticket", Ticket)
-_LAST_LINE = b"data: [DONE]\n\n"
+_END_MARKER = b"data: [DONE]\n\n"
 
 
 async def handle_completion(request: web.Request) -> web.StreamResponse:
@@ -47,53 +47,56 @@
 
 
 async def _handle(request: web.Request, *, is_chat: bool) -> web.StreamResponse:
-    parts = request.app[PARTS]
+    context = request.app[CONTEXT]
     identity = identify(request)
     if isinstance(identity, NotRun):
-        return refuse(request, identity, new_request_id())
+        return reject(request, identity, new_request_id())
     body = await read_body(request)
     if isinstance(body, NotRun):
-        return refuse(request, body, identity.request_id)
+        return reject(request, body, identity.request_id)
     prompt = read_prompt(body, is_chat=is_chat)
     if isinstance(prompt, NotRun):
-        return refuse(request, prompt, identity.request_id)
-    asked = _judge(request, identity, prompt, body)
-    if isinstance(asked, NotRun):
-        return refuse(request, asked, identity.request_id)
-    refusal = await add_prefix(parts, request, identity, prompt)
-    if refusal:
-        return refuse(request, refusal, identity.request_id)
-    ticket = await parts.admission.enter(_ask(asked))
+        return reject(request, prompt, identity.request_id)
+    run_request = _validate(request, identity, prompt, body)
+    if isinstance(run_request, NotRun):
+        return reject(request, run_request, identity.request_id)
+    rejection = await add_prefix(context, request, identity, prompt)
+    if rejection:
+        return reject(request, rejection, identity.request_id)
+    ticket = await context.admission.enter(_admission_request(run_request))
     if isinstance(ticket, NotRun):
-        return refuse(request, ticket, identity.request_id)
+        return reject(request, ticket, identity.request_id)
     request[_TICKET] = ticket
     try:
-        if parts.holder.number != asked.identity.bundle_number:
-            renewed = _judge(request, identity, prompt, body)
+        if context.holder.number != run_request.identity.bundle_number:
+            renewed = _validate(request, identity, prompt, body)
             if isinstance(renewed, NotRun):
-                return refuse(request, renewed, identity.request_id)
-            asked = renewed
-        return await _serve(request, asked)
+                return reject(request, renewed, identity.request_id)
+            run_request = renewed
+        return await _serve(request, run_request)
     finally:
-        _on_first_token(request, asked)
-        parts.admission.leave(ticket)
+        _report_first_token(request, run_request)
+        context.admission.leave(ticket)
 
 
-def _judge(
+def _validate(
     request: web.Request, identity: Identity, prompt: Prompt, body: bytes
-) -> Asked | NotRun:
-    """Return what is asked by the bundle in force now, or why it is refused."""
-    parts = request.app[PARTS]
-    renewed = identify_again(request, identity)
+) -> RunRequest | NotRun:
+    """Return the request validated by the bundle in force now, or a rejection."""
+    context = request.app[CONTEXT]
+    renewed = identify_by_current_bundle(request, identity)
     if isinstance(renewed, NotRun):
         return renewed
-    refusal = _allowed(parts, renewed, prompt)
-    return refusal or read_asked(parts, request, renewed, prompt, body)
+    rejection = _check_access(context, renewed, prompt)
+    return rejection or read_run_request(context, request, renewed, prompt, body)
 
 
-def _ask(asked: Asked) -> AdmissionRequest:
-    identity, prompt = asked.identity, asked.prompt
-    cost = count_tokens(prompt.text) + _TOKENS_PER_DECODED * prompt.max_tokens
+def _admission_request(run_request: RunRequest) -> AdmissionRequest:
+    identity, prompt = run_request.identity, run_request.prompt
+    cost = (
+        count_tokens(prompt.text)
+        + _PREFILL_TOKENS_PER_DECODED_TOKEN * prompt.max_tokens
+    )
     return AdmissionRequest(
         identity.account_name,
         prompt.model,
@@ -104,17 +107,19 @@
     )
 
 
-def _on_first_token(request: web.Request, asked: Asked) -> None:
-    """Tell admission once that this run no longer waits for its first token."""
-    parts = request.app[PARTS]
+def _report_first_token(request: web.Request, run_request: RunRequest) -> None:
+    """Report to admission, once, that the run no longer waits for its first token."""
+    context = request.app[CONTEXT]
     ticket = request[_TICKET]
     if ticket.is_pending:
-        late_ms = parts.router.pop_queueing_delay_ms(asked.run_id)
-        parts.admission.on_first_token(ticket, late_ms)
+        queueing_delay_ms = context.router.pop_queueing_delay_ms(run_request.run_id)
+        context.admission.on_first_token(ticket, queueing_delay_ms)
 
 
-def _allowed(parts: EntryParts, identity: Identity, prompt: Prompt) -> NotRun | None:
-    bundle = parts.holder.bundle
+def _check_access(
+    context: EntryContext, identity: Identity, prompt: Prompt
+) -> NotRun | None:
+    bundle = context.holder.bundle
     models = bundle.models_of(identity.account, identity.caller_name)
     if prompt.model not in bundle.models or prompt.model not in models:
         detail = f"model {prompt.model!r} is not served to this caller"
@@ -126,100 +131,118 @@
     return None
 
 
-async def _serve(request: web.Request, asked: Asked) -> web.StreamResponse:
-    parts = request.app[PARTS]
-    identity = asked.identity
+async def _serve(request: web.Request, run_request: RunRequest) -> web.StreamResponse:
+    context = request.app[CONTEXT]
+    identity = run_request.identity
     trace_parent = identity.trace_parent
-    if not parts.tracing.is_sampled(trace_parent):
-        return await _run(request, asked, trace_parent)
-    with parts.tracing.span(
+    if not context.tracing.is_sampled(trace_parent):
+        return await _run(request, run_request, trace_parent)
+    with context.tracing.span(
         "entry", trace_parent, account=identity.account_name
     ) as inner:
-        return await _run(request, asked, inner)
+        return await _run(request, run_request, inner)
 
 
 async def _run(
-    request: web.Request, asked: Asked, trace_parent: str, *, is_again: bool = False
+    request: web.Request,
+    run_request: RunRequest,
+    trace_parent: str,
+    *,
+    is_retry: bool = False,
 ) -> web.StreamResponse:
-    parts = request.app[PARTS]
-    prompt = asked.prompt
-    parts.on_hint(asked.run_id, prefix_blocks(prompt), bool(prompt.session))
-    is_behind = request[_TICKET].is_beyond_share
-    task = make_task(parts, asked, trace_parent, is_behind=is_behind)
-    answer = _ResponseWriter(request, asked)
+    context = request.app[CONTEXT]
+    prompt = run_request.prompt
+    context.on_hint(run_request.run_id, prefix_blocks(prompt), bool(prompt.session))
+    is_beyond_share = request[_TICKET].is_beyond_share
+    task = make_task(
+        context, run_request, trace_parent, is_beyond_share=is_beyond_share
+    )
+    answer = _ResponseWriter(request, run_request)
     results = task.results()
     try:
         async for result in results:
             if isinstance(result, Deliver):
-                _on_first_token(request, asked)
+                _report_first_token(request, run_request)
                 await answer.piece(result, has_more=task.has_pending)
             elif isinstance(result, Placed):
                 await answer.placed(result, has_more=task.has_pending)
             else:
-                moved = None
-                if not is_again and not answer.has_begun:
-                    moved = await _moved(parts, asked, result.outcome)
-                if moved is None:
+                retry_request = None
+                if not is_retry and not answer.has_started:
+                    retry_request = await _retry_request(
+                        context, run_request, result.outcome
+                    )
+                if retry_request is None:
                     return await answer.end(result.outcome)
-                return await _run(request, moved, trace_parent, is_again=True)
+                return await _run(request, retry_request, trace_parent, is_retry=True)
     finally:
         await results.aclose()
     raise AssertionError("a run ended without an outcome")
 
 
-async def _moved(
-    parts: EntryParts, asked: Asked, outcome: Answered | NotRun | Unknown
-) -> Asked | None:
-    """Return what to ask once more when no replica was known to have the version."""
+async def _retry_request(
+    context: EntryContext, run_request: RunRequest, outcome: Answered | NotRun | Unknown
+) -> RunRequest | None:
+    """Return the request to retry if no replica had its version, or None.
+
+    The retry uses the version that is served now. There is none if the request must
+    not be retried, or if no replica has that version.
+    """
     if not isinstance(outcome, NotRun) or outcome.reason is not Reason.NO_UPSTREAM:
         return None
-    if not may_ask_again(asked) or parts.clock.now_ms() >= asked.identity.deadline_ms:
+    if (
+        not may_change_version(run_request)
+        or context.clock.now_ms() >= run_request.identity.deadline_ms
+    ):
         return None
-    await parts.refresh_reports(asked.prompt.model, asked.version)
-    renewed = ask_by_version_now(parts, asked)
-    has_it = parts.router.has_version(renewed.prompt.model, renewed.version)
-    return renewed if has_it else None
+    await context.refresh_reports(run_request.prompt.model, run_request.version)
+    renewed = with_current_version(context, run_request)
+    is_available = context.router.has_version(renewed.prompt.model, renewed.version)
+    return renewed if is_available else None
 
 
 class _ResponseWriter:
-    """Writes one answer, streamed or whole, to its caller.
+    """Writes one answer to its caller, as a stream or as one response.
 
-    Events of a stream are held while ``has_more`` says that the next is there
-    already, and go out in one write with it: a write costs about as much as the
-    rest of a piece. What can be held is what the run's task lets wait.
+    While ``has_more`` says that the next event of a stream is already available, events
+    are buffered and sent with it in one write: a write costs about as much as all other
+    work for a piece. The task of the run limits how much can be buffered.
     """
 
-    def __init__(self, request: web.Request, asked: Asked) -> None:
+    def __init__(self, request: web.Request, run_request: RunRequest) -> None:
         self._request = request
-        self._parts = request.app[PARTS]
-        self._asked = asked
-        self._identity = asked.identity
-        self._prompt = asked.prompt
-        self._began_ms = self._parts.clock.now_ms()
-        self._last_ms = 0
-        self._created = self._parts.clock.wall_ms() // _MS_PER_SECOND
+        self._context = request.app[CONTEXT]
+        self._run_request = run_request
+        self._identity = run_request.identity
+        self._prompt = run_request.prompt
+        self._started_ms = self._context.clock.now_ms()
+        self._last_piece_ms = 0
+        self._created = self._context.clock.wall_ms() // _MS_PER_SECOND
         self._texts: list[str] = []
-        self._held: list[bytes] = []
+        self._buffered_events: list[bytes] = []
         self._response: web.StreamResponse | None = None
 
     @property
-    def has_begun(self) -> bool:
-        """Tell whether the caller already has the head of a stream."""
+    def has_started(self) -> bool:
+        """Return whether the headers of a stream were already sent."""
         return self._response is not None
 
     async def placed(self, placed: Placed, *, has_more: bool) -> None:
-        """Tell a caller that may come back where its run is, before any text."""
-        if self._prompt.stream and self._asked.is_resumable:
+        """Send the id of a resumable stream before its first text.
+
+        A caller that loses its connection can then resume the run.
+        """
+        if self._prompt.stream and self._run_request.is_resumable:
             event = b"id: %s\n\n" % self._event_id(placed.mark)
             await self._send(event, has_more=has_more)
 
     async def piece(self, piece: Deliver, *, has_more: bool) -> None:
-        """Pass a piece on at once, or keep it for the whole answer.
+        """Send a piece of a stream, or add it to the complete answer.
 
-        An answer that is not streamed starts anew when its run moves to another
-        replica; its first piece then comes a second time.
+        An answer that is not streamed starts again when its run moves to another
+        replica; its first piece is then delivered a second time.
         """
-        self._time_piece()
+        self._observe_latency()
         if not self._prompt.stream:
             if not piece.offset:
                 self._texts.clear()
@@ -230,15 +253,15 @@
         await self._send(event, has_more=has_more)
 
     async def end(self, outcome: Answered | NotRun | Unknown) -> web.StreamResponse:
-        """Write the end; a stream that failed ends with an error event."""
+        """Finish the response; a stream that failed ends with an error event."""
         if isinstance(outcome, Answered):
             self._count_answer(outcome)
             if self._prompt.stream:
                 return await self._end_stream(outcome)
-            return self._whole(outcome)
+            return self._full_response(outcome)
         if self._response is None:
-            return refuse(self._request, outcome, self._identity.request_id)
-        self._parts.metrics.count(
+            return reject(self._request, outcome, self._identity.request_id)
+        self._context.metrics.count(
             "requests_total", outcome=outcome.tag, reason=outcome.reason.value
         )
         body = error_bytes(outcome, self._identity.request_id)
@@ -247,19 +270,21 @@
 
     async def _send(self, event: bytes, *, has_more: bool) -> None:
         response = await self._open_stream()
-        self._held.append(event)
+        self._buffered_events.append(event)
         if not has_more:
-            await response.write(self._take_held())
+            await response.write(self._take_buffered())
 
-    def _take_held(self) -> bytes:
-        held, self._held = self._held, []
-        return b"".join(held)
+    def _take_buffered(self) -> bytes:
+        events, self._buffered_events = self._buffered_events, []
+        return b"".join(events)
 
     def _event_id(self, mark: Mark) -> bytes:
-        if not self._asked.is_resumable:
+        if not self._run_request.is_resumable:
             return b"%d" % mark.tokens
-        asked = self._asked
-        return self._parts.run_ids.seal(asked.run_id, mark, asked.version).encode()
+        run_request = self._run_request
+        return self._context.run_ids.seal(
+            run_request.run_id, mark, run_request.version
+        ).encode()
 
     async def _open_stream(self) -> web.StreamResponse:
         if self._response is None:
@@ -273,16 +298,18 @@
         response = await self._open_stream()
         body = self._body("", "stop")
         body.usage = usage_body(outcome.usage)
-        self._held.append(b"data: %s\n\n" % msgspec.json.encode(body))
-        self._held.append(_LAST_LINE)
-        await response.write_eof(self._take_held())
+        self._buffered_events.append(b"data: %s\n\n" % msgspec.json.encode(body))
+        self._buffered_events.append(_END_MARKER)
+        await response.write_eof(self._take_buffered())
         return response
 
-    def _whole(self, outcome: Answered) -> web.Response:
-        body = self._body("".join(self._texts), "stop", whole=True)
+    def _full_response(self, outcome: Answered) -> web.Response:
+        body = self._body("".join(self._texts), "stop", is_full=True)
         body.usage = usage_body(outcome.usage)
         return web.Response(
-            body=msgspec.json.encode(body), headers=self._headers(), content_type=JSON
+            body=msgspec.json.encode(body),
+            headers=self._headers(),
+            content_type=JSON_CONTENT_TYPE,
         )
 
     def _headers(self) -> dict[str, str]:
@@ -291,12 +318,12 @@
         return {**headers, **prefix_headers(self._request)}
 
     def _body(
-        self, text: str, finish_reason: str | None, *, whole: bool = False
+        self, text: str, finish_reason: str | None, *, is_full: bool = False
     ) -> CompletionBody:
         if not self._prompt.is_chat:
             kind = "text_completion"
             choice = CompletionChoice(text=text, finish_reason=finish_reason)
-        elif whole:
+        elif is_full:
             kind = "chat.completion"
             choice = CompletionChoice(
                 message=ChatDelta(text), finish_reason=finish_reason
@@ -315,17 +342,21 @@
             [choice],
         )
 
-    def _time_piece(self) -> None:
-        now_ms = self._parts.clock.now_ms()
-        if self._last_ms:
-            self._parts.metrics.observe_ms("token_gap_ms", now_ms - self._last_ms)
+    def _observe_latency(self) -> None:
+        now_ms = self._context.clock.now_ms()
+        if self._last_piece_ms:
+            self._context.metrics.observe_ms(
+                "token_gap_ms", now_ms - self._last_piece_ms
+            )
         else:
-            self._parts.metrics.observe_ms("first_token_ms", now_ms - self._began_ms)
-        self._last_ms = now_ms
+            self._context.metrics.observe_ms(
+                "first_token_ms", now_ms - self._started_ms
+            )
+        self._last_piece_ms = now_ms
 
     def _count_answer(self, outcome: Answered) -> None:
         usage = outcome.usage
-        metrics = self._parts.metrics
+        metrics = self._context.metrics
         metrics.count("requests_total", outcome=outcome.tag, reason="")
         metrics.count("prompt_tokens_total", usage.prompt_tokens)
         metrics.count("cached_tokens_total", usage.cached_tokens)
--- a/fireflyward/entry/_context.py
+++ b/fireflyward/entry/_context.py
@@ -1,4 +1,4 @@
-"""What the HTTP interface needs of the node, and how every handler refuses."""
+"""The parts of the node that the HTTP interface uses, and rejections."""
 
 import logging
 import uuid
@@ -22,20 +22,20 @@
 from fireflyward.upstreams import Engine, PlainService
 
 from ._errors import error_bytes, headers_of, status_of
-from ._in_flight import InFlight
+from ._in_flight import InFlightRequests
 
 log = logging.getLogger("fireflyward.entry")
 
-JSON = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 
 
 async def _refresh_nothing(model: str, version: str) -> None:
-    """Ask no replica: what a node without replicas does."""
+    """Poll no replica; the default for a node without replicas."""
 
 
 @dataclass(slots=True)
-class EntryParts:
-    """What the HTTP interface needs of the node around it."""
+class EntryContext:
+    """The parts and settings of the node that the HTTP interface uses."""
 
     clock: Clock
     holder: BundleHolder
@@ -49,37 +49,37 @@
     tracing: Tracing
     request_limit_bytes: int
     deadline_ms: int
-    ready: Callable[[], bool]
+    is_ready: Callable[[], bool]
     catch_up: Callable[[int], Awaitable[bool]]
     run_ids: RunIds
     observe: StepObserver = ignore_step
     prepare: Prepare | None = None
     prefixes: PrefixTexts | None = None
     on_hint: Callable[[str, int, bool], None] = lambda run_id, blocks, session: None
-    limits: SilenceLimits = SilenceLimits()
-    budget: RetryBudget = field(default_factory=RetryBudget)
-    in_flight: InFlight = field(default_factory=InFlight)
-    versions: ServingVersions | None = None
+    silence_limits: SilenceLimits = SilenceLimits()
+    retry_budget: RetryBudget = field(default_factory=RetryBudget)
+    in_flight: InFlightRequests = field(default_factory=InFlightRequests)
+    serving_versions: ServingVersions | None = None
     refresh_reports: Callable[[str, str], Awaitable[None]] = _refresh_nothing
-    leaving: LeavingUpstreams = field(default_factory=LeavingUpstreams)
+    leaving_upstreams: LeavingUpstreams = field(default_factory=LeavingUpstreams)
 
 
-PARTS: web.AppKey[EntryParts] = web.AppKey("parts", EntryParts)
+CONTEXT: web.AppKey[EntryContext] = web.AppKey("parts", EntryContext)
 ACCOUNT: web.RequestKey[str] = web.RequestKey("account", str)
 REQUEST_ID: web.RequestKey[str] = web.RequestKey("request_id", str)
 
 
 def new_request_id() -> str:
-    """Return a name for one request that no other has."""
+    """Return a unique id for a request."""
     return uuid.uuid4().hex
 
 
-def refuse(
+def reject(
     request: web.Request, outcome: NotRun | Unknown, request_id: str
 ) -> web.Response:
-    """Return the response of a request that was not answered."""
-    parts = request.app[PARTS]
-    parts.metrics.count(
+    """Return, count and log the response of a request that was not answered."""
+    context = request.app[CONTEXT]
+    context.metrics.count(
         "requests_total", outcome=outcome.tag, reason=outcome.reason.value
     )
     log.info(
@@ -89,18 +89,18 @@
         extra={
             "request": request_id,
             "account": request.get(ACCOUNT),
-            "bundle": parts.holder.number,
+            "bundle": context.holder.number,
         },
     )
     headers = headers_of(
         outcome.tag,
         request_id,
-        parts.holder.number,
+        context.holder.number,
         retry_after_ms=outcome.retry_after_ms,
     )
     return web.Response(
         status=status_of(outcome),
         body=error_bytes(outcome, request_id),
         headers=headers,
-        content_type=JSON,
+        content_type=JSON_CONTENT_TYPE,
     )
--- a/fireflyward/entry/_errors.py
+++ b/fireflyward/entry/_errors.py
@@ -1,4 +1,4 @@
-"""Outcomes as HTTP: one status, headers and an error body in the OpenAI form."""
+"""Outcomes in HTTP: a status, headers and an error body in the OpenAI format."""
 
 import math
 
@@ -29,7 +29,7 @@
 
 
 class ErrorDetail(msgspec.Struct):
-    """The inside of an error body; ``type`` is the outcome, ``code`` the reason."""
+    """The content of an error body; ``type`` is the outcome, ``code`` the reason."""
 
     message: str
     type: str
@@ -39,7 +39,7 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """An error body in the OpenAI form."""
+    """An error body in the OpenAI format."""
 
     error: ErrorDetail
 
@@ -52,7 +52,7 @@
 
 
 def error_bytes(outcome: NotRun | Unknown, request_id: str) -> bytes:
-    """Return the JSON error body of an outcome."""
+    """Return the JSON_CONTENT_TYPE error body of an outcome."""
     message = outcome.detail or outcome.reason.value
     detail = ErrorDetail(message, outcome.tag, outcome.reason.value, request_id)
     return msgspec.json.encode(ErrorBody(detail))
--- a/fireflyward/entry/_prefixes.py
+++ b/fireflyward/entry/_prefixes.py
@@ -1,4 +1,4 @@
-"""Named prefixes in requests: put before the prompt's text, or named anew."""
+"""Named prefixes in requests: stored for later requests, or added to the prompt."""
 
 from aiohttp import web
 
@@ -6,34 +6,36 @@
 from fireflyward.outcomes import NotRun, Reason
 from fireflyward.upstreams import BLOCK_TOKENS, count_tokens
 
-from ._context import EntryParts
+from ._context import EntryContext
 from ._identity import Identity
 from ._requests import Prompt
 
 PREFIX_HEADER = "X-Prefix"
-_REF = web.RequestKey("prefix_ref", str)
+_PREFIX_REF = web.RequestKey("prefix_ref", str)
 _RETRY_AFTER_MS = 1_000
-_UNKNOWN = "the prefix is not known to this account; send its text with keep again"
+_UNKNOWN_PREFIX = (
+    "the prefix is unknown for this account; send its text with keep again"
+)
 
 
 async def add_prefix(
-    parts: EntryParts, request: web.Request, identity: Identity, prompt: Prompt
+    context: EntryContext, request: web.Request, identity: Identity, prompt: Prompt
 ) -> NotRun | None:
     """Put the prefix of a request before its prompt's text.
 
-    A text that is to be kept was sent whole, so the request is served even when
-    the object store is away; the answer then carries no reference.
+    A request that stores a prefix contains the complete text. So it is served even
+    when the object store is unavailable; its response then has no reference.
     """
     if prompt.prefix_text and prompt.keep:
-        ref = await parts.prefixes.name(
+        ref = await context.prefixes.name(
             _scope(identity), prompt.keep, prompt.prefix_text
         )
         if isinstance(ref, str):
-            request[_REF] = ref
+            request[_PREFIX_REF] = ref
     elif prompt.prefix:
-        found = await parts.prefixes.resolve(_scope(identity), prompt.prefix)
+        found = await context.prefixes.resolve(_scope(identity), prompt.prefix)
         if isinstance(found, UnknownPrefix):
-            return NotRun(Reason.BAD_REQUEST, _UNKNOWN)
+            return NotRun(Reason.BAD_REQUEST, _UNKNOWN_PREFIX)
         if not isinstance(found, PrefixText):
             detail = f"the prefix cannot be read now: {found.detail}"
             return NotRun(Reason.PLATFORM_AWAY, detail, _RETRY_AFTER_MS)
@@ -43,13 +45,13 @@
 
 
 def prefix_blocks(prompt: Prompt) -> int:
-    """Return how many full blocks of a prompt its prefix covers."""
+    """Return the number of full blocks of a prompt that its prefix covers."""
     return count_tokens(prompt.prefix_text) // BLOCK_TOKENS
 
 
 def prefix_headers(request: web.Request) -> dict[str, str]:
-    """Return the header with the reference, if a prefix was named."""
-    ref = request.get(_REF)
+    """Return the header with the reference, if a prefix was stored."""
+    ref = request.get(_PREFIX_REF)
     return {PREFIX_HEADER: ref} if ref else {}
 
 
--- a/fireflyward/entry/_requests.py
+++ b/fireflyward/entry/_requests.py
@@ -1,20 +1,20 @@
-"""Bodies that callers send, checked, and bodies that they get."""
+"""The bodies of requests, with their validation, and the bodies of responses."""
 
 import msgspec
 
 from fireflyward.outcomes import NotRun, Reason, Usage
 
-_MOST_TOKENS = 32_768
-_DEFAULT_TOKENS = 64
-_MOST_NAME = 64
+_MAX_TOKENS = 32_768
+_DEFAULT_MAX_TOKENS = 64
+_MAX_NAME_LENGTH = 64
 
 
 class CompletionRequest(msgspec.Struct):
-    """``POST /v1/completions``; unknown OpenAI options are accepted and unused."""
+    """``POST /v1/completions``; unknown OpenAI options are accepted and ignored."""
 
     model: str
     prompt: str
-    max_tokens: int = _DEFAULT_TOKENS
+    max_tokens: int = _DEFAULT_MAX_TOKENS
     stream: bool = False
     keep: str = ""
     prefix: str = ""
@@ -34,7 +34,7 @@
 
     model: str
     messages: list[ChatMessage]
-    max_tokens: int = _DEFAULT_TOKENS
+    max_tokens: int = _DEFAULT_MAX_TOKENS
     stream: bool = False
     keep: str = ""
     prefix: str = ""
@@ -43,11 +43,11 @@
 
 
 class Prompt(msgspec.Struct):
-    """What either request comes down to.
+    """A prompt, from a completion request or a chat request.
 
-    ``prefix_text`` goes before the text; ``keep`` names it for later requests,
-    which give the reference in ``prefix`` instead. ``session`` says that the prompt
-    will return.
+    ``prefix_text`` goes before the text. If ``keep`` is set, it is stored under that
+    name, and later requests send its reference in ``prefix`` instead. With a
+    ``session``, the caller announces that it will send the prompt again.
     """
 
     model: str
@@ -63,21 +63,21 @@
 
 
 def read_prompt(body: bytes, *, is_chat: bool) -> Prompt | NotRun:
-    """Decode and check a request body."""
+    """Decode and validate a request body."""
     request_type = ChatRequest if is_chat else CompletionRequest
     try:
         request = msgspec.json.decode(body, type=request_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return NotRun(Reason.BAD_REQUEST, str(error))
-    if not 1 <= request.max_tokens <= _MOST_TOKENS:
-        detail = f"max_tokens is {request.max_tokens}; allowed: 1 to {_MOST_TOKENS}"
+    if not 1 <= request.max_tokens <= _MAX_TOKENS:
+        detail = f"max_tokens is {request.max_tokens}; allowed: 1 to {_MAX_TOKENS}"
         return NotRun(Reason.BAD_REQUEST, detail)
     text = _chat_text(request.messages) if is_chat else request.prompt
     if not text:
         return NotRun(Reason.BAD_REQUEST, "the prompt is empty")
-    refusal = _check_prefix(request)
-    if refusal:
-        return refusal
+    rejection = _check_prefix(request)
+    if rejection:
+        return rejection
     model, _, adapter = request.model.partition(":")
     return Prompt(
         model,
@@ -95,18 +95,22 @@
 
 def _check_prefix(request: CompletionRequest | ChatRequest) -> NotRun | None:
     if request.prefix and (request.prefix_text or request.keep):
-        detail = "prefix refers to a kept text; keep and prefix_text name a new one"
+        detail = "prefix refers to a stored text; keep and prefix_text store a new one"
         return NotRun(Reason.BAD_REQUEST, detail)
     if request.keep and not request.prefix_text:
-        return NotRun(Reason.BAD_REQUEST, "keep names prefix_text, which is empty")
-    if len(request.keep) > _MOST_NAME or len(request.session) > _MOST_NAME:
-        detail = f"keep and session: at most {_MOST_NAME} characters"
+        return NotRun(Reason.BAD_REQUEST, "keep needs a prefix_text, which is empty")
+    if len(request.keep) > _MAX_NAME_LENGTH or len(request.session) > _MAX_NAME_LENGTH:
+        detail = f"keep and session: at most {_MAX_NAME_LENGTH} characters"
         return NotRun(Reason.BAD_REQUEST, detail)
     return None
 
 
 def _chat_text(messages: list[ChatMessage]) -> str:
-    """Write a chat as one text; a message's text cannot forge another's frame."""
+    """Return a chat as one text.
+
+    Each message starts with the lengths of its role and content, so that no content
+    can imitate the start of another message.
+    """
     return "".join(
         f"<{len(message.role)}:{len(message.content)}>{message.role}:{message.content}"
         for message in messages
@@ -114,13 +118,13 @@
 
 
 class UsageDetails(msgspec.Struct):
-    """Tokens of the prompt that were not recomputed."""
+    """The number of prompt tokens that were cached and therefore not recomputed."""
 
     cached_tokens: int
 
 
 class UsageBody(msgspec.Struct):
-    """Usage in the OpenAI form."""
+    """Usage in the OpenAI format."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -129,7 +133,7 @@
 
 
 def usage_body(usage: Usage) -> UsageBody:
-    """Return the usage of an answer as callers see it."""
+    """Return the usage of an answer in the format of responses."""
     return UsageBody(
         usage.prompt_tokens,
         usage.completion_tokens,
@@ -146,7 +150,7 @@
 
 
 class CompletionChoice(msgspec.Struct, omit_defaults=True):
-    """The only choice of an answer or of a piece of one."""
+    """The only choice of an answer, or of one piece of a streamed answer."""
 
     index: int = 0
     text: str | None = None
@@ -156,7 +160,7 @@
 
 
 class CompletionBody(msgspec.Struct):
-    """An answer, or a piece of a streamed one, in the OpenAI form."""
+    """An answer, or one piece of a streamed answer, in the OpenAI format."""
 
     id: str
     object: str
--- a/fireflyward/entry/_run_request.py
+++ b/fireflyward/entry/_run_request.py
@@ -1,4 +1,4 @@
-"""What a caller asks of a run: a new one, or the rest of an earlier one."""
+"""A request for a run: a new run, or the rest of an earlier one."""
 
 import hashlib
 from dataclasses import dataclass, replace
@@ -10,21 +10,22 @@
 from fireflyward.runs import Mark, RecordOfRun, RunTask
 from fireflyward.upstreams import EngineCall, count_tokens
 
-from ._context import EntryParts
+from ._context import EntryContext
 from ._identity import Identity
 from ._requests import Prompt
 
-_MARK_HEADER = "Last-Event-ID"
-_LAST_PRIORITY = 9
+_LAST_EVENT_ID_HEADER = "Last-Event-ID"
+_LOWEST_PRIORITY = 9
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RunRequest:
     """One request for a run.
 
-    ``is_resumable`` says that it has an Idempotency-Key, from which its ``run_id``
-    follows at every node; ``mark`` is where a caller that comes back stands, and
-    ``version`` then is the weight version that its answer was begun with.
+    ``is_resumable`` is true if the request has an Idempotency-Key; every node then
+    derives the same ``run_id`` from it. If the caller resumes an answer, ``mark`` is
+    the position up to which it has received the answer, and ``version`` is the weight
+    version with which the answer was started.
     """
 
     identity: Identity
@@ -36,128 +37,134 @@
     mark: Mark | None = None
 
 
-def read_asked(
-    parts: EntryParts,
+def read_run_request(
+    context: EntryContext,
     request: web.Request,
     identity: Identity,
     prompt: Prompt,
     body: bytes,
-) -> Asked | NotRun:
-    """Read which run a request is about."""
-    version = _version_now(parts, identity, prompt)
+) -> RunRequest | NotRun:
+    """Determine the run that a request starts or resumes."""
+    version = _current_version(context, identity, prompt)
     fingerprint = hashlib.sha256(body).hexdigest()
     key = identity.idempotency_key
-    text = request.headers.get(_MARK_HEADER, "")
+    last_event_id = request.headers.get(_LAST_EVENT_ID_HEADER, "")
     if not key:
-        if identity.is_non_idempotent or text:
-            detail = "a request that is non-idempotent or resumed needs its key"
+        if identity.is_non_idempotent or last_event_id:
+            detail = "a non-idempotent or resumed request needs a key"
             return NotRun(Reason.BAD_REQUEST, f"{detail} (Idempotency-Key)")
         run_id = identity.request_id
-        return Asked(identity, prompt, run_id, version, fingerprint, False)
-    run_id = parts.run_ids.of_request(identity.account_name, key, fingerprint)
-    if not text:
-        return Asked(identity, prompt, run_id, version, fingerprint, True)
-    opened = parts.run_ids.open(run_id, text)
+        return RunRequest(identity, prompt, run_id, version, fingerprint, False)
+    run_id = context.run_ids.of_request(identity.account_name, key, fingerprint)
+    if not last_event_id:
+        return RunRequest(identity, prompt, run_id, version, fingerprint, True)
+    opened = context.run_ids.open(run_id, last_event_id)
     if opened is None:
-        detail = f"{_MARK_HEADER} is not from an answer to this request and key"
+        detail = (
+            f"{_LAST_EVENT_ID_HEADER} is not from an answer to this request and key"
+        )
         return NotRun(Reason.BAD_REQUEST, detail)
     mark, version = opened
-    return Asked(identity, prompt, run_id, version, fingerprint, True, mark)
+    return RunRequest(identity, prompt, run_id, version, fingerprint, True, mark)
 
 
-def may_ask_again(asked: Asked) -> bool:
-    """Tell whether a request that ran nowhere may be put to another version.
+def may_change_version(run_request: RunRequest) -> bool:
+    """Return whether a request that has not run may be retried with another version.
 
-    A request takes its version when it is judged. During a rollout the last replica
-    of that version may swap before the request reaches it; it has run nowhere then,
-    and a refusal would be of this node's making. A caller that is in the middle of
-    an answer stays with its version, and so does a non-idempotent request, whose
-    record is settled by its first outcome.
+    The version of a request is chosen when the request is validated. During a rollout,
+    the last replica of that version may load another one before the request reaches
+    it. The request has not run then, and its caller would be rejected only because of
+    the rollout. A resumed answer keeps its version. So does a non-idempotent request,
+    because its first outcome is final in its record.
     """
-    return not asked.mark and not asked.identity.is_non_idempotent
+    return not run_request.mark and not run_request.identity.is_non_idempotent
 
 
-def ask_by_version_now(parts: EntryParts, asked: Asked) -> Asked:
-    """Return what is asked, for the version that is served now."""
-    version = _version_now(parts, asked.identity, asked.prompt)
-    return replace(asked, version=version)
+def with_current_version(context: EntryContext, run_request: RunRequest) -> RunRequest:
+    """Return the request with the weight version that is served now."""
+    version = _current_version(context, run_request.identity, run_request.prompt)
+    return replace(run_request, version=version)
 
 
-def _version_now(parts: EntryParts, identity: Identity, prompt: Prompt) -> str:
-    version = parts.holder.bundle.version_for(
+def _current_version(context: EntryContext, identity: Identity, prompt: Prompt) -> str:
+    version = context.holder.bundle.version_for(
         identity.account, identity.caller_name, prompt.model
     )
-    if parts.versions is None:
+    if context.serving_versions is None:
         return version
-    default = parts.holder.bundle.models[prompt.model].version
-    return parts.versions.of_request(
+    default = context.holder.bundle.models[prompt.model].version
+    return context.serving_versions.of_request(
         prompt.model, version, default, identity.account_name, prompt.text
     )
 
 
 def make_task(
-    parts: EntryParts, asked: Asked, trace_parent: str, *, is_behind: bool = False
+    context: EntryContext,
+    run_request: RunRequest,
+    trace_parent: str,
+    *,
+    is_beyond_share: bool = False,
 ) -> RunTask:
-    """Return the task that serves what is asked.
+    """Return the task that serves a request.
 
-    ``is_behind`` puts it one priority behind, since its account asks for more
+    ``is_beyond_share`` lowers its priority by one, because its account requests more
     than its share.
     """
-    identity, prompt = asked.identity, asked.prompt
+    identity, prompt = run_request.identity, run_request.prompt
     is_private = not identity.account.share_prefixes
-    block_keys = parts.block_names.of_prompt(
+    block_keys = context.block_names.of_prompt(
         identity.account_name,
         prompt.model,
-        asked.version,
+        run_request.version,
         prompt.adapter,
         prompt.text,
         caller=identity.caller_name if is_private else "",
     )
     call = EngineCall(
-        asked.run_id,
+        run_request.run_id,
         prompt.model,
-        asked.version,
+        run_request.version,
         prompt.text,
         prompt.max_tokens,
         prompt.adapter,
-        min(_LAST_PRIORITY, identity.account.priority + is_behind),
+        min(_LOWEST_PRIORITY, identity.account.priority + is_beyond_share),
         block_keys,
         trace_parent,
     )
     shape = RunShape(
         identity.account_name,
         prompt.model,
-        asked.version,
+        run_request.version,
         count_tokens(prompt.text),
         block_keys,
-        asked.run_id,
+        run_request.run_id,
     )
     return RunTask(
-        clock=parts.clock,
-        router=parts.router,
-        engine_by_name=parts.engine_by_name,
+        clock=context.clock,
+        router=context.router,
+        engine_by_name=context.engine_by_name,
         call=call,
         shape=shape,
         deadline_ms=identity.deadline_ms,
-        prepare=parts.prepare,
-        once=_record(parts, asked),
-        budget=parts.budget,
-        mark=asked.mark,
+        prepare=context.prepare,
+        once=_record(context, run_request),
+        budget=context.retry_budget,
+        mark=run_request.mark,
         is_streamed=prompt.stream,
-        limits=parts.limits,
-        observe=parts.observe,
+        limits=context.silence_limits,
+        observe=context.observe,
     )
 
 
-def _record(parts: EntryParts, asked: Asked) -> RecordOfRun | None:
-    """Return the record of a non-idempotent request."""
-    identity = asked.identity
+def _record(context: EntryContext, run_request: RunRequest) -> RecordOfRun | None:
+    """Return the record of a non-idempotent request, None for any other."""
+    identity = run_request.identity
     if not identity.is_non_idempotent:
         return None
     return RecordOfRun(
-        parts.records,
+        context.records,
         account=identity.account_name,
         request_key=identity.idempotency_key,
         owner=identity.request_id,
-        fingerprint=asked.fingerprint,
+        fingerprint=run_request.fingerprint,
     )
--- a/tests/daemon/test_planned_stop.py
+++ b/tests/daemon/test_planned_stop.py
@@ -4,13 +4,13 @@
 from fireflyward.clock import ManualClock
 from fireflyward.daemon import StopStep
 from fireflyward.daemon._planned_stop import PlannedStop
-from fireflyward.entry import InFlight
+from fireflyward.entry import InFlightRequests
 
 
 class PlannedStopTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.clock = ManualClock()
-        self.in_flight = InFlight()
+        self.in_flight = InFlightRequests()
         self.observed = []
 
     def make_stop(self, *, handovers=(), limit_ms=10_000):
--- a/tests/daemon/test_stopping.py
+++ b/tests/daemon/test_stopping.py
@@ -168,7 +168,7 @@
     async def test_second_signal_cuts_and_logs_the_requests(self):
         call = self.call_service()
         await self.service.reached.wait()
-        (flight,) = self.node.in_flight.flights()
+        (request,) = self.node.in_flight.requests()
         with self.assertLogs("fireflyward.daemon", logging.WARNING) as logs:
             stopping = asyncio.create_task(self.node.stop())
             await self.wait_for_step(StopStep.KEEP_ALIVE_ENDED)
@@ -177,7 +177,7 @@
         with self.assertRaises(aiohttp.ClientError):
             await call
         self.assertIn("a second signal cuts 1 requests", logs.output[0])
-        self.assertIn(flight.request_id, logs.output[1])
+        self.assertIn(request.request_id, logs.output[1])
         self.assertIn("POST " + SERVICE_PATH, logs.output[1])
 
 
--- a/tests/entry/test_app.py
+++ b/tests/entry/test_app.py
@@ -13,9 +13,11 @@
 GOOD = {"model": "clauses", "prompt": "beam 7?", "max_tokens": 4}
 
 
-class HostileInputTests(unittest.IsolatedAsyncioTestCase):
-    """Whatever a caller sends, it gets a clear refusal and nothing reaches an
-    engine; the next caller is served as if nothing had been."""
+class InvalidInputTests(unittest.IsolatedAsyncioTestCase):
+    """Invalid requests get a clear rejection and never reach an engine.
+
+    The next request is served normally.
+    """
 
     async def asyncSetUp(self):
         self.deployment = await self.enterAsyncContext(
@@ -25,7 +27,7 @@
         self.node = next(iter(self.deployment.node_by_name.values()))
         self.url = f"http://127.0.0.1:{self.node.port}"
 
-    async def ask(self, body, *, path="/v1/completions", method="POST", **headers):
+    async def send(self, body, *, path="/v1/completions", method="POST", **headers):
         sent = {"Authorization": "Bearer key-bridge", **headers}
         async with self.session.request(
             method, self.url + path, data=body, headers=sent
@@ -33,14 +35,14 @@
             return response, await response.read()
 
     async def assert_still_serves(self):
-        response, body = await self.ask(json.dumps(GOOD))
+        response, body = await self.send(json.dumps(GOOD))
         self.assertEqual(response.status, 200, body)
 
     def assert_nothing_ran(self):
         for engine in self.deployment.engine_by_name.values():
             self.assertEqual(engine.model.run_by_id, {})
 
-    async def test_each_bad_body_is_refused_in_the_error_form(self):
+    async def test_each_invalid_body_is_rejected_with_an_error_body(self):
         cases = {
             "broken": b"{",
             "not utf-8": b'{"model": "clauses", "prompt": "\xff\xfe"}',
@@ -55,7 +57,7 @@
         }
         for name, body in cases.items():
             with self.subTest(name):
-                response, answer = await self.ask(body)
+                response, answer = await self.send(body)
                 error = json.loads(answer)["error"]
                 self.assertEqual(response.status, 400, answer)
                 self.assertEqual(error["type"], "not_run")
@@ -64,35 +66,39 @@
         self.assert_nothing_ran()
         await self.assert_still_serves()
 
-    async def test_body_over_the_limit_is_refused_and_not_read_whole(self):
-        response, answer = await self.ask(io.BytesIO(b" " * (9 << 20)))
+    async def test_body_over_the_limit_is_rejected_and_not_read_completely(self):
+        response, answer = await self.send(io.BytesIO(b" " * (9 << 20)))
         self.assertEqual(response.status, 413)
         self.assertEqual(json.loads(answer)["error"]["code"], "too_large")
         self.assert_nothing_ran()
 
-    async def test_wrong_keys_are_refused(self):
+    async def test_wrong_keys_are_rejected(self):
         for value in ("", "Bearer", "Bearer ", "Basic x", "Bearer nobody"):
             with self.subTest(value):
-                response, answer = await self.ask(json.dumps(GOOD), Authorization=value)
+                response, answer = await self.send(
+                    json.dumps(GOOD), Authorization=value
+                )
                 self.assertEqual(response.status, 401, answer)
 
-    async def test_unknown_routes_and_methods_have_the_error_form(self):
+    async def test_unknown_routes_and_methods_get_an_error_body(self):
         for method, path, status in (("GET", "/x", 404), ("PUT", "/v1/models", 400)):
             with self.subTest(path):
-                response, answer = await self.ask(b"", path=path, method=method)
+                response, answer = await self.send(b"", path=path, method=method)
                 self.assertEqual(response.status, status)
                 self.assertEqual(json.loads(answer)["error"]["type"], "not_run")
 
     async def test_header_over_the_limit_closes_the_connection_with_400(self):
         with self.assertLogs("aiohttp.server", "ERROR"):
-            response, _ = await self.ask(b"{}", X="x" * 20_000)
+            response, _ = await self.send(b"{}", X="x" * 20_000)
         self.assertEqual(response.status, 400)
         await self.assert_still_serves()
 
     async def test_connection_that_never_finishes_its_headers_is_closed(self):
-        """Symptom: a node runs out of connections while its CPU is idle. Sequence:
-        callers open connections and send headers a byte at a time. Cause: nothing
-        bounded the time to the first whole request."""
+        """Guards against a node that runs out of connections while its CPU is idle.
+
+        Callers open connections and send headers a byte at a time. The time until the
+        first complete request must be limited.
+        """
         with mock.patch("fireflyward.daemon._node_io._IDLE_TIMEOUT_S", 0.05):
             node = Node(self.deployment.make_settings("entry-9", "sala-sur"))
             await node.start()
@@ -102,13 +108,16 @@
         self.assertEqual(await reader.read(), b"")
         writer.close()
 
-    async def test_body_that_trickles_is_refused_in_time(self):
-        """Symptom: requests in flight grow and never end. Sequence: a caller says
-        that 1,000 bytes come and sends one. Cause: the read had no time limit."""
+    async def test_body_that_arrives_too_slowly_is_rejected_in_time(self):
+        """Guards against requests that stay in flight without end.
+
+        A caller announces 1,000 bytes and sends one. Reading the body must have a time
+        limit.
+        """
         limited = mock.patch.object(
             _completions,
             "read_body",
-            lambda request, read=_completions.read_body: read(request, limit_s=0.05),
+            lambda request, read=_completions.read_body: read(request, timeout_s=0.05),
         )
         with limited:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.node.port)
@@ -121,14 +130,16 @@
         self.assertIn(b" 408 ", status_line)
         self.assert_nothing_ran()
 
-    async def test_failure_inside_the_node_is_said_to_be_unknown(self):
-        """Symptom: a caller repeats a request that had run. Sequence: the node
-        raises after the dispatch; the library answers a bare 500. Cause: only a
-        tagged outcome tells a caller what it may repeat."""
+    async def test_failure_inside_the_node_has_the_outcome_unknown(self):
+        """Guards against a caller that repeats a request which has already run.
+
+        The node raises an error after the dispatch. aiohttp's plain status 500 would
+        not show the caller whether it may repeat the request; only an outcome does.
+        """
         with mock.patch.object(
             _completions, "read_prompt", side_effect=RuntimeError("broken")
         ):
             with self.assertLogs("fireflyward.entry", "ERROR"):
-                response, answer = await self.ask(json.dumps(GOOD))
+                response, answer = await self.send(json.dumps(GOOD))
         self.assertEqual(response.status, 502)
         self.assertEqual(json.loads(answer)["error"]["type"], "unknown")
--- a/tests/entry/test_changes.py
+++ b/tests/entry/test_changes.py
@@ -22,27 +22,29 @@
         self.url = f"http://127.0.0.1:{self.node.port}"
         self.headers = {"Authorization": "Bearer key-bridge"}
 
-    def put_in_force(self, **changes):
-        """Have the node serve by a changed bundle from this moment on."""
+    def apply_changed_bundle(self, **changes):
+        """Bring a changed bundle into force at the node."""
         bundle = self.deployment.make_bundle(2)
         self.node.apply(msgspec.structs.replace(bundle, **changes))
 
-    async def test_model_that_went_while_a_request_waited_is_not_run(self):
-        """Symptom: a request fails inside the node, or an account is served a
-        model that operators took from it. Sequence: the request is judged, waits
-        for admission, the bundle changes, it is admitted. Cause: what was judged
-        before the wait was used after it."""
+    async def test_model_removed_while_a_request_waits_is_not_run(self):
+        """Guards against serving a model that operators removed from an account.
+
+        A request is validated and waits for admission. Meanwhile the bundle changes,
+        and then the request is admitted. Without a second validation, the request
+        would be served by the old rules, or fail inside the node.
+        """
         enter = AdmissionGate.enter
 
-        async def wait_for_change(gate, ask):
-            ticket = await enter(gate, ask)
+        async def enter_after_change(gate, admission_request):
+            ticket = await enter(gate, admission_request)
             accounts = self.deployment.make_bundle(2).accounts
             account = msgspec.structs.replace(accounts["bridge-team"], models=())
-            self.put_in_force(accounts={**accounts, "bridge-team": account})
+            self.apply_changed_bundle(accounts={**accounts, "bridge-team": account})
             return ticket
 
         body = json.dumps({"model": "clauses", "prompt": "x", "max_tokens": 2})
-        with mock.patch.object(AdmissionGate, "enter", wait_for_change):
+        with mock.patch.object(AdmissionGate, "enter", enter_after_change):
             async with self.session.post(
                 self.url + "/v1/completions", data=body, headers=self.headers
             ) as response:
@@ -54,31 +56,35 @@
             self.assertEqual(engine.model.run_by_id, {})
         self.assertEqual(self.node.admission.total(), 0)
 
-    async def test_service_taken_away_while_the_body_came_is_not_called(self):
-        """Symptom: a revision is recorded for a caller that lost the right to it.
-        Sequence: headers come, the bundle changes, the body comes. Cause: rules
-        that were read before the body and used after it."""
+    async def test_service_removed_while_the_body_arrives_is_not_called(self):
+        """Guards against a service call of a caller that lost the right to it.
+
+        The headers arrive, the bundle changes, and then the body arrives. The rules
+        must be checked again after the body was read.
+        """
 
         read_body = _services.read_body
 
-        async def change_after(request):
+        async def read_and_change_bundle(request):
             body = await read_body(request)
-            self.put_in_force(services={})
+            self.apply_changed_bundle(services={})
             return body
 
         url = self.url + "/services/drafting/notes"
-        with mock.patch.object(_services, "read_body", change_after):
+        with mock.patch.object(_services, "read_body", read_and_change_bundle):
             async with self.session.post(
                 url, data=b"revision", headers=self.headers
             ) as response:
                 self.assertEqual(response.status, 404)
         self.assertEqual(self.deployment.service.bodies, [])
 
-    async def test_run_goes_on_at_an_engine_that_a_bundle_left_out(self):
-        """Symptom: a stream is lost when its engine is taken out of the bundle.
-        Sequence: the stream is under way, the bundle leaves its engine out, the
-        connection breaks. Cause: the node forgot the engine with the bundle, and
-        had nowhere to resume."""
+    async def test_run_continues_at_an_engine_that_a_bundle_removed(self):
+        """Guards against losing a stream when its engine is removed from the bundle.
+
+        A new bundle without the engine comes into force during the stream, and then
+        the connection breaks. The node must still have the engine's client to resume
+        the run.
+        """
         server = next(iter(self.deployment.engine_by_name.values()))
         for other in list(self.deployment.engine_by_name.values())[1:]:
             other.model.leaving = True
@@ -93,6 +99,6 @@
             self.url + "/v1/completions", data=body, headers=self.headers
         ) as response:
             await response.content.readline()
-            self.put_in_force(upstreams=upstreams)
+            self.apply_changed_bundle(upstreams=upstreams)
             text = await response.text()
         self.assertTrue(text.endswith("data: [DONE]\n\n"), text)
--- a/tests/entry/test_imports.py
+++ b/tests/entry/test_imports.py
@@ -1,4 +1,4 @@
-"""The modules of a slice import each other in one direction."""
+"""The modules of a package import each other in one direction."""
 
 import ast
 import unittest
@@ -11,20 +11,22 @@
 
 
 def siblings(path):
-    """Return the modules beside ``path`` that it imports, wherever in its text."""
+    """Return the modules of the same package that ``path`` imports, at any level."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.level == 1:
-            names |= {node.module} if node.module else {x.name for x in node.names}
+            names |= (
+                {node.module} if node.module else {alias.name for alias in node.names}
+            )
     return names
 
 
 class ImportTests(unittest.TestCase):
-    def test_no_slice_imports_in_a_circle(self):
-        """Symptom: moving one import to the top of a module ends in ImportError.
+    def test_no_package_has_circular_imports(self):
+        """Guards against an ImportError when an import moves to a module's top level.
 
-        Modules that import each other work only while one of the imports hides in
-        a function, and only in one order.
+        Modules that import each other work only while one of the imports is inside a
+        function, and only in one order.
         """
         for package in sorted(_ROOT.rglob("__init__.py")):
             modules = [path for path in package.parent.glob("*.py") if path != package]
--- a/tests/entry/test_prefixes.py
+++ b/tests/entry/test_prefixes.py
@@ -17,7 +17,7 @@
         self.session = await self.enterAsyncContext(aiohttp.ClientSession())
         self.nodes = list(self.deployment.node_by_name.values())
 
-    async def ask(self, node, key="key-bridge", **fields):
+    async def complete(self, node, key="key-bridge", **fields):
         body = {"model": "clauses", "max_tokens": 4, **fields}
         response = await self.session.post(
             f"http://127.0.0.1:{node.port}/v1/completions",
@@ -27,36 +27,38 @@
         async with response:
             return response.status, response.headers, await response.json()
 
-    async def test_prefix_is_named_at_one_node_and_used_at_another(self):
-        _, headers, _ = await self.ask(
+    async def test_prefix_is_stored_at_one_node_and_used_at_another(self):
+        _, headers, _ = await self.complete(
             self.nodes[0], keep="clauses", prefix_text=CLAUSES, prompt="beam 7?"
         )
         ref = headers["X-Prefix"]
-        status, _, answer = await self.ask(self.nodes[1], prefix=ref, prompt="beam 8?")
+        status, _, answer = await self.complete(
+            self.nodes[1], prefix=ref, prompt="beam 8?"
+        )
         wanted = answer_text("clauses", "v1", "", CLAUSES + "beam 8?", 4)
         self.assertEqual((status, answer["choices"][0]["text"]), (200, wanted))
 
-    async def test_reference_of_another_account_is_refused_as_not_run(self):
-        _, headers, _ = await self.ask(
+    async def test_reference_of_another_account_is_rejected_as_not_run(self):
+        _, headers, _ = await self.complete(
             self.nodes[0], keep="clauses", prefix_text=CLAUSES, prompt="beam 7?"
         )
-        status, _, answer = await self.ask(
+        status, _, answer = await self.complete(
             self.nodes[0], "key-tower", prefix=headers["X-Prefix"], prompt="beam 8?"
         )
         self.assertEqual((status, answer["error"]["type"]), (400, "not_run"))
 
-    async def test_object_store_away_does_not_refuse_a_prefix_that_was_sent_whole(self):
+    async def test_complete_prefix_is_accepted_without_the_object_store(self):
         self.deployment.platform.objects.away = True
-        status, headers, _ = await self.ask(
+        status, headers, _ = await self.complete(
             self.nodes[0], keep="clauses", prefix_text=CLAUSES, prompt="beam 7?"
         )
         self.assertEqual(status, 200)
         self.assertNotIn("X-Prefix", headers)
 
-    async def test_fields_that_contradict_each_other_are_refused(self):
+    async def test_contradicting_fields_are_rejected(self):
         for fields in ({"prefix": "x", "prefix_text": "y"}, {"keep": "clauses"}):
             with self.subTest(fields=fields):
-                status, _, answer = await self.ask(
+                status, _, answer = await self.complete(
                     self.nodes[0], prompt="beam 7?", **fields
                 )
                 self.assertEqual((status, answer["error"]["type"]), (400, "not_run"))
--- a/tests/entry/test_resume.py
+++ b/tests/entry/test_resume.py
@@ -1,4 +1,4 @@
-"""Callers that come back to another node, over real sockets."""
+"""Callers that resume their answer at another node, over real sockets."""
 
 import json
 import unittest
@@ -22,7 +22,7 @@
         self.session = await self.enterAsyncContext(aiohttp.ClientSession())
         self.nodes = list(self.deployment.node_by_name.items())
 
-    def ask(self, node, **headers):
+    def complete(self, node, **headers):
         body = {
             "model": "clauses",
             "prompt": PROMPT,
@@ -34,7 +34,7 @@
         return self.session.post(url, data=json.dumps(body), headers=headers)
 
     async def read(self, response, *, pieces=1_000):
-        """Return text and last id after this many pieces or the end."""
+        """Return the text and the last event id after ``pieces`` pieces or the end."""
         texts, last_id = [], ""
         try:
             async for line in response.content:
@@ -49,30 +49,36 @@
             pass
         return "".join(texts), last_id
 
-    def started(self):
+    def run_count(self):
         engines = self.deployment.engine_by_name.values()
         return sum(len(engine.model.run_by_id) for engine in engines)
 
-    async def test_stream_goes_on_at_another_node_after_its_entry_vm_died(self):
-        """Symptom: an answer begins anew, or a part comes twice. Sequence: the entry
-        VM dies in mid-stream; its caller sends the same request, key and last id
-        to another. Cause: only the dead node knew where the run was."""
+    async def test_stream_continues_at_another_node_after_its_entry_vm_crashed(self):
+        """Guards against an answer that starts again or contains a part twice.
+
+        The entry VM crashes during a stream, and its caller sends the same request,
+        key and last event id to another one. That node must be able to find the run
+        without the crashed one.
+        """
         (name, first), (_, second) = self.nodes
-        async with self.ask(first, **{"Idempotency-Key": "k1"}) as response:
+        async with self.complete(first, **{"Idempotency-Key": "k1"}) as response:
             before, last_id = await self.read(response, pieces=3)
             self.deployment.node_by_name.pop(name)
             await first.io.stop_listening()
         headers = {"Idempotency-Key": "k1", "Last-Event-ID": last_id}
-        async with self.ask(second, **headers) as response:
+        async with self.complete(second, **headers) as response:
             after, _ = await self.read(response)
         await first.close()
         self.assertEqual(before + after, WANTED)
 
-    async def test_mark_of_another_key_or_account_opens_nothing(self):
-        """Symptom: a caller reads another's answer. Sequence: it sends an id that it
-        saw in another's stream. Cause: the id alone named the run."""
+    async def test_mark_of_another_key_or_account_is_rejected(self):
+        """Guards against a caller that reads the answer of another caller.
+
+        The caller sends an event id that it saw in the other's stream. The id alone
+        must not give access to the run.
+        """
         (_, first), (_, second) = self.nodes
-        async with self.ask(first, **{"Idempotency-Key": "k1"}) as response:
+        async with self.complete(first, **{"Idempotency-Key": "k1"}) as response:
             _, last_id = await self.read(response)
         cases = [
             {"Idempotency-Key": "k2"},
@@ -81,27 +87,29 @@
         ]
         for headers in cases:
             with self.subTest(headers=headers):
-                asked = self.ask(second, **{"Last-Event-ID": last_id, **headers})
-                async with asked as response:
+                response_context = self.complete(
+                    second, **{"Last-Event-ID": last_id, **headers}
+                )
+                async with response_context as response:
                     body = await response.json()
                 self.assertEqual(response.status, 400)
                 self.assertEqual(body["error"]["type"], "not_run")
 
-    async def test_duplicate_of_a_once_only_prompt_reads_the_same_run(self):
+    async def test_duplicate_of_a_non_idempotent_prompt_reads_the_same_run(self):
         (_, first), (_, second) = self.nodes
         headers = {"Idempotency-Key": "k1", "X-Non-Idempotent": "true"}
         async with (
-            self.ask(first, **headers) as one,
-            self.ask(second, **headers) as two,
+            self.complete(first, **headers) as one,
+            self.complete(second, **headers) as two,
         ):
             texts = [(await self.read(one))[0], (await self.read(two))[0]]
         self.assertEqual(texts, [WANTED, WANTED])
-        self.assertEqual(self.started(), 1)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_bad_deadline_is_refused_and_a_short_one_ends_the_run(self):
+    async def test_invalid_deadline_is_rejected_and_a_short_one_aborts_the_run(self):
         _, node = self.nodes[0]
-        async with self.ask(node, **{"X-Deadline-Ms": "soon"}) as response:
+        async with self.complete(node, **{"X-Deadline-Ms": "soon"}) as response:
             self.assertEqual(response.status, 400)
-        async with self.ask(node, **{"X-Deadline-Ms": "60"}) as response:
+        async with self.complete(node, **{"X-Deadline-Ms": "60"}) as response:
             text = await response.text()
         self.assertIn('"code":"deadline"', text)
--- a/tests/entry/test_spans.py
+++ b/tests/entry/test_spans.py
@@ -13,9 +13,11 @@
 
 
 class SpanTests(unittest.IsolatedAsyncioTestCase):
-    """Symptom: a slow answer cannot be followed to where it waited. Sequence: a
-    sampled request passes entry, routing, an attempt and the table, and only the
-    first leaves a span. Cause: hops that nobody opened."""
+    """Guards against a slow answer whose waiting time cannot be located.
+
+    A sampled request passes the entry, routing, an attempt and the table service.
+    Each of these must record a span, and not only the first.
+    """
 
     async def asyncSetUp(self):
         self.exporter = InMemorySpanExporter()
@@ -45,7 +47,7 @@
         names = await self.spans_of("/v1/completions", body)
         self.assertLessEqual({"entry", "routing", "attempt"}, names)
 
-    async def test_non_idempotent_call_has_its_hops(self):
+    async def test_non_idempotent_call_has_a_span_for_each_hop(self):
         names = await self.spans_of(
             "/services/drafting/revisions", b"r1", **{"Idempotency-Key": "k"}
         )
--- a/tests/entry/test_version_change.py
+++ b/tests/entry/test_version_change.py
@@ -9,12 +9,14 @@
 from fireflyward.standins import answer_text
 
 
-class VersionMovesTests(unittest.IsolatedAsyncioTestCase):
-    async def test_request_whose_version_went_meanwhile_is_served_by_the_next(self):
-        """Symptom: a few requests are refused at the end of a rollout. Sequence: a
-        request takes version v1, the last replica of v1 swaps, the request reaches
-        it and is refused there; no replica of v1 is left. Cause: a version that was
-        chosen once, by reports from before the swap."""
+class VersionChangeTests(unittest.IsolatedAsyncioTestCase):
+    async def test_request_whose_version_was_replaced_is_served_by_the_next(self):
+        """Guards against rejecting a few requests at the end of a rollout.
+
+        The version v1 is chosen for a request by load reports. Then the last replica
+        of v1 loads another version, and rejects the request. The node must choose the
+        version again, because no replica of v1 is left.
+        """
         async with DemoDeployment(nodes_per_domain=1, engines_per_domain=1) as demo:
             node = next(iter(demo.node_by_name.values()))
             bundle = msgspec.structs.replace(
