--- a/tests/daemon/test_bundle_duty.py
+++ b/tests/daemon/test_bundle_duty.py
@@ -19,16 +19,16 @@
 
 
 class Network:
-    """Delivers messages between links in memory; ``cut`` names unreachable nodes."""
+    """Delivers messages between links in memory, except to ``unreachable`` nodes."""
 
     def __init__(self):
         self.link_by_address = {}
-        self.cut = set()
+        self.unreachable = set()
 
     def find_link(self, sender, address):
         link = self.link_by_address.get(address)
         names = {sender.node_name, link.node_name if link else ""}
-        return None if link is None or names & self.cut else link
+        return None if link is None or names & self.unreachable else link
 
 
 class FakeLink:
@@ -112,8 +112,8 @@
             apply=lambda applied: self.applied.append(applied.number),
         )
 
-    def set_platform(self, *, away):
-        self.table.away = self.objects.away = away
+    def set_platform(self, *, is_unavailable):
+        self.table.away = self.objects.away = is_unavailable
 
     @property
     def number(self):
@@ -167,12 +167,12 @@
 
     async def test_node_without_the_platform_fetches_changes_from_its_peers(self):
         await self.accept(bundle())
-        one, other, cut = await self.start()
-        cut.set_platform(away=True)
+        one, other, isolated = await self.start()
+        isolated.set_platform(is_unavailable=True)
         await self.accept(bundle(2, ("bridge-team",)))
         await self.clock.advance_ms(5_000)
-        self.assertEqual(cut.number, 2)
-        self.assertEqual(cut.applied, [1, 2])
+        self.assertEqual(isolated.number, 2)
+        self.assertEqual(isolated.applied, [1, 2])
 
     async def test_node_that_starts_without_the_platform_fetches_from_its_peers(self):
         """Guards against replaced VMs that cannot serve during a platform outage.
@@ -183,34 +183,34 @@
         await self.accept(bundle())
         await self.start(2)
         new = self.make_node(3)
-        new.set_platform(away=True)
+        new.set_platform(is_unavailable=True)
         await new.duty.start()
         self.assertEqual(new.number, 1)
         self.assertEqual(new.duty.own_state().confirmed_ms_ago, -1)
 
     async def test_node_that_starts_without_platform_and_peers_has_no_bundle(self):
         new = self.make_node(1)
-        new.set_platform(away=True)
+        new.set_platform(is_unavailable=True)
         await new.duty.start()
         self.assertEqual(new.number, 0)
-        new.set_platform(away=False)
+        new.set_platform(is_unavailable=False)
         await self.accept(bundle())
         await self.clock.advance_ms(3_000)
         self.assertEqual(new.number, 1)
 
     async def test_node_without_connections_keeps_its_bundle_and_then_catches_up(self):
         await self.accept(bundle())
-        *_, cut = await self.start()
-        cut.set_platform(away=True)
-        self.network.cut = {"entry-3"}
+        *_, isolated = await self.start()
+        isolated.set_platform(is_unavailable=True)
+        self.network.unreachable = {"entry-3"}
         for number in range(2, 12):
             await self.accept(bundle(number))
         await self.clock.advance_ms(12_000)
         self.assertEqual(self.numbers(), [11, 11, 1])
-        cut.set_platform(away=False)
-        self.network.cut = set()
+        isolated.set_platform(is_unavailable=False)
+        self.network.unreachable = set()
         await self.clock.advance_ms(3_000)
-        self.assertEqual(cut.number, 11)
+        self.assertEqual(isolated.number, 11)
 
     async def test_node_far_behind_starts_from_a_snapshot(self):
         await self.accept(bundle())
@@ -232,12 +232,12 @@
         await self.accept(bundle())
         old_rows = dict(self.table.row_by_key)
         node, lagging = await self.start(2)
-        self.network.cut = {"entry-2"}
-        lagging.set_platform(away=True)
+        self.network.unreachable = {"entry-2"}
+        lagging.set_platform(is_unavailable=True)
         await self.accept(bundle(2, ("bridge-team",)))
         await self.clock.advance_ms(3_000)
         node.table.row_by_key = old_rows
-        self.network.cut = set()
+        self.network.unreachable = set()
         self.clock.jump_wall_ms(-86_400_000)
         await self.clock.advance_ms(10_000)
         self.assertEqual(node.number, 2)
@@ -304,7 +304,7 @@
         await self.accept(bundle())
         one, *_ = await self.start()
         await one.duty.node_statuses()
-        self.network.cut = {"entry-3"}
+        self.network.unreachable = {"entry-3"}
         statuses = {item.name: item for item in await one.duty.node_statuses()}
         self.assertEqual(statuses["entry-2"].condition, Condition.IN_FORCE)
         self.assertEqual(statuses["entry-3"].condition, Condition.UNREACHABLE)
@@ -315,7 +315,7 @@
         one, other = await self.start(2)
         other_member = Member("entry-2", other.link.address, "sur", "santiago", 1)
         one.members.put(other_member)
-        one.set_platform(away=True)
+        one.set_platform(is_unavailable=True)
         other.members.put(Member("entry-9", ("10.0.0.1", 9), "sur", "santiago", 1))
         await self.accept(bundle(2))
         await self.clock.advance_ms(3_000)
@@ -342,7 +342,7 @@
         live = Member("entry-2", other.link.address, "sur", "santiago", 1)
         one.members.put(live)
         await self.clock.advance_ms(1_500)
-        self.network.cut = {"entry-2"}
+        self.network.unreachable = {"entry-2"}
         await one.duty.node_statuses()
         unreachable_since_ms = self.clock.wall_ms()
         await self.clock.advance_ms(2_500)
--- a/tests/entry/test_changes.py
+++ b/tests/entry/test_changes.py
@@ -36,7 +36,7 @@
         """
         enter = AdmissionGate.enter
 
-        async def enter_after_change(gate, admission_request):
+        async def enter_and_change_bundle(gate, admission_request):
             ticket = await enter(gate, admission_request)
             accounts = self.deployment.make_bundle(2).accounts
             account = msgspec.structs.replace(accounts["bridge-team"], models=())
@@ -44,7 +44,7 @@
             return ticket
 
         body = json.dumps({"model": "clauses", "prompt": "x", "max_tokens": 2})
-        with mock.patch.object(AdmissionGate, "enter", enter_after_change):
+        with mock.patch.object(AdmissionGate, "enter", enter_and_change_bundle):
             async with self.session.post(
                 self.url + "/v1/completions", data=body, headers=self.headers
             ) as response:
