--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -157,23 +157,23 @@
     task = make_task(
         context, run_request, trace_parent, is_beyond_share=is_beyond_share
     )
-    answer = _ResponseWriter(request, run_request)
+    writer = _ResponseWriter(request, run_request)
     results = task.results()
     try:
         async for result in results:
             if isinstance(result, Deliver):
                 _report_first_token(request, run_request)
-                await answer.piece(result, has_more=task.has_pending)
+                await writer.write_piece(result, has_more=task.has_pending)
             elif isinstance(result, Placed):
-                await answer.placed(result, has_more=task.has_pending)
+                await writer.write_mark(result, has_more=task.has_pending)
             else:
                 retry_request = None
-                if not is_retry and not answer.has_started:
+                if not is_retry and not writer.has_started:
                     retry_request = await _retry_request(
                         context, run_request, result.outcome
                     )
                 if retry_request is None:
-                    return await answer.end(result.outcome)
+                    return await writer.end(result.outcome)
                 return await _run(request, retry_request, trace_parent, is_retry=True)
     finally:
         await results.aclose()
@@ -227,7 +227,7 @@
         """Return whether the headers of a stream were already sent."""
         return self._response is not None
 
-    async def placed(self, placed: Placed, *, has_more: bool) -> None:
+    async def write_mark(self, placed: Placed, *, has_more: bool) -> None:
         """Send the id of a resumable stream before its first text.
 
         A caller that loses its connection can then resume the run.
@@ -236,7 +236,7 @@
             event = b"id: %s\n\n" % self._event_id(placed.mark)
             await self._send(event, has_more=has_more)
 
-    async def piece(self, piece: Deliver, *, has_more: bool) -> None:
+    async def write_piece(self, piece: Deliver, *, has_more: bool) -> None:
         """Send a piece of a stream, or add it to the complete answer.
 
         An answer that is not streamed starts again when its run moves to another
