--- a/fireflyward/bench/measures/bundle_spread.py
+++ b/fireflyward/bench/measures/bundle_spread.py
@@ -14,11 +14,11 @@
 
 from fireflyward.bench import Bench, Figure
 from fireflyward.bundles import (
+    AnnounceNumber,
     BundleFollower,
     FetchFromPeer,
     FetchFromStore,
     ReadHead,
-    Tell,
 )
 
 _POLL_MS = 2_000
@@ -136,7 +136,7 @@
             self._later(after_ms, self._on_taken, name, number)
 
     @_act.register
-    def _(self, action: Tell, name: str) -> None:
+    def _(self, action: AnnounceNumber, name: str) -> None:
         self.counts.news += 1
         is_lost = self._random.random() < self.lost_share
         if not is_lost and self._reaches(name, action.peer):
--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -14,11 +14,11 @@
 from ._diff import Difference, diff
 from ._exchange import BundleShelf, collect_whole, decode_changes
 from ._follow import (
+    AnnounceNumber,
     BundleFollower,
     FetchFromPeer,
     FetchFromStore,
     ReadHead,
-    Tell,
 )
 from ._holder import BundleHolder
 from ._keys import KeyProblem, create_key, load_key
@@ -92,7 +92,7 @@
     "SignedBundle",
     "SigningKey",
     "Statement",
-    "Tell",
+    "AnnounceNumber",
     "Upstream",
     "Whole",
     "canonical_bytes",
--- a/fireflyward/bundles/_follow.py
+++ b/fireflyward/bundles/_follow.py
@@ -40,14 +40,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class AnnounceNumber:
     """Send our number to a peer."""
 
     peer: str
     number: int
 
 
-Action = ReadHead | FetchFromStore | FetchFromPeer | Tell
+Action = ReadHead | FetchFromStore | FetchFromPeer | AnnounceNumber
 
 
 class BundleFollower:
@@ -126,7 +126,7 @@
         if now_ms >= self._remind_ms and peers:
             self._remind_ms = now_ms + REMIND_MS
             if self.number:
-                actions.append(Tell(self._random.choice(peers), self.number))
+                actions.append(AnnounceNumber(self._random.choice(peers), self.number))
         return actions + self._fetch(now_ms)
 
     def on_head(self, now_ms: int, number: int, digest: str = "") -> list[Action]:
@@ -150,7 +150,7 @@
     def on_news(self, now_ms: int, peer: str, number: int) -> list[Action]:
         """Take note of what a peer serves by; tell it if it is behind."""
         if number < self.number:
-            return [Tell(peer, self.number)]
+            return [AnnounceNumber(peer, self.number)]
         self._number_by_peer[peer] = number
         return self._fetch(now_ms)
 
@@ -176,7 +176,7 @@
         }
         unaware = [peer for peer in peers if self._number_by_peer.get(peer, 0) < number]
         chosen = self._random.sample(unaware, min(FANOUT, len(unaware)))
-        return [Tell(peer, number) for peer in chosen] + self._fetch(now_ms)
+        return [AnnounceNumber(peer, number) for peer in chosen] + self._fetch(now_ms)
 
     def on_fetch_failed(self, now_ms: int) -> list[Action]:
         """A fetch failed, was refused or took too long: try elsewhere, later."""
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -9,6 +9,7 @@
 
 from fireflyward.backing import Missing, Objects, Table, Unavailable
 from fireflyward.bundles import (
+    AnnounceNumber,
     Bundle,
     BundleError,
     BundleFollower,
@@ -25,7 +26,6 @@
     ReadHead,
     Seen,
     SignedBundle,
-    Tell,
     Whole,
     root_people,
 )
@@ -267,7 +267,7 @@
         self._spawn(self._fetch_from_peer(action.peer))
 
     @_act.register
-    def _(self, action: Tell) -> None:
+    def _(self, action: AnnounceNumber) -> None:
         self._peers.tell(action.peer, action.number)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
--- a/tests/bundles/test_follow.py
+++ b/tests/bundles/test_follow.py
@@ -1,11 +1,11 @@
 import unittest
 
 from fireflyward.bundles import (
+    AnnounceNumber,
     BundleFollower,
     FetchFromPeer,
     FetchFromStore,
     ReadHead,
-    Tell,
 )
 
 PEERS = [f"peer-{index}" for index in range(8)]
@@ -40,7 +40,9 @@
         self.assertEqual(node.confirmed_at_ms, 0)
 
     def test_peer_that_is_behind_is_told(self):
-        self.assertEqual(follower(7).on_news(1, "peer-1", 5), [Tell("peer-1", 7)])
+        self.assertEqual(
+            follower(7).on_news(1, "peer-1", 5), [AnnounceNumber("peer-1", 7)]
+        )
 
 
 class FetchTests(unittest.TestCase):
