--- a/fireflyward/bench/measures/bundle_cost.py
+++ b/fireflyward/bench/measures/bundle_cost.py
@@ -17,7 +17,7 @@
     BundleHolder,
     BundleState,
     BundleWatch,
-    Seen,
+    NodeObservation,
     sign_bundle,
     verify_change,
 )
@@ -42,7 +42,7 @@
 def _duty_figures() -> list[Figure]:
     """Measure what following costs a node among 350 while nothing changes."""
     names = [f"node-{index}" for index in range(_NODES - 1)]
-    seen = [Seen(name, "norte", 1, is_reached=True) for name in names]
+    seen = [NodeObservation(name, "norte", 1, is_reached=True) for name in names]
     follower, watch = BundleFollower(poll_ms=2_000, seed=1), BundleWatch()
     follower.on_taken(0, 1, names)
     for name in names:
--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -55,8 +55,8 @@
 from ._watch import (
     BundleWatch,
     Condition,
+    NodeObservation,
     NodeStatus,
-    Seen,
     is_in_force_everywhere,
 )
 
@@ -86,7 +86,7 @@
     "Person",
     "Plan",
     "ReadHead",
-    "Seen",
+    "NodeObservation",
     "Service",
     "Signature",
     "SignedBundle",
--- a/fireflyward/bundles/_watch.py
+++ b/fireflyward/bundles/_watch.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class NodeObservation:
     """What was just learned of a node; ``is_reached`` is false without an answer."""
 
     name: str
@@ -55,7 +55,9 @@
     def __repr__(self) -> str:
         return f"BundleWatch({len(self._status_by_name)} nodes)"
 
-    def observe(self, wall_ms: int, number: int, seen: Iterable[Seen]) -> None:
+    def observe(
+        self, wall_ms: int, number: int, seen: Iterable[NodeObservation]
+    ) -> None:
         """Judge what was seen against ``number``, the highest known."""
         for node in seen:
             before = self._status_by_name.get(node.name)
@@ -97,7 +99,7 @@
     return condition is not Condition.IN_FORCE or before.number == number
 
 
-def _condition(number: int, node: Seen) -> Condition:
+def _condition(number: int, node: NodeObservation) -> Condition:
     if not node.is_reached:
         return Condition.UNREACHABLE
     if node.is_leaving:
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -22,9 +22,9 @@
     FetchFromStore,
     Head,
     Loaded,
+    NodeObservation,
     NodeStatus,
     ReadHead,
-    Seen,
     SignedBundle,
     Whole,
     root_people,
@@ -177,7 +177,9 @@
         seen += [seen_state(reply) for reply in replies if _is_state(reply)]
         silent = known - {node.name for node in seen}
         self._unanswered = set(silent)
-        seen += [Seen(name, "", 0, is_reached=False) for name in sorted(silent)]
+        seen += [
+            NodeObservation(name, "", 0, is_reached=False) for name in sorted(silent)
+        ]
         number = max(self._follower.wanted, *(node.number for node in seen))
         self.watch.observe(self._clock.wall_ms(), number, seen)
         return self.watch.statuses()
@@ -234,7 +236,7 @@
             ]
             self.watch.forget(gone)
 
-    def _judge_silence(self, member: Seen) -> Seen:
+    def _judge_silence(self, member: NodeObservation) -> NodeObservation:
         """Believe a call without an answer until membership has judged itself.
 
         Membership takes some seconds to give a node up; without this a dead node
--- a/fireflyward/daemon/_bundle_peers.py
+++ b/fireflyward/daemon/_bundle_peers.py
@@ -6,7 +6,7 @@
 
 from fireflyward.bundles import (
     BundleError,
-    Seen,
+    NodeObservation,
     SignedBundle,
     Whole,
     collect_whole,
@@ -74,7 +74,7 @@
         if name != self._link.node_name:
             self._heard_by_name[name] = address
 
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[NodeObservation]:
         """Return what membership knows of the other nodes."""
         own = self._link.node_name
         return [
@@ -132,9 +132,9 @@
         return dict(zip(addresses, replies, strict=True))
 
 
-def seen_state(reply: Any) -> Seen:
+def seen_state(reply: Any) -> NodeObservation:
     """Return what a node's own answer tells of it."""
-    return Seen(
+    return NodeObservation(
         reply.node_name,
         reply.failure_domain,
         reply.number,
@@ -143,8 +143,8 @@
     )
 
 
-def _seen_member(member: Member) -> Seen:
-    return Seen(
+def _seen_member(member: Member) -> NodeObservation:
+    return NodeObservation(
         member.name,
         member.failure_domain,
         member.bundle_number,
--- a/tests/bundles/test_watch.py
+++ b/tests/bundles/test_watch.py
@@ -1,11 +1,16 @@
 import unittest
 
-from fireflyward.bundles import BundleWatch, Condition, Seen, is_in_force_everywhere
+from fireflyward.bundles import (
+    BundleWatch,
+    Condition,
+    NodeObservation,
+    is_in_force_everywhere,
+)
 
 
 def seen(name, number=2, **options):
     options.setdefault("is_reached", True)
-    return Seen(name, "norte", number, **options)
+    return NodeObservation(name, "norte", number, **options)
 
 
 class WatchTests(unittest.TestCase):
