--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -12,7 +12,7 @@
 )
 from ._checks import cross_errors, weight_errors
 from ._diff import Difference, diff
-from ._exchange import BundleShelf, collect_whole, decode_changes
+from ._exchange import BundleCache, collect_whole, decode_changes
 from ._follow import (
     AnnounceNumber,
     BundleFollower,
@@ -68,7 +68,7 @@
     "BundleFollower",
     "BundleHolder",
     "BundleLoader",
-    "BundleShelf",
+    "BundleCache",
     "BundleState",
     "BundleStore",
     "BundleWatch",
--- a/fireflyward/bundles/_exchange.py
+++ b/fireflyward/bundles/_exchange.py
@@ -30,7 +30,7 @@
 AskPage = Callable[[Any], Awaitable[Any]]
 
 
-class BundleShelf:
+class BundleCache:
     """The state in force at this node and the last changes, ready to hand out."""
 
     __slots__ = ("_changes", "state")
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -11,10 +11,10 @@
 from fireflyward.bundles import (
     AnnounceNumber,
     Bundle,
+    BundleCache,
     BundleError,
     BundleFollower,
     BundleLoader,
-    BundleShelf,
     BundleState,
     BundleStore,
     BundleWatch,
@@ -105,7 +105,7 @@
         peers: BundlePeers,
         apply: Callable[[Bundle], None],
     ) -> None:
-        self.shelf = BundleShelf()
+        self.shelf = BundleCache()
         self.watch = BundleWatch()
         self.refused: BundleError | None = None
         self._link = link
