--- a/fireflyward/bench/measures/bundle_cost.py
+++ b/fireflyward/bench/measures/bundle_cost.py
@@ -16,8 +16,8 @@
     BundleFollower,
     BundleHolder,
     BundleState,
-    BundleWatch,
     NodeObservation,
+    NodeStatusTracker,
     sign_bundle,
     verify_change,
 )
@@ -43,7 +43,7 @@
     """Measure what following costs a node among 350 while nothing changes."""
     names = [f"node-{index}" for index in range(_NODES - 1)]
     seen = [NodeObservation(name, "norte", 1, is_reached=True) for name in names]
-    follower, watch = BundleFollower(poll_ms=2_000, seed=1), BundleWatch()
+    follower, watch = BundleFollower(poll_ms=2_000, seed=1), NodeStatusTracker()
     follower.on_taken(0, 1, names)
     for name in names:
         follower.on_news(0, name, 1)
--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -53,10 +53,10 @@
 from ._toml import parse_bundle, to_toml
 from ._verify import read_state, verify_bundle, verify_change, verify_whole
 from ._watch import (
-    BundleWatch,
     Condition,
     NodeObservation,
     NodeStatus,
+    NodeStatusTracker,
     is_in_force_everywhere,
 )
 
@@ -71,7 +71,7 @@
     "BundleCache",
     "BundleState",
     "BundleStore",
-    "BundleWatch",
+    "NodeStatusTracker",
     "Caller",
     "ChunkedAccounts",
     "Condition",
--- a/fireflyward/bundles/_watch.py
+++ b/fireflyward/bundles/_watch.py
@@ -40,7 +40,7 @@
     refused: str = ""
 
 
-class BundleWatch:
+class NodeStatusTracker:
     """Remembers when each node's condition began.
 
     It is fed with what heartbeats and answers tell; a node that was never heard
@@ -53,7 +53,7 @@
         self._status_by_name: dict[str, NodeStatus] = {}
 
     def __repr__(self) -> str:
-        return f"BundleWatch({len(self._status_by_name)} nodes)"
+        return f"NodeStatusTracker({len(self._status_by_name)} nodes)"
 
     def observe(
         self, wall_ms: int, number: int, seen: Iterable[NodeObservation]
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -17,13 +17,13 @@
     BundleLoader,
     BundleState,
     BundleStore,
-    BundleWatch,
     FetchFromPeer,
     FetchFromStore,
     Head,
     Loaded,
     NodeObservation,
     NodeStatus,
+    NodeStatusTracker,
     ReadHead,
     SignedBundle,
     Whole,
@@ -106,7 +106,7 @@
         apply: Callable[[Bundle], None],
     ) -> None:
         self.shelf = BundleCache()
-        self.watch = BundleWatch()
+        self.watch = NodeStatusTracker()
         self.refused: BundleError | None = None
         self._link = link
         self._clock = clock
--- a/tests/bundles/test_watch.py
+++ b/tests/bundles/test_watch.py
@@ -1,9 +1,9 @@
 import unittest
 
 from fireflyward.bundles import (
-    BundleWatch,
     Condition,
     NodeObservation,
+    NodeStatusTracker,
     is_in_force_everywhere,
 )
 
@@ -15,7 +15,7 @@
 
 class WatchTests(unittest.TestCase):
     def setUp(self):
-        self.watch = BundleWatch()
+        self.watch = NodeStatusTracker()
 
     def conditions(self):
         return {item.name: item.condition for item in self.watch.statuses()}
