--- a/fireflyward/bench/measures/bundle_cost.py
+++ b/fireflyward/bench/measures/bundle_cost.py
@@ -46,7 +46,7 @@
     follower, watch = BundleFollower(poll_ms=2_000, seed=1), NodeStatusTracker()
     follower.on_taken(0, 1, names)
     for name in names:
-        follower.on_news(0, name, 1)
+        follower.on_peer_number(0, name, 1)
     times_ms = iter(range(0, 1 << 30, 100))
     tick_s = _best_of(lambda: follower.on_tick(next(times_ms), names))
     watch_s = _best_of(lambda: watch.observe(0, 1, seen))
--- a/fireflyward/bench/measures/bundle_spread.py
+++ b/fireflyward/bench/measures/bundle_spread.py
@@ -147,7 +147,9 @@
         self._do(name, self.follower_by_name[name].on_head(self.now_ms, number))
 
     def _on_news(self, name: str, peer: str, number: int) -> None:
-        self._do(name, self.follower_by_name[name].on_news(self.now_ms, peer, number))
+        self._do(
+            name, self.follower_by_name[name].on_peer_number(self.now_ms, peer, number)
+        )
 
     def _on_taken(self, name: str, number: int) -> None:
         follower = self.follower_by_name[name]
--- a/fireflyward/bundles/_follow.py
+++ b/fireflyward/bundles/_follow.py
@@ -147,7 +147,7 @@
         self._refused_number = number
         self._refused_digest = digest
 
-    def on_news(self, now_ms: int, peer: str, number: int) -> list[Action]:
+    def on_peer_number(self, now_ms: int, peer: str, number: int) -> list[Action]:
         """Take note of what a peer serves by; tell it if it is behind."""
         if number < self.number:
             return [AnnounceNumber(peer, self.number)]
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -163,7 +163,7 @@
     def on_member_number(self, name: str, number: int) -> None:
         """Take note of the number that a member's heartbeat carried."""
         if number != self._follower.number:
-            self._do(self._follower.on_news(self._clock.now_ms(), name, number))
+            self._do(self._follower.on_peer_number(self._clock.now_ms(), name, number))
 
     def state(self) -> BundleState | None:
         """Return the bundle in force at this node."""
@@ -324,13 +324,15 @@
         for reply in (await self._peers.states()).values():
             if _is_state(reply) and reply.number:
                 now_ms = self._clock.now_ms()
-                self._do(self._follower.on_news(now_ms, reply.node_name, reply.number))
+                self._do(
+                    self._follower.on_peer_number(now_ms, reply.node_name, reply.number)
+                )
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _on_news(self, sender: str, news: Any) -> None:
         self._peers.heard(sender, (news.host, news.port))
         now_ms = self._clock.now_ms()
-        self._do(self._follower.on_news(now_ms, sender, news.number))
+        self._do(self._follower.on_peer_number(now_ms, sender, news.number))
 
     async def _on_changes_request(self, sender: str, request: Any) -> Any:
         return self.shelf.changes_after(request.after)
--- a/tests/bundles/test_follow.py
+++ b/tests/bundles/test_follow.py
@@ -30,7 +30,7 @@
         taken for the newest."""
         node = follower(7)
         node.on_head(100, 3)
-        node.on_news(100, "peer-1", 2)
+        node.on_peer_number(100, "peer-1", 2)
         node.on_taken(100, 6, PEERS)
         self.assertEqual((node.number, node.head_number, node.wanted), (7, 7, 7))
 
@@ -41,7 +41,7 @@
 
     def test_peer_that_is_behind_is_told(self):
         self.assertEqual(
-            follower(7).on_news(1, "peer-1", 5), [AnnounceNumber("peer-1", 7)]
+            follower(7).on_peer_number(1, "peer-1", 5), [AnnounceNumber("peer-1", 7)]
         )
 
 
@@ -53,20 +53,20 @@
 
     def test_news_are_fetched_from_who_told_them(self):
         self.assertEqual(
-            follower().on_news(10, "peer-3", 2), [FetchFromPeer("peer-3", 2)]
+            follower().on_peer_number(10, "peer-3", 2), [FetchFromPeer("peer-3", 2)]
         )
 
     def test_peer_that_lies_is_left_for_the_store(self):
         node = follower()
         node.on_head(5, 1)
-        node.on_news(10, "peer-3", 999)
+        node.on_peer_number(10, "peer-3", 999)
         self.assertEqual(node.on_fetch_failed(20), [])
         self.assertEqual(node.wanted, 1)
 
     def test_peer_that_stays_silent_is_given_up(self):
         node = follower()
-        node.on_news(10, "peer-3", 2)
-        node.on_news(11, "peer-4", 2)
+        node.on_peer_number(10, "peer-3", 2)
+        node.on_peer_number(11, "peer-4", 2)
         actions = node.on_tick(2_600, PEERS)
         self.assertIn(FetchFromPeer("peer-4", 2), actions)
 
@@ -92,8 +92,8 @@
 
     def test_newer_number_heard_while_fetching_is_fetched_next(self):
         node = follower()
-        node.on_news(10, "peer-1", 2)
-        node.on_news(11, "peer-2", 3)
+        node.on_peer_number(10, "peer-1", 2)
+        node.on_peer_number(11, "peer-2", 3)
         actions = node.on_taken(20, 2, PEERS)
         self.assertIn(FetchFromPeer("peer-2", 3), actions)
 
@@ -116,7 +116,7 @@
 
     def test_caller_that_saw_what_a_peer_told_causes_a_fetch(self):
         node = follower()
-        node.on_news(10, "peer-1", 2)
+        node.on_peer_number(10, "peer-1", 2)
         node.on_fetch_failed(11)
-        node.on_news(12, "peer-1", 2)
+        node.on_peer_number(12, "peer-1", 2)
         self.assertEqual(node.on_asked(3_000, 1), [])
