--- a/fireflyward/bench/measures/bundle_cost.py
+++ b/fireflyward/bench/measures/bundle_cost.py
@@ -44,7 +44,7 @@
     names = [f"node-{index}" for index in range(_NODES - 1)]
     seen = [NodeObservation(name, "norte", 1, is_reached=True) for name in names]
     follower, watch = BundleFollower(poll_ms=2_000, seed=1), NodeStatusTracker()
-    follower.on_taken(0, 1, names)
+    follower.on_applied(0, 1, names)
     for name in names:
         follower.on_peer_number(0, name, 1)
     times_ms = iter(range(0, 1 << 30, 100))
--- a/fireflyward/bench/measures/bundle_spread.py
+++ b/fireflyward/bench/measures/bundle_spread.py
@@ -153,7 +153,7 @@
 
     def _on_taken(self, name: str, number: int) -> None:
         follower = self.follower_by_name[name]
-        self._do(name, follower.on_taken(self.now_ms, number, self._names))
+        self._do(name, follower.on_applied(self.now_ms, number, self._names))
 
     def _reaches(self, name: str, peer: str) -> bool:
         one, other = self.domain_by_name[name], self.domain_by_name[peer]
--- a/fireflyward/bundles/_follow.py
+++ b/fireflyward/bundles/_follow.py
@@ -55,7 +55,7 @@
 
     Nothing that it is told lowers ``number``: a lagging table replica, a lagging
     peer or a peer that lies can make it ask in vain, never step back. What it
-    fetches is verified before ``on_taken`` is called.
+    fetches is verified before ``on_applied`` is called.
     """
 
     __slots__ = (
@@ -164,7 +164,9 @@
             return []
         return self._fetch(now_ms) or self._read(now_ms)
 
-    def on_taken(self, now_ms: int, number: int, peers: Sequence[str]) -> list[Action]:
+    def on_applied(
+        self, now_ms: int, number: int, peers: Sequence[str]
+    ) -> list[Action]:
         """A verified number is in force here: tell some who may not know."""
         if number <= self.number:
             return []
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -208,7 +208,7 @@
         self._apply(state.bundle)
         names = list(self._peers.addresses())
         now_ms = self._clock.now_ms()
-        self._do(self._follower.on_taken(now_ms, state.number, names))
+        self._do(self._follower.on_applied(now_ms, state.number, names))
 
     async def _tick_always(self) -> None:
         look_at_ms = 0
--- a/tests/bundles/test_follow.py
+++ b/tests/bundles/test_follow.py
@@ -15,7 +15,7 @@
     made = BundleFollower(poll_ms=2_000, seed=1)
     made.on_tick(0, PEERS)
     made.on_head(0, number)
-    made.on_taken(0, number, PEERS)
+    made.on_applied(0, number, PEERS)
     return made
 
 
@@ -31,7 +31,7 @@
         node = follower(7)
         node.on_head(100, 3)
         node.on_peer_number(100, "peer-1", 2)
-        node.on_taken(100, 6, PEERS)
+        node.on_applied(100, 6, PEERS)
         self.assertEqual((node.number, node.head_number, node.wanted), (7, 7, 7))
 
     def test_lagging_replica_does_not_count_as_a_confirmation(self):
@@ -87,14 +87,14 @@
 
     def test_taken_number_is_told_to_a_few(self):
         node = follower()
-        told = node.on_taken(10, 2, PEERS)
+        told = node.on_applied(10, 2, PEERS)
         self.assertEqual(len({action.peer for action in told}), 5)
 
     def test_newer_number_heard_while_fetching_is_fetched_next(self):
         node = follower()
         node.on_peer_number(10, "peer-1", 2)
         node.on_peer_number(11, "peer-2", 3)
-        actions = node.on_taken(20, 2, PEERS)
+        actions = node.on_applied(20, 2, PEERS)
         self.assertIn(FetchFromPeer("peer-2", 3), actions)
 
 
