--- a/fireflyward/bundles/_follow.py
+++ b/fireflyward/bundles/_follow.py
@@ -154,7 +154,7 @@
         self._number_by_peer[peer] = number
         return self._fetch(now_ms)
 
-    def on_asked(self, now_ms: int, number: int) -> list[Action]:
+    def on_caller_number(self, now_ms: int, number: int) -> list[Action]:
         """A caller has seen ``number`` elsewhere: look for it at once.
 
         However many callers ask, the table is read at most once in
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -156,7 +156,7 @@
         """Wait shortly for ``number``, which a caller saw elsewhere."""
         ends_ms = self._clock.now_ms() + _CATCH_UP_MS
         while self._follower.number < number and self._clock.now_ms() < ends_ms:
-            self._do(self._follower.on_asked(self._clock.now_ms(), number))
+            self._do(self._follower.on_caller_number(self._clock.now_ms(), number))
             await self._clock.sleep_ms(_CATCH_UP_STEP_MS)
         return self._follower.number >= number
 
--- a/tests/bundles/test_follow.py
+++ b/tests/bundles/test_follow.py
@@ -111,7 +111,7 @@
         node = follower()
         reads = 0
         for now_ms in range(3_000, 4_000):
-            reads += kinds(node.on_asked(now_ms, 10**9)).count(ReadHead)
+            reads += kinds(node.on_caller_number(now_ms, 10**9)).count(ReadHead)
         self.assertEqual(reads, 5)
 
     def test_caller_that_saw_what_a_peer_told_causes_a_fetch(self):
@@ -119,4 +119,4 @@
         node.on_peer_number(10, "peer-1", 2)
         node.on_fetch_failed(11)
         node.on_peer_number(12, "peer-1", 2)
-        self.assertEqual(node.on_asked(3_000, 1), [])
+        self.assertEqual(node.on_caller_number(3_000, 1), [])
