--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -12,7 +12,7 @@
 )
 from ._checks import cross_errors, weight_errors
 from ._diff import Difference, diff
-from ._exchange import BundleCache, collect_whole, decode_changes
+from ._exchange import BundleCache, decode_changes, fetch_all_pages
 from ._follow import (
     AnnounceNumber,
     BundleFollower,
@@ -96,7 +96,7 @@
     "Upstream",
     "Whole",
     "canonical_bytes",
-    "collect_whole",
+    "fetch_all_pages",
     "create_key",
     "cross_errors",
     "decode_changes",
--- a/fireflyward/bundles/_exchange.py
+++ b/fireflyward/bundles/_exchange.py
@@ -88,7 +88,7 @@
         return BundleError("changes", str(error), code="unreadable")
 
 
-async def collect_whole(ask: AskPage) -> Whole | BundleError:
+async def fetch_all_pages(ask: AskPage) -> Whole | BundleError:
     """Ask a peer for page after page until all parts are here.
 
     A peer that takes a newer bundle in between starts over with that one.
--- a/fireflyward/daemon/_bundle_peers.py
+++ b/fireflyward/daemon/_bundle_peers.py
@@ -9,8 +9,8 @@
     NodeObservation,
     SignedBundle,
     Whole,
-    collect_whole,
     decode_changes,
+    fetch_all_pages,
 )
 from fireflyward.bundles.messages import (
     CHANGES_KIND,
@@ -113,7 +113,7 @@
         async def ask(request: Any) -> Any:
             return await self._link.call(address, WHOLE_KIND, request, WholeReply)
 
-        return await collect_whole(ask)
+        return await fetch_all_pages(ask)
 
     async def states(self) -> dict[str, Any]:
         """Ask every node for its state; what did not answer has ``CallFailed``."""
