--- a/fireflyward/admin/_desk.py
+++ b/fireflyward/admin/_desk.py
@@ -26,7 +26,7 @@
     read_state,
     statement_of,
     verify_change,
-    verify_whole,
+    verify_snapshot,
     weight_errors,
 )
 
@@ -215,7 +215,7 @@
         if base is not None:
             return verify_change(signed, base, deployment=self.deployment)
         return await asyncio.to_thread(
-            verify_whole, signed, (), roots=self._roots, deployment=self.deployment
+            verify_snapshot, signed, (), roots=self._roots, deployment=self.deployment
         )
 
     async def _problems(self, bundle: Bundle) -> list[Problem]:
@@ -307,7 +307,7 @@
         if not hasattr(whole, "snapshot"):
             return ErrorReply("platform_away", str(whole))
         found = await asyncio.to_thread(
-            verify_whole,
+            verify_snapshot,
             whole.snapshot,
             whole.links,
             roots=self._roots,
--- a/fireflyward/bench/measures/bundle_bytes.py
+++ b/fireflyward/bench/measures/bundle_bytes.py
@@ -15,7 +15,7 @@
     root_people,
     sign_bundle,
     verify_change,
-    verify_whole,
+    verify_snapshot,
 )
 
 DEPLOYMENT = "bench"
@@ -56,7 +56,7 @@
 def first_state(accounts: int) -> BundleState:
     """Return the verified first bundle of this many accounts."""
     signed = sign_bundle(make_bundle(accounts), author=AUTHOR, approver=APPROVER)
-    state = verify_whole(signed, (), roots=ROOTS, deployment=DEPLOYMENT)
+    state = verify_snapshot(signed, (), roots=ROOTS, deployment=DEPLOYMENT)
     assert isinstance(state, BundleState), state
     return state
 
--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -51,7 +51,7 @@
     statement_of,
 )
 from ._toml import parse_bundle, to_toml
-from ._verify import read_state, verify_bundle, verify_change, verify_whole
+from ._verify import read_state, verify_bundle, verify_change, verify_snapshot
 from ._watch import (
     Condition,
     NodeObservation,
@@ -118,7 +118,7 @@
     "to_toml",
     "verify_bundle",
     "verify_change",
-    "verify_whole",
+    "verify_snapshot",
     "weight_errors",
     "with_approver",
     "with_author",
--- a/fireflyward/bundles/_loader.py
+++ b/fireflyward/bundles/_loader.py
@@ -10,7 +10,7 @@
 from ._signing import SignedBundle
 from ._state import BundleState
 from ._store import BundleStore, Head, Whole
-from ._verify import verify_change, verify_whole
+from ._verify import verify_change, verify_snapshot
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 
     async def begin(self, whole: Whole) -> Loaded | BundleError:
         """Verify a snapshot by its links and then each change after it."""
-        state = verify_whole(
+        state = verify_snapshot(
             whole.snapshot, whole.links, roots=self._roots, deployment=self._deployment
         )
         if isinstance(state, BundleError):
--- a/fireflyward/bundles/_verify.py
+++ b/fireflyward/bundles/_verify.py
@@ -22,7 +22,7 @@
     signed: SignedBundle, public_key_by_person: Mapping[str, bytes], deployment: str
 ) -> Bundle | BundleError:
     """Return a whole bundle if an author and another person's approval both hold."""
-    state = verify_whole(
+    state = verify_snapshot(
         signed, (), roots=root_people(public_key_by_person), deployment=deployment
     )
     return state.bundle if isinstance(state, BundleState) else state
@@ -41,7 +41,7 @@
     return _verify(signed, statement, base, base.people, base.links)
 
 
-def verify_whole(
+def verify_snapshot(
     signed: SignedBundle,
     links: tuple[SignedBundle, ...],
     *,
--- a/fireflyward/demo/_deployment.py
+++ b/fireflyward/demo/_deployment.py
@@ -20,7 +20,7 @@
     root_people,
     sign_bundle,
     verify_change,
-    verify_whole,
+    verify_snapshot,
 )
 from fireflyward.daemon import Node
 from fireflyward.settings import SERVE_SETTINGS, Settings, load
@@ -162,7 +162,7 @@
         else:
             keys = (self.author, self.approver)
             roots = root_people({key.person: key.public_bytes() for key in keys})
-            state = verify_whole(signed, (), roots=roots, deployment="demo")
+            state = verify_snapshot(signed, (), roots=roots, deployment="demo")
         assert isinstance(state, BundleState), state
         return state
 
--- a/tests/bundles/makers.py
+++ b/tests/bundles/makers.py
@@ -16,7 +16,7 @@
     root_people,
     sign_bundle,
     verify_change,
-    verify_whole,
+    verify_snapshot,
 )
 
 DEPLOYMENT = "demo"
@@ -74,7 +74,7 @@
 
 
 def whole(signed, links=(), roots=ROOTS):
-    return verify_whole(signed, links, roots=roots, deployment=DEPLOYMENT)
+    return verify_snapshot(signed, links, roots=roots, deployment=DEPLOYMENT)
 
 
 def change(signed, base):
--- a/tests/bundles/test_store.py
+++ b/tests/bundles/test_store.py
@@ -10,7 +10,7 @@
     root_people,
     sign_bundle,
     verify_change,
-    verify_whole,
+    verify_snapshot,
 )
 from fireflyward.clock import Clock
 from fireflyward.standins import MemoryObjects, MemoryTable
@@ -79,7 +79,7 @@
 
 def state_of(change, number):
     if number == 1:
-        return verify_whole(change, (), roots=ROOTS, deployment="demo")
+        return verify_snapshot(change, (), roots=ROOTS, deployment="demo")
     base = state_of(signed(number - 1)[1], number - 1)
     return verify_change(change, base, deployment="demo")
 
@@ -244,7 +244,7 @@
             result = await self.store().accept(bundle, change)
             self.assertIsInstance(result, Committed)
             if base is None:
-                base = verify_whole(change, (), roots=ROOTS, deployment="demo")
+                base = verify_snapshot(change, (), roots=ROOTS, deployment="demo")
             else:
                 base = verify_change(change, base, deployment="demo")
         head, _ = await self.store().head()
--- a/tests/faults/_world.py
+++ b/tests/faults/_world.py
@@ -18,7 +18,7 @@
     root_people,
     sign_bundle,
     verify_change,
-    verify_whole,
+    verify_snapshot,
 )
 from fireflyward.checker import BundleAccepted, Checker, NodeLost, Reachable, StopBegan
 from fireflyward.clock import ManualClock
@@ -170,7 +170,7 @@
         """Note which of the offered bundles the table took."""
         signed, base = self.offered_by_digest[digest]
         if base is None:
-            self.bundle_state = verify_whole(
+            self.bundle_state = verify_snapshot(
                 signed, (), roots=_ROOT_PEOPLE, deployment="demo"
             )
         else:
--- a/tests/fuzz/test_texts.py
+++ b/tests/fuzz/test_texts.py
@@ -12,7 +12,7 @@
     parse_bundle,
     sign_bundle,
     to_toml,
-    verify_whole,
+    verify_snapshot,
 )
 from fireflyward.settings import SERVE_SETTINGS, BadSetting, Settings, load
 from fireflyward.upstreams import count_tokens, split_tokens
@@ -52,18 +52,18 @@
         document = bytearray(SIGNED.document)
         document[at] ^= change
         changed = SignedBundle(bytes(document), *_rest(SIGNED))
-        result = verify_whole(changed, (), roots=ROOTS, deployment="demo")
+        result = verify_snapshot(changed, (), roots=ROOTS, deployment="demo")
         self.assertIsInstance(result, BundleError)
 
     @fuzz(100)
     @given(st.binary(max_size=100))
     def test_any_document_is_refused(self, document):
         changed = SignedBundle(document, *_rest(SIGNED))
-        result = verify_whole(changed, (), roots=ROOTS, deployment="demo")
+        result = verify_snapshot(changed, (), roots=ROOTS, deployment="demo")
         self.assertIsInstance(result, BundleError)
 
     def test_the_unchanged_document_is_taken(self):
-        result = verify_whole(SIGNED, (), roots=ROOTS, deployment="demo")
+        result = verify_snapshot(SIGNED, (), roots=ROOTS, deployment="demo")
         self.assertIsInstance(result, BundleState)
 
 
