--- a/fireflyward/admin/_desk.py
+++ b/fireflyward/admin/_desk.py
@@ -303,7 +303,7 @@
         head = await self._store.accepted(number)
         if not isinstance(head, Head):
             return ErrorReply("no_bundle", f"number {number} is not kept")
-        whole = await self._store.fetch_whole(head)
+        whole = await self._store.fetch_snapshot(head)
         if not hasattr(whole, "snapshot"):
             return ErrorReply("platform_away", str(whole))
         found = await asyncio.to_thread(
--- a/fireflyward/bundles/_loader.py
+++ b/fireflyward/bundles/_loader.py
@@ -41,7 +41,7 @@
             changes = await self._store.fetch_changes(head, state.number)
             if isinstance(changes, tuple):
                 return await self.follow(state, changes)
-        whole = await self._store.fetch_whole(head)
+        whole = await self._store.fetch_snapshot(head)
         if not isinstance(whole, Whole):
             return whole
         return await self.begin(whole)
--- a/fireflyward/bundles/_store.py
+++ b/fireflyward/bundles/_store.py
@@ -157,7 +157,7 @@
             return Missing(f"more than {most} changes before {head.number}")
         return tuple(reversed(changes))
 
-    async def fetch_whole(self, head: Head) -> Whole | Missing | Unavailable:
+    async def fetch_snapshot(self, head: Head) -> Whole | Missing | Unavailable:
         """Return what leads from nothing to ``head``: a snapshot and changes.
 
         However many changes there are since the snapshot, they are followed: a
--- a/tests/bundles/test_store.py
+++ b/tests/bundles/test_store.py
@@ -248,6 +248,6 @@
             else:
                 base = verify_change(change, base, deployment="demo")
         head, _ = await self.store().head()
-        whole = await self.store().fetch_whole(head)
+        whole = await self.store().fetch_snapshot(head)
         self.assertEqual(head.snapshot_number, 1)
         self.assertEqual(len(whole.changes), 138)
