--- a/fireflyward/bundles/_follow.py
+++ b/fireflyward/bundles/_follow.py
@@ -97,7 +97,7 @@
         return f"BundleFollower(number={self.number}, head={self.head_number})"
 
     @property
-    def wanted(self) -> int:
+    def target_number(self) -> int:
         """Return the highest number that anyone has told of."""
         numbers = (self.number, *self._number_by_peer.values())
         if self.head_number > self._refused_number:
@@ -198,7 +198,7 @@
         return [ReadHead()]
 
     def _fetch(self, now_ms: int) -> list[Action]:
-        if self._fetching or self.wanted <= self.number:
+        if self._fetching or self.target_number <= self.number:
             return []
         action = self._source()
         if isinstance(action, FetchFromStore) and now_ms < self._retry_at_ms:
@@ -216,8 +216,8 @@
         holders = [
             peer
             for peer, number in self._number_by_peer.items()
-            if number == self.wanted
+            if number == self.target_number
         ]
         if not holders:
             return FetchFromStore()
-        return FetchFromPeer(self._random.choice(holders), self.wanted)
+        return FetchFromPeer(self._random.choice(holders), self.target_number)
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -180,7 +180,7 @@
         seen += [
             NodeObservation(name, "", 0, is_reached=False) for name in sorted(silent)
         ]
-        number = max(self._follower.wanted, *(node.number for node in seen))
+        number = max(self._follower.target_number, *(node.number for node in seen))
         self.watch.observe(self._clock.wall_ms(), number, seen)
         return self.watch.statuses()
 
@@ -227,7 +227,7 @@
         members = [self._judge_silence(member) for member in self._peers.seen()]
         own = seen_state(self.own_state())
         self.watch.observe(
-            self._clock.wall_ms(), self._follower.wanted, [own, *members]
+            self._clock.wall_ms(), self._follower.target_number, [own, *members]
         )
         if members:
             kept = {own.name, *(member.name for member in members)}
--- a/tests/bundles/test_follow.py
+++ b/tests/bundles/test_follow.py
@@ -32,7 +32,7 @@
         node.on_head(100, 3)
         node.on_peer_number(100, "peer-1", 2)
         node.on_applied(100, 6, PEERS)
-        self.assertEqual((node.number, node.head_number, node.wanted), (7, 7, 7))
+        self.assertEqual((node.number, node.head_number, node.target_number), (7, 7, 7))
 
     def test_lagging_replica_does_not_count_as_a_confirmation(self):
         node = follower(7)
@@ -61,7 +61,7 @@
         node.on_head(5, 1)
         node.on_peer_number(10, "peer-3", 999)
         self.assertEqual(node.on_fetch_failed(20), [])
-        self.assertEqual(node.wanted, 1)
+        self.assertEqual(node.target_number, 1)
 
     def test_peer_that_stays_silent_is_given_up(self):
         node = follower()
