--- a/fireflyward/bundles/_loader.py
+++ b/fireflyward/bundles/_loader.py
@@ -44,9 +44,9 @@
         whole = await self._store.fetch_snapshot(head)
         if not isinstance(whole, Whole):
             return whole
-        return await self.begin(whole)
+        return await self.verify_snapshot_and_changes(whole)
 
-    async def begin(self, whole: Whole) -> Loaded | BundleError:
+    async def verify_snapshot_and_changes(self, whole: Whole) -> Loaded | BundleError:
         """Verify a snapshot by its links and then each change after it."""
         state = verify_snapshot(
             whole.snapshot, whole.links, roots=self._roots, deployment=self._deployment
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -303,7 +303,11 @@
         if state is None:
             whole = await self._peers.whole(name)
             is_whole = isinstance(whole, Whole)
-            loaded = await self._loader.begin(whole) if is_whole else whole
+            loaded = (
+                await self._loader.verify_snapshot_and_changes(whole)
+                if is_whole
+                else whole
+            )
         else:
             changes = await self._peers.changes(name, state.number)
             is_some = isinstance(changes, tuple)
