--- a/fireflyward/bundles/_loader.py
+++ b/fireflyward/bundles/_loader.py
@@ -40,7 +40,7 @@
         if state is not None:
             changes = await self._store.fetch_changes(head, state.number)
             if isinstance(changes, tuple):
-                return await self.follow(state, changes)
+                return await self.verify_changes(state, changes)
         whole = await self._store.fetch_snapshot(head)
         if not isinstance(whole, Whole):
             return whole
@@ -53,10 +53,10 @@
         )
         if isinstance(state, BundleError):
             return state
-        loaded = await self.follow(state, whole.changes)
+        loaded = await self.verify_changes(state, whole.changes)
         return Loaded(loaded.state) if isinstance(loaded, Loaded) else loaded
 
-    async def follow(
+    async def verify_changes(
         self, state: BundleState, changes: tuple[SignedBundle, ...]
     ) -> Loaded | BundleError:
         """Verify changes one after the other, letting requests in between."""
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -311,7 +311,11 @@
         else:
             changes = await self._peers.changes(name, state.number)
             is_some = isinstance(changes, tuple)
-            loaded = await self._loader.follow(state, changes) if is_some else changes
+            loaded = (
+                await self._loader.verify_changes(state, changes)
+                if is_some
+                else changes
+            )
         self._take_or_fail(loaded)
 
     def _take_or_fail(self, loaded: object) -> None:
