--- a/fireflyward/bench/measures/bundle_cost.py
+++ b/fireflyward/bench/measures/bundle_cost.py
@@ -73,7 +73,7 @@
     signed = sign_bundle(following, author=AUTHOR, approver=APPROVER, base=base)
     verify_s = _best_of(lambda: verify_change(signed, base, deployment=DEPLOYMENT))
     holder = BundleHolder()
-    holder.offer(base.bundle)
+    holder.update(base.bundle)
     lookup_s = _best_of(lambda: _look_up(holder, accounts)) / _LOOKUPS
     prefix = f"bundle_cost.accounts_{accounts}"
     return [
@@ -93,10 +93,10 @@
     tracemalloc.start()
     state = first_state(accounts)
     holder = BundleHolder()
-    holder.offer(state.bundle)
+    holder.update(state.bundle)
     _look_up(holder, accounts)
     state = _next(state, accounts)
-    holder.offer(state.bundle)
+    holder.update(state.bundle)
     gc.collect()
     held, _ = tracemalloc.get_traced_memory()
     objects = make_bundle(accounts)
--- a/fireflyward/bundles/_holder.py
+++ b/fireflyward/bundles/_holder.py
@@ -32,7 +32,7 @@
         """Return the number in force here; 0 before the first bundle."""
         return self._bundle.number if self._bundle else 0
 
-    def offer(self, bundle: Bundle) -> bool:
+    def update(self, bundle: Bundle) -> bool:
         """Take ``bundle`` if its number is higher; return whether it was taken.
 
         A node that went back to an older number after a restart of a peer or a
--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -332,7 +332,7 @@
 
     def apply(self, bundle: Bundle) -> None:
         """Serve by ``bundle`` from now on, unless it is not newer."""
-        if not self.holder.offer(bundle):
+        if not self.holder.update(bundle):
             return
         self.rollout.versions.on_bundle(
             {name: model.version for name, model in bundle.models.items()}
--- a/tests/bundles/test_holder.py
+++ b/tests/bundles/test_holder.py
@@ -9,16 +9,16 @@
         """Symptom: a withdrawn key works again. Sequence: an older bundle comes
         from a lagging peer. Cause: whatever came last was taken."""
         holder = BundleHolder()
-        self.assertTrue(holder.offer(bundle(5, ("tower-team",))))
-        self.assertFalse(holder.offer(bundle(4)))
-        self.assertFalse(holder.offer(bundle(5)))
+        self.assertTrue(holder.update(bundle(5, ("tower-team",))))
+        self.assertFalse(holder.update(bundle(4)))
+        self.assertFalse(holder.update(bundle(5)))
         self.assertIsNone(holder.account_of_key("key-bridge-team"))
 
     def test_lookups_of_a_verified_bundle_and_of_a_plain_one_agree(self):
         for offered in (bundle(), first_state().bundle):
             holder = BundleHolder()
             self.assertIsNone(holder.account_of_key("key-tower-team"))
-            holder.offer(offered)
+            holder.update(offered)
             name, caller, account = holder.account_of_key("key-tower-team")
             self.assertEqual((name, caller), ("tower-team", "portal"))
             self.assertEqual(account, offered.accounts["tower-team"])
@@ -27,6 +27,6 @@
     def test_withdrawn_key_stops_working_with_the_next_number(self):
         holder = BundleHolder()
         first = first_state()
-        holder.offer(first.bundle)
-        holder.offer(next_state(first, bundle(2, ("bridge-team",))).bundle)
+        holder.update(first.bundle)
+        holder.update(next_state(first, bundle(2, ("bridge-team",))).bundle)
         self.assertIsNone(holder.account_of_key("key-tower-team"))
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -197,21 +197,21 @@
 
 
 def offers_that_are_never_taken():
-    def offer(self, bundle):
+    def update(self, bundle):
         return not self.number and original(self, bundle)
 
-    original = BundleHolder.offer
-    return mock.patch.object(BundleHolder, "offer", offer)
+    original = BundleHolder.update
+    return mock.patch.object(BundleHolder, "update", update)
 
 
 def offers_without_comparison():
-    original = BundleHolder.offer
+    original = BundleHolder.update
 
-    def offer(self, bundle):
+    def update(self, bundle):
         self._bundle = None
         return original(self, bundle)
 
-    return mock.patch.object(BundleHolder, "offer", offer)
+    return mock.patch.object(BundleHolder, "update", update)
 
 
 def answers_that_never_come():
--- a/tests/invariants/test_invariants.py
+++ b/tests/invariants/test_invariants.py
@@ -35,7 +35,7 @@
 
     def test_a_way_around_the_comparison_of_bundles(self):
         holder = BundleHolder()
-        holder.offer(Bundle("demo", 2, {}, {}, {}))
+        holder.update(Bundle("demo", 2, {}, {}, {}))
         old = Bundle("demo", 1, {}, {}, {})
         found = self.broken_by(lambda: holder._serve_by(old))
         self.assertIs(found, Invariant.BUNDLE_FORWARD)
