--- a/fireflyward/admin/_auth.py
+++ b/fireflyward/admin/_auth.py
@@ -5,7 +5,7 @@
 import secrets
 from collections.abc import Mapping
 
-from fireflyward.bundles import BundleError, Person, SigningKey, key_error
+from fireflyward.bundles import BundleError, Person, SigningKey, find_verifying_key
 
 from ._messages import ErrorReply
 
@@ -81,7 +81,7 @@
         message = _message(
             self._deployment, self._node_name, method, target, time_text, nonce, body
         )
-        key = key_error(person, _signature(headers), message, people)
+        key = find_verifying_key(person, _signature(headers), message, people)
         if isinstance(key, BundleError):
             return ErrorReply(key.code, key.detail)
         if abs(wall_ms - int(time_text)) > _MOST_SKEW_MS:
--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -30,7 +30,7 @@
     SignedBundle,
     SigningKey,
     Statement,
-    key_error,
+    find_verifying_key,
     public_hex,
     root_people,
 )
@@ -106,7 +106,7 @@
     "draft",
     "encode_signed",
     "is_in_force_everywhere",
-    "key_error",
+    "find_verifying_key",
     "load_key",
     "make_plan",
     "parse_bundle",
--- a/fireflyward/bundles/_signing.py
+++ b/fireflyward/bundles/_signing.py
@@ -106,7 +106,7 @@
     }
 
 
-def key_error(
+def find_verifying_key(
     person_name: str, value: bytes, message: bytes, people: Mapping[str, Person]
 ) -> BundleError | str:
     """Return the public key under which a signature holds, or why none does."""
@@ -136,7 +136,7 @@
     keys = []
     for signature in signed.signatures:
         message = _signed_bytes(signature.role, signed.document)
-        key = key_error(signature.person, signature.value, message, people)
+        key = find_verifying_key(signature.person, signature.value, message, people)
         if isinstance(key, BundleError):
             return key
         keys.append(key)
