--- a/fireflyward/bundles/_holder.py
+++ b/fireflyward/bundles/_holder.py
@@ -41,10 +41,10 @@
         """
         if bundle.number <= self.number:
             return False
-        self._serve_by(bundle)
+        self._set_bundle(bundle)
         return True
 
-    def _serve_by(self, bundle: Bundle) -> None:
+    def _set_bundle(self, bundle: Bundle) -> None:
         require(
             bundle.number > self.number,
             Invariant.BUNDLE_FORWARD,
--- a/tests/invariants/test_invariants.py
+++ b/tests/invariants/test_invariants.py
@@ -37,5 +37,5 @@
         holder = BundleHolder()
         holder.update(Bundle("demo", 2, {}, {}, {}))
         old = Bundle("demo", 1, {}, {}, {})
-        found = self.broken_by(lambda: holder._serve_by(old))
+        found = self.broken_by(lambda: holder._set_bundle(old))
         self.assertIs(found, Invariant.BUNDLE_FORWARD)
