--- a/tests/bundles/makers.py
+++ b/tests/bundles/makers.py
@@ -70,10 +70,10 @@
 
 def first_state(**options):
     signed = sign_bundle(bundle(**options), author=ANA, approver=BRUNO)
-    return whole(signed)
+    return verify_demo_snapshot(signed)
 
 
-def whole(signed, links=(), roots=ROOTS):
+def verify_demo_snapshot(signed, links=(), roots=ROOTS):
     return verify_snapshot(signed, links, roots=roots, deployment=DEPLOYMENT)
 
 
--- a/tests/bundles/test_verify.py
+++ b/tests/bundles/test_verify.py
@@ -28,7 +28,7 @@
     first_state,
     next_state,
     person,
-    whole,
+    verify_demo_snapshot,
 )
 
 
@@ -54,7 +54,9 @@
     def test_change_gives_the_same_bundle_as_the_whole(self):
         state = change(self.signed(), self.base)
         self.assertEqual(state.bundle, self.following)
-        self.assertEqual(whole(state.snapshot(), state.links).digest, state.digest)
+        self.assertEqual(
+            verify_demo_snapshot(state.snapshot(), state.links).digest, state.digest
+        )
 
     def test_change_carries_only_the_parts_that_changed(self):
         accounts = {f"team-{index}": account(f"team-{index}") for index in range(200)}
@@ -99,7 +101,7 @@
         roots = {**ROOTS, "ana2": ROOTS["ana"]}
         twin = SigningKey("ana2", ANA._private)
         signed = sign_bundle(bundle(trust={}), author=ANA, approver=twin)
-        self.assert_refused(whole(signed, roots=roots), "same_person")
+        self.assert_refused(verify_demo_snapshot(signed, roots=roots), "same_person")
 
     def test_replayed_old_bundle(self):
         state = change(self.signed(), self.base)
@@ -257,26 +259,28 @@
         )
 
     def test_new_node_follows_trust_from_the_roots(self):
-        state = whole(self.third.snapshot(), self.third.links)
+        state = verify_demo_snapshot(self.third.snapshot(), self.third.links)
         self.assertEqual(state.bundle, self.third.bundle)
         self.assertEqual(state.people, self.third.people)
 
     def test_snapshot_at_the_change_of_trust_itself(self):
-        state = whole(self.second.snapshot(), self.second.links)
+        state = verify_demo_snapshot(self.second.snapshot(), self.second.links)
         self.assertEqual(state.links, self.second.links)
 
     def test_links_that_are_missing_or_out_of_place(self):
         first, second = self.third.links
         snapshot = self.third.snapshot()
-        self.assert_refused(whole(snapshot, (first,)), "other_trust")
-        self.assert_refused(whole(snapshot, ()), "other_trust")
-        self.assertIsInstance(whole(snapshot, (second, first)), BundleError)
+        self.assert_refused(verify_demo_snapshot(snapshot, (first,)), "other_trust")
+        self.assert_refused(verify_demo_snapshot(snapshot, ()), "other_trust")
+        self.assertIsInstance(
+            verify_demo_snapshot(snapshot, (second, first)), BundleError
+        )
 
     def test_link_with_another_trust_inside(self):
         first, second = self.third.links
         body = canonical_bytes({"ana": person(ANA, author=("*",))})
         forged = SignedBundle(second.document, second.signatures, {"trust": body})
-        refused = whole(self.third.snapshot(), (first, forged))
+        refused = verify_demo_snapshot(self.third.snapshot(), (first, forged))
         self.assert_refused(refused, "other_trust")
 
     def test_snapshot_signed_by_a_revoked_key(self):
@@ -285,7 +289,9 @@
         snapshot = SignedBundle(
             forged.document, forged.signatures, self.third.part_by_name
         )
-        self.assert_refused(whole(snapshot, self.second.links), "revoked_key")
+        self.assert_refused(
+            verify_demo_snapshot(snapshot, self.second.links), "revoked_key"
+        )
 
     def test_accounts_stay_encoded(self):
         self.assertIsInstance(self.third.bundle.accounts, ChunkedAccounts)
--- a/tests/daemon/test_bundle_duty.py
+++ b/tests/daemon/test_bundle_duty.py
@@ -15,7 +15,15 @@
 from fireflyward.membership import Member, Members, MemberState
 from fireflyward.peers import CallFailed, pack, unpack
 from fireflyward.standins import MemoryObjects, MemoryTable
-from tests.bundles.makers import ANA, BRUNO, DEPLOYMENT, ROOTS, bundle, change, whole
+from tests.bundles.makers import (
+    ANA,
+    BRUNO,
+    DEPLOYMENT,
+    ROOTS,
+    bundle,
+    change,
+    verify_demo_snapshot,
+)
 
 
 class Network:
@@ -139,7 +147,7 @@
         signed = sign_bundle(following, author=ANA, approver=BRUNO, base=self.state)
         await self.store.accept(following, signed, base=self.state)
         base = self.state
-        self.state = change(signed, base) if base else whole(signed)
+        self.state = change(signed, base) if base else verify_demo_snapshot(signed)
 
     async def start(self, count=3):
         for _ in range(count):
