--- a/tests/bundles/makers.py
+++ b/tests/bundles/makers.py
@@ -77,12 +77,12 @@
     return verify_snapshot(signed, links, roots=roots, deployment=DEPLOYMENT)
 
 
-def change(signed, base):
+def verify_demo_change(signed, base):
     return verify_change(signed, base, deployment=DEPLOYMENT)
 
 
 def next_state(base, following, author=ANA, approver=BRUNO):
     signed = sign_bundle(following, author=author, approver=approver, base=base)
-    state = change(signed, base)
+    state = verify_demo_change(signed, base)
     assert isinstance(state, BundleState), state
     return state
--- a/tests/bundles/test_verify.py
+++ b/tests/bundles/test_verify.py
@@ -24,10 +24,10 @@
     TRUST,
     account,
     bundle,
-    change,
     first_state,
     next_state,
     person,
+    verify_demo_change,
     verify_demo_snapshot,
 )
 
@@ -52,7 +52,7 @@
 
 class ChangeTests(VerifyTestCase):
     def test_change_gives_the_same_bundle_as_the_whole(self):
-        state = change(self.signed(), self.base)
+        state = verify_demo_change(self.signed(), self.base)
         self.assertEqual(state.bundle, self.following)
         self.assertEqual(
             verify_demo_snapshot(state.snapshot(), state.links).digest, state.digest
@@ -66,7 +66,7 @@
             bundle(2, account_by_name=accounts), author=ANA, approver=BRUNO, base=base
         )
         self.assertEqual(len(signed.parts), 1)
-        state = change(signed, base)
+        state = verify_demo_change(signed, base)
         self.assertEqual(state.bundle.accounts["team-7"].weight, 9)
         self.assertEqual(base.bundle.accounts["team-7"].weight, 1)
 
@@ -91,11 +91,14 @@
         forged = with_author(draft(self.following, author="ana", base=self.base), ANA)
         as_bruno = SigningKey("bruno", ANA._private)
         self.assert_refused(
-            change(with_approver(forged, as_bruno), self.base), "bad_signature"
+            verify_demo_change(with_approver(forged, as_bruno), self.base),
+            "bad_signature",
         )
 
     def test_signed_twice_by_one_person(self):
-        self.assert_refused(change(self.signed(ANA, ANA), self.base), "same_person")
+        self.assert_refused(
+            verify_demo_change(self.signed(ANA, ANA), self.base), "same_person"
+        )
 
     def test_one_key_under_two_names(self):
         roots = {**ROOTS, "ana2": ROOTS["ana"]}
@@ -104,24 +107,26 @@
         self.assert_refused(verify_demo_snapshot(signed, roots=roots), "same_person")
 
     def test_replayed_old_bundle(self):
-        state = change(self.signed(), self.base)
-        self.assert_refused(change(self.signed(), state), "replayed")
-        self.assert_refused(change(self.base.signed, state), "replayed")
+        state = verify_demo_change(self.signed(), self.base)
+        self.assert_refused(verify_demo_change(self.signed(), state), "replayed")
+        self.assert_refused(verify_demo_change(self.base.signed, state), "replayed")
 
     def test_bundle_made_for_another_predecessor(self):
         other = first_state(models={"clauses": Model("v0")})
-        self.assert_refused(change(self.signed(), other), "other_base")
+        self.assert_refused(verify_demo_change(self.signed(), other), "other_base")
         skipping = sign_bundle(bundle(3), author=ANA, approver=BRUNO, base=self.base)
-        self.assert_refused(change(skipping, self.base), "other_base")
+        self.assert_refused(verify_demo_change(skipping, self.base), "other_base")
 
     def test_bundle_of_another_deployment(self):
         foreign = msgspec.structs.replace(self.following, deployment="other")
         signed = self.signed(following=foreign)
-        self.assert_refused(change(signed, self.base), "other_deployment")
+        self.assert_refused(verify_demo_change(signed, self.base), "other_deployment")
 
     def test_unknown_person(self):
         dora = SigningKey.from_seed("dora", b"4" * 32)
-        self.assert_refused(change(self.signed(ANA, dora), self.base), "unknown_person")
+        self.assert_refused(
+            verify_demo_change(self.signed(ANA, dora), self.base), "unknown_person"
+        )
 
     def test_revoked_key(self):
         new_ana = SigningKey.from_seed("ana", b"5" * 32)
@@ -130,8 +135,8 @@
         following = bundle(3, ("bridge-team",), trust=rotated)
         by_old = sign_bundle(following, author=ANA, approver=BRUNO, base=state)
         by_new = sign_bundle(following, author=new_ana, approver=BRUNO, base=state)
-        self.assert_refused(change(by_old, state), "revoked_key")
-        self.assertIsInstance(change(by_new, state), BundleState)
+        self.assert_refused(verify_demo_change(by_old, state), "revoked_key")
+        self.assertIsInstance(verify_demo_change(by_new, state), BundleState)
 
     def test_rotation_accepts_both_keys_for_a_while(self):
         new_ana = SigningKey.from_seed("ana", b"5" * 32)
@@ -140,15 +145,15 @@
         following = bundle(3, ("bridge-team",), trust=both)
         for key in (ANA, new_ana):
             signed = sign_bundle(following, author=key, approver=BRUNO, base=state)
-            self.assertIsInstance(change(signed, state), BundleState)
+            self.assertIsInstance(verify_demo_change(signed, state), BundleState)
 
     def test_signer_outside_his_role(self):
         allowed = self.signed(CARLA, ANA)
-        self.assertIsInstance(change(allowed, self.base), BundleState)
+        self.assertIsInstance(verify_demo_change(allowed, self.base), BundleState)
         bridges = bundle(2, ("tower-team",))
         for author, approver in ((CARLA, ANA), (ANA, CARLA)):
             signed = self.signed(author, approver, bridges)
-            self.assert_refused(change(signed, self.base), "outside_role")
+            self.assert_refused(verify_demo_change(signed, self.base), "outside_role")
 
     def test_team_cannot_give_itself_a_model_or_a_role(self):
         for following in (
@@ -156,7 +161,7 @@
             bundle(2, trust={**TRUST, "carla": person(CARLA, author=("*",))}),
         ):
             signed = self.signed(CARLA, BRUNO, following)
-            self.assert_refused(change(signed, self.base), "outside_role")
+            self.assert_refused(verify_demo_change(signed, self.base), "outside_role")
 
     def test_trailing_duplicate_or_exchanged_signatures(self):
         signed = self.signed()
@@ -170,14 +175,16 @@
         ):
             with self.subTest(count=len(signatures)):
                 altered = SignedBundle(signed.document, signatures, signed.parts)
-                self.assert_refused(change(altered, self.base), "wrong_signatures")
+                self.assert_refused(
+                    verify_demo_change(altered, self.base), "wrong_signatures"
+                )
 
     def test_changed_statement_fails_its_signatures(self):
         signed = self.signed()
         statement = statement_of(signed)
         document = canonical_bytes(msgspec.structs.replace(statement, note="other"))
         altered = SignedBundle(document, signed.signatures, signed.parts)
-        self.assert_refused(change(altered, self.base), "bad_signature")
+        self.assert_refused(verify_demo_change(altered, self.base), "bad_signature")
 
     def test_bytes_that_are_not_canonical(self):
         """Symptom: one bundle with two digests. Cause: a space more in the JSON
@@ -186,27 +193,29 @@
         document = drafted.document.replace(b'":', b'": ', 1)
         spaced = SignedBundle(document, (), drafted.parts)
         signed = with_approver(with_author(spaced, ANA), BRUNO)
-        self.assert_refused(change(signed, self.base), "not_canonical")
+        self.assert_refused(verify_demo_change(signed, self.base), "not_canonical")
 
     def test_part_whose_bytes_are_not_canonical(self):
         following = self._with_part(b'{ "clauses":{"adapters":[],"version":"v9"}}')
-        self.assert_refused(change(following, self.base), "not_canonical")
+        self.assert_refused(verify_demo_change(following, self.base), "not_canonical")
 
     def test_part_that_is_unreadable_or_unknown(self):
-        self.assert_refused(change(self._with_part(b"{"), self.base), "unreadable")
+        self.assert_refused(
+            verify_demo_change(self._with_part(b"{"), self.base), "unreadable"
+        )
         wrong = self._with_part(b"{}", name="surprise")
-        self.assert_refused(change(wrong, self.base), "unknown_part")
+        self.assert_refused(verify_demo_change(wrong, self.base), "unknown_part")
 
     def test_parts_other_than_the_signed_ones(self):
         signed = self.signed()
         parts = {**signed.parts, "models": canonical_bytes({"clauses": Model("v9")})}
         altered = SignedBundle(signed.document, signed.signatures, parts)
-        self.assert_refused(change(altered, self.base), "other_parts")
+        self.assert_refused(verify_demo_change(altered, self.base), "other_parts")
 
     def test_account_in_the_chunk_of_another(self):
         table = canonical_bytes({"tower-x": account("tower-x")})
         following = self._with_part(table, name="accounts/0777")
-        self.assert_refused(change(following, self.base), "misplaced")
+        self.assert_refused(verify_demo_change(following, self.base), "misplaced")
 
     def test_key_of_another_account(self):
         """Symptom: one account's answers reach another. Sequence: a team puts a
@@ -217,7 +226,7 @@
         signed = sign_bundle(
             bundle(2, account_by_name=thief), author=CARLA, approver=ANA, base=base
         )
-        self.assert_refused(change(signed, base), "duplicate_key")
+        self.assert_refused(verify_demo_change(signed, base), "duplicate_key")
 
     def test_trust_other_than_the_signed_one(self):
         statement = statement_of(self.signed())
@@ -226,11 +235,11 @@
         )
         drafted = SignedBundle(canonical_bytes(wrong), (), self.signed().parts)
         signed = with_approver(with_author(drafted, ANA), BRUNO)
-        self.assert_refused(change(signed, self.base), "other_trust")
+        self.assert_refused(verify_demo_change(signed, self.base), "other_trust")
 
     def test_trust_cannot_be_emptied(self):
         signed = self.signed(following=bundle(2, trust={}))
-        self.assert_refused(change(signed, self.base), "other_trust")
+        self.assert_refused(verify_demo_change(signed, self.base), "other_trust")
 
     def _with_part(self, body, name="models"):
         """Sign a change whose one part is ``body``, as a hostile pair could."""
--- a/tests/daemon/test_bundle_duty.py
+++ b/tests/daemon/test_bundle_duty.py
@@ -21,7 +21,7 @@
     DEPLOYMENT,
     ROOTS,
     bundle,
-    change,
+    verify_demo_change,
     verify_demo_snapshot,
 )
 
@@ -147,7 +147,9 @@
         signed = sign_bundle(following, author=ANA, approver=BRUNO, base=self.state)
         await self.store.accept(following, signed, base=self.state)
         base = self.state
-        self.state = change(signed, base) if base else verify_demo_snapshot(signed)
+        self.state = (
+            verify_demo_change(signed, base) if base else verify_demo_snapshot(signed)
+        )
 
     async def start(self, count=3):
         for _ in range(count):
