--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -23,6 +23,13 @@
 from ._holder import BundleHolder
 from ._keys import KeyProblem, create_key, load_key
 from ._loader import BundleLoader, Loaded
+from ._node_status import (
+    Condition,
+    NodeObservation,
+    NodeStatus,
+    NodeStatusTracker,
+    is_in_force_everywhere,
+)
 from ._parts import ChunkedAccounts, canonical_bytes, digest_of
 from ._plan import Plan, make_plan
 from ._signing import (
@@ -52,13 +59,6 @@
 )
 from ._toml import parse_bundle, to_toml
 from ._verify import read_state, verify_bundle, verify_change, verify_snapshot
-from ._watch import (
-    Condition,
-    NodeObservation,
-    NodeStatus,
-    NodeStatusTracker,
-    is_in_force_everywhere,
-)
 
 __all__ = [
     "AcceptStep",
