--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -13,7 +13,7 @@
 from ._checks import cross_errors, weight_errors
 from ._diff import Difference, diff
 from ._exchange import BundleCache, decode_changes, fetch_all_pages
-from ._follow import (
+from ._follower import (
     AnnounceNumber,
     BundleFollower,
     FetchFromPeer,
