--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -1,4 +1,4 @@
-"""Signed bundles: the one way in which operators change anything."""
+"""Signed bundles: the only way in which operators change a deployment."""
 
 from ._bundle import (
     Account,
--- a/fireflyward/bundles/_bundle.py
+++ b/fireflyward/bundles/_bundle.py
@@ -1,4 +1,4 @@
-"""The bundle itself: what operators write."""
+"""The bundle and its structs: the configuration that operators write."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 import msgspec
 
-_FULL_SHARE = 100
+_DEFAULT_MAX_IN_FLIGHT = 100
 ALL = "*"
 Sha256 = Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{64}$")]
 PublicKey = Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{64}$")]
@@ -27,10 +27,11 @@
 
 
 class Caller(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A caller of a client account, known by the SHA-256 of its key.
+    """A caller of a client account, identified by the SHA-256 of its key.
 
-    ``models`` narrows the account's models for this caller; empty leaves all.
-    ``versions`` gives this caller a weight version of its own by model.
+    ``models`` limits the caller to some of the account's models; if it is empty,
+    the caller may use all of them. ``versions`` maps a model to the weight version
+    that serves this caller, in place of the account's version.
     """
 
     key_sha256: Sha256
@@ -42,33 +43,35 @@
 class Account(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A client account: its models, callers, share and limits.
 
-    ``adapters`` names what it may use as ``model:adapter``; without it every
-    adapter of its models. ``versions`` overrides the model's version.
+    ``adapters`` lists the adapters that the account may use, each written as
+    ``model:adapter``; None allows every adapter of its models. ``versions``
+    overrides the models' weight versions.
     """
 
     models: tuple[str, ...]
     callers: dict[str, Caller]
     weight: Weight = 1
     priority: Priority = 5
-    max_in_flight: InFlight = _FULL_SHARE
+    max_in_flight: InFlight = _DEFAULT_MAX_IN_FLIGHT
     share_prefixes: bool = True
     adapters: tuple[str, ...] | None = None
     versions: dict[str, str] = {}
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A plain service and those of its routes whose calls may not be repeated.
+    """A plain service, with the routes whose calls are non-idempotent.
 
-    A route is ``METHOD /path``; a trailing ``*`` matches any ending.
+    A route is written as ``METHOD /path``; a trailing ``*`` matches any ending.
     """
 
     non_idempotent: tuple[Route, ...] = ()
 
 
 class Upstream(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A replica of a model engine, a plain service, or a store of kept work.
+    """A replica of a model engine, a plain service, or a store of kept KV blocks.
 
-    ``versions`` gives this replica a weight version of its own by model.
+    ``versions`` maps a model to the weight version that this replica serves, in
+    place of the model's version.
     """
 
     kind: Kind
@@ -81,11 +84,12 @@
 
 
 class Person(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Someone who signs: public keys, and what each signature may change.
+    """A person who signs bundles, with public keys and the scopes of their roles.
 
-    Two keys stand side by side while one replaces the other. A key in
-    ``revoked`` is refused by that name. A scope is ``*``, ``trust``, or
-    ``account:…``, ``model:…``, ``service:…``, ``upstream:…`` with ``*`` wildcards.
+    During a key rotation ``keys`` holds both the old and the new key. A signature
+    made with a key in ``revoked`` is refused as revoked, not as unknown. A scope is
+    ``*``, ``trust``, or ``account:…``, ``model:…``, ``service:…``, ``upstream:…``
+    with ``*`` wildcards.
     """
 
     keys: tuple[PublicKey, ...] = ()
@@ -95,11 +99,11 @@
 
 
 class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One numbered statement of everything that operators decide.
+    """The complete configuration of a deployment, under one number.
 
-    ``number`` is what the author expects to become; acceptance refuses any other
-    than the number in force plus one. Without ``trust`` the roots of the settings
-    go on signing.
+    ``number`` is the number under which the author expects the bundle to be
+    accepted; acceptance refuses any other than the number in force plus one.
+    Without ``trust``, the trust roots of the settings sign the bundles.
     """
 
     deployment: str
@@ -117,7 +121,7 @@
         return pinned or account.versions.get(model) or self.models[model].version
 
     def version_on(self, upstream_name: str, model: str) -> str:
-        """Return the weight version that an upstream is to hold of a model."""
+        """Return the weight version of a model that an upstream must serve."""
         pinned = self.upstreams[upstream_name].versions.get(model)
         return pinned or self.models[model].version
 
@@ -138,9 +142,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleError:
-    """Why a bundle is refused: where, what was given and what is allowed.
+    """Why a bundle is refused: the field, its value and the allowed values.
 
-    ``code`` is a fixed word for programs, such as ``revoked_key``.
+    ``code`` is a stable identifier for programs, such as ``revoked_key``.
     """
 
     field: str
--- a/fireflyward/bundles/_checks.py
+++ b/fireflyward/bundles/_checks.py
@@ -1,4 +1,4 @@
-"""Checks between the parts of a bundle, and against the weight store."""
+"""Checks of the references within a bundle, and against the weight store."""
 
 import re
 from collections.abc import Iterator, Mapping
@@ -10,10 +10,10 @@
 
 
 def cross_errors(bundle: Bundle) -> Iterator[BundleError]:
-    """Yield every reference that leads nowhere and every contradiction."""
+    """Yield an error for every dangling reference and every contradiction."""
     yield from _account_errors(bundle)
     yield from _upstream_errors(bundle)
-    yield from _route_errors(bundle)
+    yield from _unserved_errors(bundle)
     yield from _key_errors(bundle)
     yield from _trust_errors(bundle.trust)
 
@@ -21,11 +21,11 @@
 def weight_errors(
     bundle: Bundle, versions_by_model: Mapping[str, tuple[str, ...]]
 ) -> Iterator[BundleError]:
-    """Yield every weight version that the weight store does not hold."""
+    """Yield an error for every weight version that the weight store lacks."""
     for field, model, version in _versions(bundle):
-        held = versions_by_model.get(model, ())
-        if version not in held:
-            allowed = ", ".join(held) or "none is held"
+        available = versions_by_model.get(model, ())
+        if version not in available:
+            allowed = ", ".join(available) or "none"
             yield BundleError(
                 field, "is not in the weight store", 0, repr(version), allowed
             )
@@ -49,15 +49,17 @@
             yield BundleError(f"{field}.callers", "has no caller")
         if not account.models and not _has_service(account):
             yield BundleError(f"{field}.models", "has no model and no service")
-        yield from _unknown(f"{field}.models", account.models, bundle.models, "model")
+        yield from _unknown_names(
+            f"{field}.models", account.models, bundle.models, "model"
+        )
         yield from _adapter_errors(bundle, field, account)
         yield from _pin_errors(bundle, field, account.models, account.versions)
         for caller_name, caller in account.callers.items():
             inner = f"{field}.callers.{caller_name}"
-            yield from _unknown(
+            yield from _unknown_names(
                 f"{inner}.services", caller.services, bundle.services, "service"
             )
-            yield from _unknown(
+            yield from _unknown_names(
                 f"{inner}.models", caller.models, account.models, "model of the account"
             )
             models = caller.models or account.models
@@ -71,14 +73,14 @@
 def _adapter_errors(
     bundle: Bundle, field: str, account: Account
 ) -> Iterator[BundleError]:
-    known = [
+    available = [
         f"{model}:{adapter}"
         for model in account.models
         if model in bundle.models
         for adapter in bundle.models[model].adapters
     ]
     adapters = account.adapters or ()
-    yield from _unknown(f"{field}.adapters", adapters, known, "adapter")
+    yield from _unknown_names(f"{field}.adapters", adapters, available, "adapter")
 
 
 def _pin_errors(
@@ -87,20 +89,20 @@
     models: tuple[str, ...],
     version_by_model: Mapping[str, str],
 ) -> Iterator[BundleError]:
-    yield from _unknown(f"{field}.versions", version_by_model, models, "model")
+    yield from _unknown_names(f"{field}.versions", version_by_model, models, "model")
     for model, version in version_by_model.items():
-        held = {
+        served = {
             bundle.version_on(name, model)
             for name, upstream in bundle.upstreams.items()
             if model in upstream.models and model in bundle.models
         }
-        if version not in held:
+        if version not in served:
             yield BundleError(
                 f"{field}.versions.{model}",
-                "is the version of no upstream",
+                "is served by no upstream",
                 0,
                 repr(version),
-                ", ".join(sorted(held)) or "none",
+                ", ".join(sorted(served)) or "none",
             )
 
 
@@ -108,26 +110,30 @@
     name_by_url: dict[str, str] = {}
     for name, upstream in bundle.upstreams.items():
         field = f"upstreams.{name}"
-        yield from _unknown(f"{field}.models", upstream.models, bundle.models, "model")
-        yield from _unknown(
+        yield from _unknown_names(
+            f"{field}.models", upstream.models, bundle.models, "model"
+        )
+        yield from _unknown_names(
             f"{field}.versions", upstream.versions, upstream.models, "model"
         )
         if upstream.kind == "engine" and not upstream.models:
             yield BundleError(f"{field}.models", "an engine needs a model")
         if upstream.kind == "service":
             services = (upstream.service,)
-            yield from _unknown(
+            yield from _unknown_names(
                 f"{field}.service", services, bundle.services, "service"
             )
         elif upstream.service:
-            yield BundleError(f"{field}.service", "only a service upstream has one")
+            yield BundleError(
+                f"{field}.service", "is allowed only for a service upstream"
+            )
         other = name_by_url.setdefault(upstream.url, name)
         if other != name:
-            yield BundleError(f"{field}.url", f"is that of {other!r} too")
+            yield BundleError(f"{field}.url", f"is also the URL of {other!r}")
 
 
-def _route_errors(bundle: Bundle) -> Iterator[BundleError]:
-    """Refuse models and services that callers may name but nothing serves."""
+def _unserved_errors(bundle: Bundle) -> Iterator[BundleError]:
+    """Yield an error for every model and service that no upstream serves."""
     upstreams = bundle.upstreams.values()
     served_models = {model for upstream in upstreams for model in upstream.models}
     served_services = {upstream.service for upstream in upstreams}
@@ -140,14 +146,17 @@
 
 
 def _key_errors(bundle: Bundle) -> Iterator[BundleError]:
-    """Refuse one key for two callers: it would open both accounts to either."""
+    """Yield an error for every key that two callers share.
+
+    With a shared key, each of the two callers could use the other's account.
+    """
     owner_by_key: dict[str, str] = {}
     for name, account in bundle.accounts.items():
         for caller_name, caller in account.callers.items():
             owner = f"accounts.{name}.callers.{caller_name}"
             other = owner_by_key.setdefault(caller.key_sha256, owner)
             if other != owner:
-                yield BundleError(f"{owner}.key_sha256", f"is the key of {other} too")
+                yield BundleError(f"{owner}.key_sha256", f"is also the key of {other}")
 
 
 def _trust_errors(trust: Mapping[str, Person]) -> Iterator[BundleError]:
@@ -161,32 +170,38 @@
                 )
         for key in person.keys:
             if key in person.revoked:
-                yield BundleError(f"{field}.keys", "is revoked too", 0, repr(key))
+                yield BundleError(
+                    f"{field}.keys", "is also listed as revoked", 0, repr(key)
+                )
             other = owner_by_key.setdefault(key, name)
             if other != name:
-                yield BundleError(f"{field}.keys", f"is the key of {other!r} too")
+                yield BundleError(f"{field}.keys", f"is also the key of {other!r}")
     if trust and not _can_change_trust(trust):
-        detail = "nobody would be left to author and another to approve trust"
+        detail = "nobody could author a change of trust that another person may approve"
         yield BundleError("trust", detail)
 
 
 def _can_change_trust(trust: Mapping[str, Person]) -> bool:
-    def able(scopes: tuple[str, ...]) -> bool:
+    def may_change_trust(scopes: tuple[str, ...]) -> bool:
         return ALL in scopes or "trust" in scopes
 
     authors = {
-        n for n, person in trust.items() if person.keys and able(person.may_author)
+        name
+        for name, person in trust.items()
+        if person.keys and may_change_trust(person.may_author)
     }
     approvers = {
-        n for n, person in trust.items() if person.keys and able(person.may_approve)
+        name
+        for name, person in trust.items()
+        if person.keys and may_change_trust(person.may_approve)
     }
     return bool(authors) and bool(approvers) and len(authors | approvers) > 1
 
 
-def _unknown(
-    field: str, names: Mapping[str, str] | tuple[str, ...], known: object, noun: str
+def _unknown_names(
+    field: str, names: Mapping[str, str] | tuple[str, ...], available: object, noun: str
 ) -> Iterator[BundleError]:
     for name in names:
-        if name not in known:
-            allowed = ", ".join(sorted(known)[:20]) or "none"
-            yield BundleError(field, f"is no known {noun}", 0, repr(name), allowed)
+        if name not in available:
+            allowed = ", ".join(sorted(available)[:20]) or "none"
+            yield BundleError(field, f"is not a known {noun}", 0, repr(name), allowed)
--- a/fireflyward/bundles/_diff.py
+++ b/fireflyward/bundles/_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two bundles, by meaning and not by line."""
+"""Differences between two bundles, by meaning and not by line."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -14,8 +14,8 @@
 class Difference(msgspec.Struct, frozen=True):
     """One thing that was added, removed or changed.
 
-    ``entity`` is such as ``account:tower-team``, ``field`` the path inside it;
-    the field is empty when the whole entity came or went.
+    ``entity`` names what differs, such as ``account:tower-team``. ``field`` is the
+    path inside the entity; it is empty if the entity was added or removed.
     """
 
     entity: str
@@ -38,7 +38,8 @@
 def diff(old: Bundle | None, new: Bundle) -> tuple[Difference, ...]:
     """Return every difference, ordered by entity.
 
-    Lists of names have no order in a bundle: only what came and went differs.
+    The order of names in a list has no meaning in a bundle, so only names that
+    were added or removed count as a difference.
 
     >>> from fireflyward.bundles import Bundle, Model
     >>> one = Bundle("d", 1, {"m": Model("v1")}, {}, {})
@@ -79,20 +80,20 @@
             inner = f"{path}.{name}" if path else name
             yield from _field_diff(entity, inner, old.get(name), new.get(name))
     elif _comparable(old) != _comparable(new):
-        yield Difference(entity, path, _shown(old, new), _shown(new, old))
+        yield Difference(entity, path, _format_value(old, new), _format_value(new, old))
 
 
 def _comparable(value: Any) -> Any:
     return sorted(value) if isinstance(value, list | tuple) else value
 
 
-def _shown(value: Any, other: Any) -> str:
-    """Show a value; of a list only what the other does not have."""
+def _format_value(value: Any, other: Any) -> str:
+    """Format a value; of a list only the items that the other list lacks."""
     if value is None:
         return "none"
     if not isinstance(value, list | tuple):
         return msgspec.json.encode(value).decode().strip('"')
-    apart = [item for item in value if item not in (other or ())]
-    if len(apart) == len(value):
+    own_items = [item for item in value if item not in (other or ())]
+    if len(own_items) == len(value):
         return "[" + ", ".join(map(str, value)) + "]"
-    return "[… " + ", ".join(map(str, apart)) + "]" if apart else "[…]"
+    return "[… " + ", ".join(map(str, own_items)) + "]" if own_items else "[…]"
--- a/fireflyward/bundles/_exchange.py
+++ b/fireflyward/bundles/_exchange.py
@@ -1,4 +1,4 @@
-"""What a node gives its peers of the bundle that it serves by."""
+"""The exchange of bundles between nodes: cached replies, and fetching in pages."""
 
 import asyncio
 from collections import deque
@@ -17,48 +17,55 @@
 from ._state import BundleState
 from ._store import Whole, decode_signed, encode_signed
 
-_CHANGES_KEPT = 64
+_MAX_CACHED_CHANGES = 64
 _PARTS_PER_PAGE = 64
-_MOST_PAGES = 200
-_MOST_REPLY_BYTES = 1 << 20
+_MAX_PAGES = 200
+_MAX_REPLY_BYTES = 1 << 20
 NEWS_KIND = "bundle.news"
 CHANGES_KIND = "bundle.changes"
 WHOLE_KIND = "bundle.whole"
 STATE_KIND = "bundle.state"
 
 
-AskPage = Callable[[Any], Awaitable[Any]]
+FetchPage = Callable[[Any], Awaitable[Any]]
 
 
 class BundleCache:
-    """The state in force at this node and the last changes, ready to hand out."""
+    """Holds the state in force at this node and the last changes, for its peers."""
 
     __slots__ = ("_changes", "state")
 
     def __init__(self) -> None:
         self.state: BundleState | None = None
-        self._changes: deque[tuple[int, bytes]] = deque(maxlen=_CHANGES_KEPT)
+        self._changes: deque[tuple[int, bytes]] = deque(maxlen=_MAX_CACHED_CHANGES)
 
     def put(self, state: BundleState, changes: tuple[SignedBundle, ...] = ()) -> None:
-        """Take a newer state and the changes that led to it, oldest first."""
+        """Store a newer state and the changes that led to it, oldest first."""
         first = state.number - len(changes) + 1
         for number, change in enumerate(changes, first):
             self._changes.append((number, encode_signed(change)))
         self.state = state
 
     def changes_after(self, number: int) -> Any:
-        """Return the changes after ``number``; none if they are not all kept."""
+        """Return the changes after ``number``, as many as fit into one reply.
+
+        There are none in the reply if the first of them is no longer cached.
+        """
         current = self.state.number if self.state else 0
         bodies: list[bytes] = []
         size = 0
-        for kept_number, body in self._changes:
-            size += len(body) if kept_number > number else 0
-            if kept_number == number + 1 + len(bodies) and size <= _MOST_REPLY_BYTES:
+        for cached_number, body in self._changes:
+            size += len(body) if cached_number > number else 0
+            if cached_number == number + 1 + len(bodies) and size <= _MAX_REPLY_BYTES:
                 bodies.append(body)
         return ChangesReply(number=current, changes=bodies)
 
     def page(self, digest: str, after_part: str) -> Any | None:
-        """Return one page of all parts; the first if ``digest`` is another's."""
+        """Return the page of parts that follows ``after_part``.
+
+        If ``digest`` names another bundle than the one in force here, that is the
+        first page. Returns None before the first bundle.
+        """
         if self.state is None:
             return None
         if digest != self.state.digest:
@@ -81,24 +88,27 @@
 
 
 def decode_changes(reply: Any) -> tuple[SignedBundle, ...] | BundleError:
-    """Read the changes of a peer's reply."""
+    """Decode the changes in a peer's reply."""
     try:
         return tuple(decode_signed(body) for body in reply.changes)
     except msgspec.DecodeError as error:
         return BundleError("changes", str(error), code="unreadable")
 
 
-async def fetch_all_pages(ask: AskPage) -> Whole | BundleError:
-    """Ask a peer for page after page until all parts are here.
+async def fetch_all_pages(fetch_page: FetchPage) -> Whole | BundleError:
+    """Fetch page after page from a peer until all parts have arrived.
 
-    A peer that takes a newer bundle in between starts over with that one.
+    If a newer bundle comes into force at the peer in between, its pages replace
+    those that were fetched before.
     """
     digest, after_part = "", ""
     parts: dict[str, bytes] = {}
-    for _ in range(_MOST_PAGES):
-        reply = await ask(WholeRequest(digest=digest, after_part=after_part))
+    for _ in range(_MAX_PAGES):
+        reply = await fetch_page(WholeRequest(digest=digest, after_part=after_part))
         if not isinstance(reply, WholeReply):
-            return BundleError("whole", f"no page: {reply}", code="unreadable")
+            return BundleError(
+                "whole", f"the peer sent no page: {reply}", code="unreadable"
+            )
         try:
             page = decode_signed(reply.page)
             links = tuple(decode_signed(body) for body in reply.links)
--- a/fireflyward/bundles/_follower.py
+++ b/fireflyward/bundles/_follower.py
@@ -1,8 +1,9 @@
-"""How a node learns that there is a newer bundle, and whom it asks for it.
+"""When a node looks for a newer bundle, and where it fetches it from.
 
-Each node polls the head in the table service, and tells a few others at once
-when it has taken a new number; those ask the teller for the change. So one poll
-anywhere is enough, and polling alone is enough where no peer can be reached.
+Each node polls the head in the table service. A node at which a new number has
+come into force announces it to a few others at once, and those fetch the change
+from it. So one poll by any node is enough for all of them, and polling alone is
+enough where no peer can be reached.
 """
 
 import random
@@ -10,14 +11,14 @@
 from dataclasses import dataclass
 
 HEAD_READS_PER_SECOND = 60
-MOST_POLL_MS = 4_000
-LEAST_READ_GAP_MS = 200
-FANOUT = 5
-FETCH_LIMIT_MS = 2_500
-REMIND_MS = 2_000
+MAX_POLL_MS = 4_000
+MIN_READ_GAP_MS = 200
+ANNOUNCE_FANOUT = 5
+FETCH_TIMEOUT_MS = 2_500
+ANNOUNCE_PERIOD_MS = 2_000
 _JITTER = 0.1
 _FIRST_RETRY_MS = 250
-_MOST_RETRY_MS = 2_000
+_MAX_RETRY_MS = 2_000
 _MS_PER_SECOND = 1_000
 
 
@@ -28,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchFromStore:
-    """Fetch what leads to the head from the object store."""
+    """Fetch the changes that lead to the head from the object store."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchFromPeer:
-    """Ask a peer for what leads to the number that it told of."""
+    """Fetch the changes that lead to a peer's number from that peer."""
 
     peer: str
     number: int
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceNumber:
-    """Send our number to a peer."""
+    """Send the number in force at this node to a peer."""
 
     peer: str
     number: int
@@ -51,24 +52,25 @@
 
 
 class BundleFollower:
-    """Decides without I/O: readings and news go in, actions come out.
+    """Decides, without I/O, what a node reads, fetches and announces.
 
-    Nothing that it is told lowers ``number``: a lagging table replica, a lagging
-    peer or a peer that lies can make it ask in vain, never step back. What it
-    fetches is verified before ``on_applied`` is called.
+    Heads that were read and numbers that peers announced go in, actions come out.
+    None of them lowers ``number``: a lagging table replica, a lagging peer or a
+    peer that lies can cause a useless fetch, but never a return to an older number.
+    The caller verifies what was fetched before it calls ``on_applied``.
     """
 
     __slots__ = (
-        "_due_ms",
-        "_fetch_ends_ms",
-        "_fetching",
+        "_next_poll_ms",
+        "_fetch_deadline_ms",
+        "_current_fetch",
         "_last_read_ms",
         "_number_by_peer",
         "_poll_ms",
         "_random",
         "_refused_digest",
         "_refused_number",
-        "_remind_ms",
+        "_next_announce_ms",
         "_retry_at_ms",
         "_retry_ms",
         "confirmed_at_ms",
@@ -85,11 +87,11 @@
         self._number_by_peer: dict[str, int] = {}
         self._refused_number = 0
         self._refused_digest = ""
-        self._due_ms = 0
-        self._remind_ms = 0
+        self._next_poll_ms = 0
+        self._next_announce_ms = 0
         self._last_read_ms: int | None = None
-        self._fetching: FetchFromStore | FetchFromPeer | None = None
-        self._fetch_ends_ms = 0
+        self._current_fetch: FetchFromStore | FetchFromPeer | None = None
+        self._fetch_deadline_ms = 0
         self._retry_at_ms = 0
         self._retry_ms = _FIRST_RETRY_MS
 
@@ -98,7 +100,10 @@
 
     @property
     def target_number(self) -> int:
-        """Return the highest number that anyone has told of."""
+        """Return the highest number in the head or announced by a peer.
+
+        A head that did not verify is left out.
+        """
         numbers = (self.number, *self._number_by_peer.values())
         if self.head_number > self._refused_number:
             numbers = (self.head_number, *numbers)
@@ -108,110 +113,114 @@
         """Return the time between two polls of one node among ``nodes``.
 
         All nodes together read the head at most ``HEAD_READS_PER_SECOND`` times a
-        second until that would make each wait longer than ``MOST_POLL_MS``.
+        second, unless each node would have to wait longer than ``MAX_POLL_MS``.
         """
         shared = nodes * _MS_PER_SECOND / HEAD_READS_PER_SECOND
-        return max(self._poll_ms, min(shared, MOST_POLL_MS))
+        return max(self._poll_ms, min(shared, MAX_POLL_MS))
 
     def on_tick(self, now_ms: int, peers: Sequence[str]) -> list[Action]:
-        """Do what has fallen due; called several times a second."""
+        """Return the actions that are due; called several times a second."""
         actions: list[Action] = []
-        if now_ms >= self._due_ms:
+        if now_ms >= self._next_poll_ms:
             period_ms = self.poll_period_ms(len(peers) + 1)
             factor = 1 + self._random.uniform(-_JITTER, _JITTER)
-            self._due_ms = now_ms + int(period_ms * factor)
-            actions += self._read(now_ms)
-        if self._fetching and now_ms >= self._fetch_ends_ms:
+            self._next_poll_ms = now_ms + int(period_ms * factor)
+            actions += self._read_head(now_ms)
+        if self._current_fetch and now_ms >= self._fetch_deadline_ms:
             actions += self.on_fetch_failed(now_ms)
-        if now_ms >= self._remind_ms and peers:
-            self._remind_ms = now_ms + REMIND_MS
+        if now_ms >= self._next_announce_ms and peers:
+            self._next_announce_ms = now_ms + ANNOUNCE_PERIOD_MS
             if self.number:
                 actions.append(AnnounceNumber(self._random.choice(peers), self.number))
-        return actions + self._fetch(now_ms)
+        return actions + self._start_fetch(now_ms)
 
     def on_head(self, now_ms: int, number: int, digest: str = "") -> list[Action]:
-        """Take note of the head; a lagging replica's older one changes nothing."""
+        """Record the head that was read; an older one does not lower any number."""
         if number >= self.number:
             self.confirmed_at_ms = now_ms
         if digest != self._refused_digest:
             self._refused_number = 0
         self.head_number = max(self.head_number, number)
-        return self._fetch(now_ms)
+        return self._start_fetch(now_ms)
 
     def on_head_refused(self, number: int, digest: str) -> None:
-        """What the head names does not verify: do not ask for it again.
+        """Record that the bundle of this head does not verify.
 
-        Symptom without this: every node fetches and refuses the same bytes every
-        two seconds. A head with another digest is tried.
+        It is not fetched again; without this, every node would fetch and refuse the
+        same bytes every two seconds. A head with another digest is fetched.
         """
         self._refused_number = number
         self._refused_digest = digest
 
     def on_peer_number(self, now_ms: int, peer: str, number: int) -> list[Action]:
-        """Take note of what a peer serves by; tell it if it is behind."""
+        """Record a peer's number; announce ours if the peer is behind."""
         if number < self.number:
             return [AnnounceNumber(peer, self.number)]
         self._number_by_peer[peer] = number
-        return self._fetch(now_ms)
+        return self._start_fetch(now_ms)
 
     def on_caller_number(self, now_ms: int, number: int) -> list[Action]:
-        """A caller has seen ``number`` elsewhere: look for it at once.
+        """Look at once for ``number``, which a caller has seen at another node.
 
-        However many callers ask, the table is read at most once in
-        ``LEAST_READ_GAP_MS``.
+        However many callers send such a number, the table is read at most once in
+        ``MIN_READ_GAP_MS``.
         """
         if number <= self.number:
             return []
-        return self._fetch(now_ms) or self._read(now_ms)
+        return self._start_fetch(now_ms) or self._read_head(now_ms)
 
     def on_applied(
         self, now_ms: int, number: int, peers: Sequence[str]
     ) -> list[Action]:
-        """A verified number is in force here: tell some who may not know."""
+        """Record that a verified number is in force here; announce it to some peers."""
         if number <= self.number:
             return []
         self.number = number
-        self._fetching = None
+        self._current_fetch = None
         self._retry_ms = _FIRST_RETRY_MS
         self._number_by_peer = {
-            peer: known for peer, known in self._number_by_peer.items() if peer in peers
+            peer: peer_number
+            for peer, peer_number in self._number_by_peer.items()
+            if peer in peers
         }
-        unaware = [peer for peer in peers if self._number_by_peer.get(peer, 0) < number]
-        chosen = self._random.sample(unaware, min(FANOUT, len(unaware)))
-        return [AnnounceNumber(peer, number) for peer in chosen] + self._fetch(now_ms)
+        behind = [peer for peer in peers if self._number_by_peer.get(peer, 0) < number]
+        chosen = self._random.sample(behind, min(ANNOUNCE_FANOUT, len(behind)))
+        return [AnnounceNumber(peer, number) for peer in chosen] + self._start_fetch(
+            now_ms
+        )
 
     def on_fetch_failed(self, now_ms: int) -> list[Action]:
-        """A fetch failed, was refused or took too long: try elsewhere, later."""
-        failed, self._fetching = self._fetching, None
+        """Handle a failed, refused or late fetch: try a peer, or the store later."""
+        failed, self._current_fetch = self._current_fetch, None
         if isinstance(failed, FetchFromPeer):
             self._number_by_peer.pop(failed.peer, None)
-            return self._fetch(now_ms)
+            return self._start_fetch(now_ms)
         self._retry_at_ms = now_ms + self._retry_ms
-        self._retry_ms = min(_MOST_RETRY_MS, self._retry_ms * 2)
+        self._retry_ms = min(_MAX_RETRY_MS, self._retry_ms * 2)
         return []
 
-    def _read(self, now_ms: int) -> list[Action]:
+    def _read_head(self, now_ms: int) -> list[Action]:
         last = self._last_read_ms
-        if last is not None and now_ms - last < LEAST_READ_GAP_MS:
+        if last is not None and now_ms - last < MIN_READ_GAP_MS:
             return []
         self._last_read_ms = now_ms
         return [ReadHead()]
 
-    def _fetch(self, now_ms: int) -> list[Action]:
-        if self._fetching or self.target_number <= self.number:
+    def _start_fetch(self, now_ms: int) -> list[Action]:
+        if self._current_fetch or self.target_number <= self.number:
             return []
-        action = self._source()
+        action = self._choose_source()
         if isinstance(action, FetchFromStore) and now_ms < self._retry_at_ms:
             return []
-        self._fetching = action
-        self._fetch_ends_ms = now_ms + FETCH_LIMIT_MS
+        self._current_fetch = action
+        self._fetch_deadline_ms = now_ms + FETCH_TIMEOUT_MS
         return [action]
 
-    def _source(self) -> FetchFromStore | FetchFromPeer:
-        """Choose a peer that has what is wanted, or the store if none has.
+    def _choose_source(self) -> FetchFromStore | FetchFromPeer:
+        """Choose a peer that has the target number, or the store if none has it.
 
-        The object store is asked by the few nodes that learn of a number from
-        the table first; everyone else takes the change from whoever told of it.
+        Only the few nodes that first read a new number from the table fetch it from
+        the object store; the others fetch it from the peer that announced it.
         """
         holders = [
             peer
--- a/fireflyward/bundles/_holder.py
+++ b/fireflyward/bundles/_holder.py
@@ -1,4 +1,4 @@
-"""The bundle that a node serves by; it never steps back."""
+"""The bundle in force at a node; its number never decreases."""
 
 import hashlib
 from collections.abc import Callable
@@ -8,17 +8,17 @@
 from ._bundle import Account, Bundle
 from ._parts import ChunkedAccounts
 
-_KeyFinder = Callable[[str], tuple[str, str] | None]
+_CallerFinder = Callable[[str], tuple[str, str] | None]
 
 
 class BundleHolder:
-    """Holds the bundle in force at this node and answers lookups in it."""
+    """Holds the bundle in force at this node and finds callers by their keys."""
 
-    __slots__ = ("_bundle", "_find_key")
+    __slots__ = ("_bundle", "_find_caller")
 
     def __init__(self) -> None:
         self._bundle: Bundle | None = None
-        self._find_key: _KeyFinder = {}.get
+        self._find_caller: _CallerFinder = {}.get
 
     def __repr__(self) -> str:
         return f"BundleHolder(number={self.number})"
@@ -33,11 +33,11 @@
         return self._bundle.number if self._bundle else 0
 
     def update(self, bundle: Bundle) -> bool:
-        """Take ``bundle`` if its number is higher; return whether it was taken.
+        """Put ``bundle`` in force if its number is higher; return whether it was.
 
-        A node that went back to an older number after a restart of a peer or a
-        lagging read would serve by rules that operators withdrew; comparing
-        numbers here, in the one place that sets the bundle, prevents that.
+        A lagging read or a peer that restarted can supply an older bundle, whose
+        rules operators have withdrawn. The numbers are compared here, in the only
+        place that sets the bundle, so that a node never returns to it.
         """
         if bundle.number <= self.number:
             return False
@@ -53,20 +53,20 @@
             self.number,
         )
         self._bundle = bundle
-        self._find_key = _finder(bundle)
+        self._find_caller = _make_caller_finder(bundle)
 
     def account_of_key(self, key: str) -> tuple[str, str, Account] | None:
         """Return account name, caller name and account of a caller's key."""
         if self._bundle is None:
             return None
-        found = self._find_key(hashlib.sha256(key.encode()).hexdigest())
+        found = self._find_caller(hashlib.sha256(key.encode()).hexdigest())
         if found is None:
             return None
         account_name, caller_name = found
         return account_name, caller_name, self._bundle.accounts[account_name]
 
 
-def _finder(bundle: Bundle) -> _KeyFinder:
+def _make_caller_finder(bundle: Bundle) -> _CallerFinder:
     if isinstance(bundle.accounts, ChunkedAccounts):
         return bundle.accounts.find_key
     return {
--- a/fireflyward/bundles/_keys.py
+++ b/fireflyward/bundles/_keys.py
@@ -1,4 +1,4 @@
-"""Private keys as files that only their owner can read."""
+"""Private keys in files that only their owner can read."""
 
 import os
 import stat
@@ -16,15 +16,15 @@
 
 from ._signing import SigningKey
 
-_MODE = 0o600
-_OTHERS = 0o077
+_FILE_MODE = 0o600
+_GROUP_AND_OTHERS = 0o077
 _FIRST_LINE = "# fireflyward key of "
-_MOST_BYTES = 16_384
+_MAX_FILE_BYTES = 16_384
 
 
 @dataclass(frozen=True, slots=True)
 class KeyProblem:
-    """Why a key file was not written or is not used."""
+    """Why a key file was not written or cannot be used."""
 
     path: str
     detail: str
@@ -36,14 +36,14 @@
 def create_key(
     path: Path, person: str, passphrase: str = ""
 ) -> SigningKey | KeyProblem:
-    """Make a new key and write it to a file that must not exist yet."""
+    """Generate a key and write it to a file that must not exist yet."""
     private = Ed25519PrivateKey.generate()
     encryption = (
         BestAvailableEncryption(passphrase.encode()) if passphrase else NoEncryption()
     )
     pem = private.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, encryption)
     try:
-        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, _MODE)
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, _FILE_MODE)
     except OSError as error:
         return KeyProblem(str(path), error.strerror)
     with os.fdopen(descriptor, "wb") as file:
@@ -52,15 +52,15 @@
 
 
 def load_key(path: Path, passphrase: str = "") -> SigningKey | KeyProblem:
-    """Read a key, unless anyone but its owner could have read or written it.
+    """Read a key, unless other users have access to its file.
 
-    A key that others on the machine can read is as good as stolen; refusing it
-    makes the owner notice before it signs anything.
+    A key that other users of the machine can read must count as stolen; the owner
+    learns of this before signing anything with it.
     """
     try:
         with open(path, "rb") as file:
             problem = _permission_problem(os.fstat(file.fileno()))
-            body = file.read(_MOST_BYTES)
+            body = file.read(_MAX_FILE_BYTES)
     except OSError as error:
         return KeyProblem(str(path), error.strerror)
     if problem:
@@ -74,10 +74,10 @@
     try:
         private = load_pem_private_key(pem, passphrase.encode() or None)
     except TypeError:
-        wanted = "needs a passphrase" if not passphrase else "has no passphrase"
-        return KeyProblem(str(path), wanted)
+        detail = "needs a passphrase" if not passphrase else "has no passphrase"
+        return KeyProblem(str(path), detail)
     except ValueError:
-        return KeyProblem(str(path), "is no key, or the passphrase is wrong")
+        return KeyProblem(str(path), "is not a private key, or the passphrase is wrong")
     if not isinstance(private, Ed25519PrivateKey):
         return KeyProblem(str(path), "is not an Ed25519 key")
     return SigningKey(person, private)
@@ -85,10 +85,10 @@
 
 def _permission_problem(status: os.stat_result) -> str:
     if not stat.S_ISREG(status.st_mode):
-        return "is not a plain file"
+        return "is not a regular file"
     if status.st_uid != os.getuid():
         return "belongs to another user"
-    if stat.S_IMODE(status.st_mode) & _OTHERS:
+    if stat.S_IMODE(status.st_mode) & _GROUP_AND_OTHERS:
         mode = stat.S_IMODE(status.st_mode)
-        return f"has mode {mode:04o}; allowed: 0600 (chmod 600 mends it)"
+        return f"has mode {mode:04o}; allowed: 0600 (run: chmod 600)"
     return ""
--- a/fireflyward/bundles/_loader.py
+++ b/fireflyward/bundles/_loader.py
@@ -1,4 +1,4 @@
-"""Brings a node from the number that it holds to the one in the platform."""
+"""Loads the bundle that the head in the platform names, and verifies it."""
 
 import asyncio
 from collections.abc import Mapping
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Loaded:
-    """A verified state, and the changes that led to it from the one before."""
+    """A verified state, and the changes that led to it from the state before."""
 
     state: BundleState
     changes: tuple[SignedBundle, ...] = ()
 
 
 class BundleLoader:
-    """Fetches and verifies; a node that is far behind starts from a snapshot."""
+    """Fetches and verifies bundles, from a snapshot if the node is far behind."""
 
     __slots__ = ("_deployment", "_roots", "_store")
 
@@ -36,7 +36,11 @@
     async def load(
         self, head: Head, state: BundleState | None
     ) -> Loaded | BundleError | Missing | Unavailable:
-        """Return the verified state of ``head``, from ``state`` if that is near."""
+        """Return the verified state of ``head``.
+
+        Starts from ``state`` if all changes after it can be fetched, else from a
+        snapshot.
+        """
         if state is not None:
             changes = await self._store.fetch_changes(head, state.number)
             if isinstance(changes, tuple):
@@ -47,7 +51,7 @@
         return await self.verify_snapshot_and_changes(whole)
 
     async def verify_snapshot_and_changes(self, whole: Whole) -> Loaded | BundleError:
-        """Verify a snapshot by its links and then each change after it."""
+        """Verify a snapshot by its trust links, then each change after it."""
         state = verify_snapshot(
             whole.snapshot, whole.links, roots=self._roots, deployment=self._deployment
         )
@@ -59,11 +63,11 @@
     async def verify_changes(
         self, state: BundleState, changes: tuple[SignedBundle, ...]
     ) -> Loaded | BundleError:
-        """Verify changes one after the other, letting requests in between."""
+        """Verify changes one by one; other tasks run in between."""
         for change in changes:
-            after = verify_change(change, state, deployment=self._deployment)
-            if isinstance(after, BundleError):
-                return after
-            state = after
+            next_state = verify_change(change, state, deployment=self._deployment)
+            if isinstance(next_state, BundleError):
+                return next_state
+            state = next_state
             await asyncio.sleep(0)
         return Loaded(state, changes)
--- a/fireflyward/bundles/_node_status.py
+++ b/fireflyward/bundles/_node_status.py
@@ -1,4 +1,4 @@
-"""Since when each node serves by which number, as one node sees it."""
+"""Which number each node has in force and since when, as seen by one node."""
 
 import enum
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 
 class Condition(enum.StrEnum):
-    """How a node stands to the number in force."""
+    """The condition of a node with regard to the highest known number."""
 
     IN_FORCE = "in force"
     BEHIND = "behind"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeObservation:
-    """What was just learned of a node; ``is_reached`` is false without an answer."""
+    """The state of a node as just observed; unless it answered, not ``is_reached``."""
 
     name: str
     failure_domain: str
@@ -30,7 +30,7 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """One node's line in the status; ``since_wall_ms`` is when that began."""
+    """One node's line in the status; its condition began at ``since_wall_ms``."""
 
     name: str
     failure_domain: str
@@ -41,10 +41,11 @@
 
 
 class NodeStatusTracker:
-    """Remembers when each node's condition began.
+    """Records when each node's condition began.
 
-    It is fed with what heartbeats and answers tell; a node that was never heard
-    of is not in it. The times are this node's own, for people to read.
+    The observations come from heartbeats and from answers to requests; a node that
+    was never observed is not listed. The times are those of this node's wall clock,
+    for people to read.
     """
 
     __slots__ = ("_status_by_name",)
@@ -56,13 +57,15 @@
         return f"NodeStatusTracker({len(self._status_by_name)} nodes)"
 
     def observe(
-        self, wall_ms: int, number: int, seen: Iterable[NodeObservation]
+        self, wall_ms: int, number: int, observations: Iterable[NodeObservation]
     ) -> None:
-        """Judge what was seen against ``number``, the highest known."""
-        for node in seen:
+        """Compare each node with ``number``, the highest known."""
+        for node in observations:
             before = self._status_by_name.get(node.name)
             condition = _condition(number, node)
-            is_same = before is not None and _goes_on(before, condition, node.number)
+            is_same = before is not None and _is_unchanged(
+                before, condition, node.number
+            )
             self._status_by_name[node.name] = NodeStatus(
                 node.name,
                 node.failure_domain or (before.failure_domain if before else ""),
@@ -73,7 +76,7 @@
             )
 
     def forget(self, names: Iterable[str]) -> None:
-        """Drop nodes that are gone for good."""
+        """Remove nodes that no longer belong to the deployment."""
         for name in names:
             self._status_by_name.pop(name, None)
 
@@ -83,17 +86,17 @@
 
 
 def is_in_force_everywhere(statuses: Iterable[NodeStatus]) -> bool:
-    """Tell whether every node that can be reached serves by the number.
+    """Return whether the number is in force at every node that can be reached.
 
-    A node that cannot be reached is not waited for: it may be cut off, and then
-    it serves by what it has until it hears of the newer number.
+    Nodes that cannot be reached do not count. Such a node may be cut off from the
+    others; its own number then stays in force there until it receives the newer one.
     """
-    waited_for = (Condition.BEHIND, Condition.REFUSING)
-    return all(status.condition not in waited_for for status in statuses)
+    not_yet_in_force = (Condition.BEHIND, Condition.REFUSING)
+    return all(status.condition not in not_yet_in_force for status in statuses)
 
 
-def _goes_on(before: NodeStatus, condition: Condition, number: int) -> bool:
-    """Tell whether what was seen before lasts: each number in force is new."""
+def _is_unchanged(before: NodeStatus, condition: Condition, number: int) -> bool:
+    """Return whether the condition goes on; a new number in force starts anew."""
     if before.condition is not condition:
         return False
     return condition is not Condition.IN_FORCE or before.number == number
--- a/fireflyward/bundles/_parts.py
+++ b/fireflyward/bundles/_parts.py
@@ -1,9 +1,9 @@
-"""A bundle in parts: what is hashed, sent, kept and decoded piece by piece.
+"""The parts of a bundle, which are hashed, sent, stored and decoded separately.
 
-Accounts and upstreams are spread over chunks by a checksum of their names, so
-that a change of one account changes one chunk of some twenty accounts. A
-statement names only the root, which is a hash over the names and hashes of all
-parts: whoever holds the parts of number N needs just the changed ones for N+1.
+Accounts and upstreams are distributed over chunks by a checksum of their names, so
+that a change of one account changes one chunk of some twenty accounts. A statement
+names only the root, which is a hash over the names and hashes of all parts: a node
+that has the parts of number N needs only the changed ones for N+1.
 """
 
 import hashlib
@@ -17,13 +17,13 @@
 from ._bundle import Account, Bundle, BundleError, Model, Person, Service, Upstream
 
 _ACCOUNTS_PER_CHUNK = 16
-_MOST_CHUNKS = 4_096
-_DECODED_CHUNKS = 64
+_MAX_CHUNKS = 4_096
+_MAX_DECODED_CHUNKS = 64
 _KEY_PREFIX_BYTES = 8
 ACCOUNTS = "accounts"
 UPSTREAMS = "upstreams"
 TRUST = "trust"
-WHOLE_SECTIONS = ("models", "services", TRUST)
+UNCHUNKED_SECTIONS = ("models", "services", TRUST)
 NOUN_BY_SECTION = {
     "models": "model",
     "services": "service",
@@ -41,7 +41,7 @@
 
 
 def canonical_bytes(value: Any) -> bytes:
-    """Return the one byte form of a value that is signed and digested."""
+    """Return the canonical encoding of a value, as it is signed and hashed."""
     return msgspec.json.encode(value, order="sorted")
 
 
@@ -51,20 +51,20 @@
 
 
 def chunks_for(count: int, current: int = 0) -> int:
-    """Return how many chunks to spread ``count`` names over, a power of two.
+    """Return the number of chunks for ``count`` names, a power of two.
 
-    The number in use is kept until it is wrong by more than four times, since
-    another number moves every name and makes every part a changed one.
+    The current number is kept unless it is off by more than a factor of four,
+    because another number moves the names between the chunks and changes them all.
     """
-    wanted = max(1, -(-count // _ACCOUNTS_PER_CHUNK))
-    wanted = min(_MOST_CHUNKS, 1 << (wanted - 1).bit_length())
-    if current and wanted <= current * 4 and current <= wanted * 4:
+    target_chunks = max(1, -(-count // _ACCOUNTS_PER_CHUNK))
+    target_chunks = min(_MAX_CHUNKS, 1 << (target_chunks - 1).bit_length())
+    if current and target_chunks <= current * 4 and current <= target_chunks * 4:
         return current
-    return wanted
+    return target_chunks
 
 
 def chunk_of(name: str, chunks: int) -> int:
-    """Return the chunk in which a name stands."""
+    """Return the chunk to which a name belongs."""
     return zlib.crc32(name.encode()) % chunks
 
 
@@ -80,7 +80,9 @@
 
 def split(bundle: Bundle, chunks: int, upstream_chunks: int) -> dict[str, bytes]:
     """Return the canonical bytes of every part by name; empty chunks are left out."""
-    parts = {name: canonical_bytes(getattr(bundle, name)) for name in WHOLE_SECTIONS}
+    parts = {
+        name: canonical_bytes(getattr(bundle, name)) for name in UNCHUNKED_SECTIONS
+    }
     parts.update(_split_section(ACCOUNTS, bundle.accounts, chunks))
     parts.update(_split_section(UPSTREAMS, bundle.upstreams, upstream_chunks))
     return parts
@@ -116,7 +118,7 @@
     """Decode a part, refusing bytes that are not its canonical form."""
     kind = _TYPE_BY_SECTION.get(section_of(name))
     if kind is None:
-        return BundleError(name, "is no part of a bundle", code="unknown_part")
+        return BundleError(name, "is not a part of a bundle", code="unknown_part")
     try:
         table = msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -126,14 +128,13 @@
     return table
 
 
-def misplaced(name: str, table: Iterable[str], chunks: int) -> str | None:
-    """Return a name that stands in the wrong chunk, or None.
+def find_misplaced(name: str, table: Iterable[str], chunks: int) -> str | None:
+    """Return a name that is in the wrong chunk, or None.
 
-    A name in two chunks would have two meanings; where only its own chunk may
-    hold it, that cannot be.
+    Without this check a name could be in two chunks, with two meanings.
     """
     section = section_of(name)
-    if section in WHOLE_SECTIONS:
+    if section in UNCHUNKED_SECTIONS:
         return None
     for item in table:
         if part_name(section, chunk_of(item, chunks)) != name:
@@ -142,11 +143,12 @@
 
 
 class ChunkedAccounts(Mapping[str, Account]):
-    """Client accounts kept as the bytes of their chunks, decoded when asked for.
+    """Client accounts, stored as the encoded bytes of their chunks.
 
     Nineteen thousand accounts as objects would take more memory than a node has
     to spare; their bytes and an index of eight bytes of each key's hash do not.
-    The most recently decoded chunks are kept.
+    A chunk is decoded when one of its accounts is needed; the most recently used
+    chunks stay decoded.
     """
 
     __slots__ = ("_body_by_chunk", "_chunk_by_key", "_chunks", "_decoded", "_length")
@@ -158,7 +160,7 @@
         self._chunk_by_key: dict[int, int] = {}
         self._length = 0
         for chunk in self._body_by_chunk:
-            self._index(chunk)
+            self._index_chunk(chunk)
 
     def __repr__(self) -> str:
         return f"ChunkedAccounts({self._length} accounts, {self._chunks} chunks)"
@@ -174,10 +176,10 @@
         chunk = chunk_of(name, self._chunks)
         if chunk not in self._body_by_chunk:
             raise KeyError(name)
-        return self._table(chunk)[name]
+        return self._cached_table(chunk)[name]
 
     def items(self) -> Iterator[tuple[str, Account]]:
-        """Yield names and accounts, one chunk decoded at a time."""
+        """Yield names and accounts, decoding one chunk at a time."""
         for chunk in sorted(self._body_by_chunk):
             yield from self._decode(chunk).items()
 
@@ -190,22 +192,22 @@
 
     def find_key(self, digest: str) -> tuple[str, str] | None:
         """Return the account and caller whose key has this SHA-256."""
-        chunk = self._chunk_by_key.get(_prefix(digest))
+        chunk = self._chunk_by_key.get(_key_prefix(digest))
         if chunk is None:
             return None
-        for name, account in self._table(chunk).items():
+        for name, account in self._cached_table(chunk).items():
             for caller_name, caller in account.callers.items():
                 if caller.key_sha256 == digest:
                     return name, caller_name
         return None
 
-    def changed(
+    def with_chunks(
         self, body_by_chunk: Mapping[int, bytes | None]
     ) -> "ChunkedAccounts | BundleError":
-        """Return the accounts with these chunks in place; this one stays as it is.
+        """Return a copy with these chunks replaced; None removes a chunk.
 
-        A caller's key that another account already has is refused here too: with
-        it one account's answers would reach the other.
+        A caller's key that an account in another chunk already has is refused, since
+        answers for one of the two accounts would reach the other one.
         """
         after = ChunkedAccounts({}, self._chunks)
         after._body_by_chunk = dict(self._body_by_chunk)
@@ -217,40 +219,40 @@
             if chunk not in body_by_chunk
         }
         for chunk in body_by_chunk:
-            after._drop(chunk)
+            after._remove_chunk(chunk)
         for chunk, body in body_by_chunk.items():
             if body is None:
                 continue
             after._body_by_chunk[chunk] = body
-            if not after._index(chunk):
-                detail = "a caller's key stands twice"
+            if not after._index_chunk(chunk):
+                detail = "a caller's key is already used in another chunk"
                 return BundleError(
                     part_name(ACCOUNTS, chunk), detail, code="duplicate_key"
                 )
         return after
 
-    def _drop(self, chunk: int) -> None:
+    def _remove_chunk(self, chunk: int) -> None:
         if chunk not in self._body_by_chunk:
             return
         table = self._decode(chunk)
         self._length -= len(table)
-        for key in _keys(table):
+        for key in _key_prefixes(table):
             self._chunk_by_key.pop(key, None)
         del self._body_by_chunk[chunk]
 
-    def _index(self, chunk: int) -> bool:
+    def _index_chunk(self, chunk: int) -> bool:
         table = self._decode(chunk)
         self._length += len(table)
-        for key in _keys(table):
+        for key in _key_prefixes(table):
             if self._chunk_by_key.setdefault(key, chunk) != chunk:
                 return False
         return True
 
-    def _table(self, chunk: int) -> dict[str, Account]:
+    def _cached_table(self, chunk: int) -> dict[str, Account]:
         table = self._decoded.pop(chunk, None)
         if table is None:
             table = self._decode(chunk)
-            while len(self._decoded) >= _DECODED_CHUNKS:
+            while len(self._decoded) >= _MAX_DECODED_CHUNKS:
                 del self._decoded[next(iter(self._decoded))]
         self._decoded[chunk] = table
         return table
@@ -261,13 +263,13 @@
         )
 
 
-def _keys(table: Mapping[str, Account]) -> Iterator[int]:
+def _key_prefixes(table: Mapping[str, Account]) -> Iterator[int]:
     for account in table.values():
         for caller in account.callers.values():
-            yield _prefix(caller.key_sha256)
+            yield _key_prefix(caller.key_sha256)
 
 
-def _prefix(digest: str) -> int:
+def _key_prefix(digest: str) -> int:
     return int(digest[: 2 * _KEY_PREFIX_BYTES], 16)
 
 
--- a/fireflyward/bundles/_plan.py
+++ b/fireflyward/bundles/_plan.py
@@ -1,4 +1,4 @@
-"""What a bundle will change for whom, in plain sentences."""
+"""The effects of a new bundle, in plain sentences for operators."""
 
 import math
 from collections import Counter
@@ -10,15 +10,15 @@
 from ._diff import Difference, diff
 
 LOAD_SECONDS = 1.2
-LOADS_AT_ONCE = 2
-_MOST_NAMED = 8
+MAX_CONCURRENT_LOADS = 2
+_MAX_NAMES_SHOWN = 8
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Sentences about what changes, and of those the ones that are dangerous.
+    """Sentences about what changes, and separate sentences about the dangers.
 
-    ``loads`` counts weights and adapters that replicas will load;
-    ``load_seconds`` is the least time that takes at two loads at a time.
+    ``loads`` counts the weights and adapters that replicas have to load, and
+    ``load_seconds`` is the shortest time for that with two loads at a time.
     """
 
     number: int
@@ -29,12 +29,12 @@
 
 
 def make_plan(old: Bundle | None, new: Bundle) -> Plan:
-    """Return what ``new`` changes against the bundle in force."""
+    """Return what changes when ``new`` replaces the bundle in force, ``old``."""
     before = old or Bundle(new.deployment, 0, {}, {}, {})
     differences = diff(old, new)
-    load_by_replica = _loads(before, new)
+    load_by_replica = _loads_by_replica(before, new)
     loads = sum(load_by_replica.values())
-    seconds = round(math.ceil(loads / LOADS_AT_ONCE) * LOAD_SECONDS, 1)
+    seconds = round(math.ceil(loads / MAX_CONCURRENT_LOADS) * LOAD_SECONDS, 1)
     sentences = [
         *_account_sentences(before, new),
         *_model_sentences(before, new, load_by_replica),
@@ -58,28 +58,32 @@
             changed.append((name, before, account))
     removed = [name for name in old.accounts if name not in new.accounts]
     if added:
-        yield f"{_count(added, 'account')} will be served: {_named(added)}."
+        yield f"{_count_names(added, 'account')} will be served: {_join_names(added)}."
     if removed:
-        count = _count(removed, "account")
-        yield f"{count} will no longer be served: {_named(removed)}."
-    for name, before, account in changed[:_MOST_NAMED]:
+        count = _count_names(removed, "account")
+        yield f"{count} will no longer be served: {_join_names(removed)}."
+    for name, before, account in changed[:_MAX_NAMES_SHOWN]:
         yield from _one_account(name, before, account)
-    if len(changed) > _MOST_NAMED:
-        yield f"{len(changed) - _MOST_NAMED} more accounts change; diff names them."
+    if len(changed) > _MAX_NAMES_SHOWN:
+        yield (
+            f"{len(changed) - _MAX_NAMES_SHOWN} more accounts change; the diff lists "
+            f"them."
+        )
 
 
 def _one_account(name: str, old: Account, new: Account) -> Iterator[str]:
     gained = sorted(set(new.models) - set(old.models))
     lost = sorted(set(old.models) - set(new.models))
     if gained:
-        yield f"Account {name} gets {_named(gained)}."
+        yield f"Account {name} gets {_join_names(gained)}."
     if lost:
-        yield f"Account {name} loses {_named(lost)}."
+        yield f"Account {name} loses {_join_names(lost)}."
     if old.callers.keys() != new.callers.keys():
-        came = sorted(new.callers.keys() - old.callers.keys())
-        went = sorted(old.callers.keys() - new.callers.keys())
+        added = sorted(new.callers.keys() - old.callers.keys())
+        removed = sorted(old.callers.keys() - new.callers.keys())
         yield (
-            f"Account {name}: callers added: {_named(came)}; removed: {_named(went)}."
+            f"Account {name}: callers added: {_join_names(added)}; "
+            f"removed: {_join_names(removed)}."
         )
     for field in ("weight", "priority", "max_in_flight", "share_prefixes"):
         before, after = getattr(old, field), getattr(new, field)
@@ -100,7 +104,7 @@
         before = old.models.get(name)
         users = sum(name in account.models for _, account in new.accounts.items())
         if before is None:
-            yield f"Model {name} is new at {model.version}, for {_of(users)}."
+            yield f"Model {name} is new at {model.version}, for {_count_of(users)}."
         elif before.version != model.version:
             replicas = sum(
                 name in upstream.models and upstream_name in load_by_replica
@@ -108,8 +112,8 @@
             )
             yield (
                 f"Model {name} goes from {before.version} to {model.version} for new "
-                f"requests of {_of(users)}; {_of(replicas, 'replica')} to reload. "
-                f"Kept work of {before.version} is not used for them."
+                f"requests of {_count_of(users)}; {_count_of(replicas, 'replica')} to "
+                f"reload. KV blocks kept from {before.version} are not used for them."
             )
     for name in old.models.keys() - new.models.keys():
         yield f"Model {name} is no longer served."
@@ -122,31 +126,32 @@
             yield f"{item}."
 
 
-def _loads(old: Bundle, new: Bundle) -> Counter[str]:
+def _loads_by_replica(old: Bundle, new: Bundle) -> Counter[str]:
     """Count the weights and adapters that each replica has to load."""
     load_by_replica: Counter[str] = Counter()
     for name, upstream in new.upstreams.items():
         if upstream.kind != "engine":
             continue
         for model in upstream.models:
-            load_by_replica[name] += _loads_of(old, new, name, model)
+            load_by_replica[name] += _count_loads(old, new, name, model)
     return +load_by_replica
 
 
-def _loads_of(old: Bundle, new: Bundle, name: str, model: str) -> int:
+def _count_loads(old: Bundle, new: Bundle, name: str, model: str) -> int:
     before = old.upstreams.get(name)
-    held = before is not None and model in before.models and model in old.models
+    is_loaded = before is not None and model in before.models and model in old.models
     adapters = set(new.models[model].adapters)
-    if not held or old.version_on(name, model) != new.version_on(name, model):
+    if not is_loaded or old.version_on(name, model) != new.version_on(name, model):
         return 1 + len(adapters)
     return len(adapters - set(old.models[model].adapters))
 
 
 def _load_sentence(loads: int, load_by_replica: Counter[str], seconds: float) -> str:
     return (
-        f"{_of(loads, 'load')} on {_of(len(load_by_replica), 'replica')}; at "
-        f"{LOADS_AT_ONCE} at a time and {LOAD_SECONDS} s each that takes {seconds} s "
-        f"or more, besides the draining. More at once would make each load slower."
+        f"{_count_of(loads, 'load')} on {_count_of(len(load_by_replica), 'replica')}; "
+        f"with {MAX_CONCURRENT_LOADS} at a time and {LOAD_SECONDS} s each this takes "
+        f"at least {seconds} s, in addition to the draining. More loads at a time "
+        f"would make each load slower."
     )
 
 
@@ -154,9 +159,9 @@
     yield from _account_dangers(old, new)
     yield from _upstream_dangers(old, new)
     for name, service in old.services.items():
-        kept = new.services[name].non_idempotent if name in new.services else ()
+        new_routes = new.services[name].non_idempotent if name in new.services else ()
         for route in service.non_idempotent:
-            if name in new.services and route not in kept:
+            if name in new.services and route not in new_routes:
                 yield f"Calls of {name} {route} may be repeated from now on."
     for name, person in old.trust.items():
         if person.keys and not (name in new.trust and new.trust[name].keys):
@@ -177,13 +182,13 @@
         if before.models and not account.models:
             yield f"Account {name} loses its last model."
         for caller_name, caller in before.callers.items():
-            now = account.callers.get(caller_name)
-            if now is None or now.key_sha256 != caller.key_sha256:
+            new_caller = account.callers.get(caller_name)
+            if new_caller is None or new_caller.key_sha256 != caller.key_sha256:
                 yield f"The key of caller {caller_name} of {name} stops working."
         if account.max_in_flight < before.max_in_flight:
             yield (
                 f"Account {name} may have only {account.max_in_flight} requests in "
-                f"flight, {before.max_in_flight} before."
+                f"flight, instead of {before.max_in_flight}."
             )
         if account.share_prefixes and not before.share_prefixes:
             yield f"Account {name} shares its prefixes from now on."
@@ -191,10 +196,10 @@
 
 def _upstream_dangers(old: Bundle, new: Bundle) -> Iterator[str]:
     for model in new.models.keys() & old.models.keys():
-        was, now = _domains(old, model), _domains(new, model)
-        for domain in sorted(was - now):
+        domains_before, domains_after = _domains(old, model), _domains(new, model)
+        for domain in sorted(domains_before - domains_after):
             yield f"Model {model} has no replica left in {domain}."
-        if len(now) == 1 and len(was) > 1:
+        if len(domains_after) == 1 and len(domains_before) > 1:
             yield f"Model {model} is left in one failure domain only."
     for name, before in old.upstreams.items():
         upstream = new.upstreams.get(name)
@@ -215,15 +220,15 @@
     return {upstream.failure_domain for upstream in upstreams}
 
 
-def _count(names: list[str], noun: str) -> str:
-    return _of(len(names), noun)
+def _count_names(names: list[str], noun: str) -> str:
+    return _count_of(len(names), noun)
 
 
-def _of(count: int, noun: str = "account") -> str:
+def _count_of(count: int, noun: str = "account") -> str:
     return f"1 {noun}" if count == 1 else f"{count} {noun}s"
 
 
-def _named(names: list[str]) -> str:
-    shown = ", ".join(names[:_MOST_NAMED]) or "none"
-    more = len(names) - _MOST_NAMED
+def _join_names(names: list[str]) -> str:
+    shown = ", ".join(names[:_MAX_NAMES_SHOWN]) or "none"
+    more = len(names) - _MAX_NAMES_SHOWN
     return f"{shown} and {more} more" if more > 0 else shown
--- a/fireflyward/bundles/_signing.py
+++ b/fireflyward/bundles/_signing.py
@@ -1,4 +1,4 @@
-"""Two people sign the statement of a bundle; every node checks both."""
+"""Signatures of two people on the statement of a bundle."""
 
 from collections.abc import Mapping
 
@@ -26,9 +26,9 @@
 
 
 class TrustRef(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The number that last changed who may sign, and the hash of that part.
+    """The number that last changed who may sign, and the hash of its trust part.
 
-    ``since`` is 0 while the roots of the settings sign.
+    ``since`` is 0 while the trust roots of the settings sign.
     """
 
     since: int = 0
@@ -36,11 +36,11 @@
 
 
 class Statement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is signed: which parts become which number, after which bundle.
+    """What is signed: the number, the parts and the predecessor of a bundle.
 
-    ``based_on`` is the digest of the statement before it, so a bundle made for
-    another predecessor cannot be replayed. ``trust_before`` is the trust by which
-    this statement's own signatures are judged.
+    ``based_on`` is the digest of the preceding statement, so that a bundle made for
+    another predecessor cannot be replayed. ``trust_before`` names the trust against
+    which the signatures on this statement are verified.
     """
 
     deployment: str
@@ -58,8 +58,8 @@
 class SignedBundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A statement's canonical bytes, the signatures over them, and parts.
 
-    ``parts`` holds the parts that changed; one that went away is empty. For the
-    first bundle, or as a snapshot, it holds all of them.
+    ``parts`` holds the changed parts; a removed part has an empty body. In the
+    first bundle and in a snapshot it holds all parts.
     """
 
     document: bytes
@@ -81,7 +81,7 @@
 
     @classmethod
     def from_seed(cls, person: str, seed: bytes) -> "SigningKey":
-        """Build the key from its 32 secret bytes."""
+        """Create the key from its 32 secret bytes."""
         return cls(person, Ed25519PrivateKey.from_private_bytes(seed))
 
     def public_bytes(self) -> bytes:
@@ -90,11 +90,11 @@
 
     def sign(self, role: str, document: bytes) -> Signature:
         """Sign ``document`` in ``role``; the role is part of what is signed."""
-        value = self._private.sign(_signed_bytes(role, document))
+        value = self._private.sign(_message_to_sign(role, document))
         return Signature(self.person, role, value)
 
     def sign_bytes(self, message: bytes) -> bytes:
-        """Sign bytes that carry a separator of their own."""
+        """Sign a message that contains its own domain separator."""
         return self._private.sign(message)
 
 
@@ -109,53 +109,57 @@
 def find_verifying_key(
     person_name: str, value: bytes, message: bytes, people: Mapping[str, Person]
 ) -> BundleError | str:
-    """Return the public key under which a signature holds, or why none does."""
+    """Return the person's public key that verifies a signature, or an error."""
     person = people.get(person_name)
     if person is None:
-        return _refused("unknown_person", f"{person_name!r} is no known person")
+        return _signature_error(
+            "unknown_person", f"{person_name!r} is not a known person"
+        )
     for key in person.keys:
-        if _holds(key, value, message):
+        if _is_valid(key, value, message):
             return key
-    if any(_holds(key, value, message) for key in person.revoked):
-        return _refused("revoked_key", f"{person_name}'s key is revoked")
-    return _refused("bad_signature", f"{person_name}'s signature does not hold")
+    if any(_is_valid(key, value, message) for key in person.revoked):
+        return _signature_error("revoked_key", f"{person_name}'s key is revoked")
+    return _signature_error("bad_signature", f"{person_name}'s signature is not valid")
 
 
 def signers_of(
     signed: SignedBundle, people: Mapping[str, Person]
 ) -> tuple[str, str] | BundleError:
-    """Return author and approver if both signatures hold and are two people's.
+    """Return author and approver if both signatures are valid and of two people.
 
     Exactly these two signatures are allowed, in this order, so that a signed
-    bundle has one byte form and nothing unchecked trails behind.
+    bundle has only one encoding and contains no unchecked signature.
     """
     roles = tuple(signature.role for signature in signed.signatures)
     if roles != _SIGNING_ROLES:
-        detail = f"an author's and an approver's are needed, not {list(roles)}"
-        return _refused("wrong_signatures", detail)
+        detail = f"must be an author's and an approver's, not {list(roles)}"
+        return _signature_error("wrong_signatures", detail)
     keys = []
     for signature in signed.signatures:
-        message = _signed_bytes(signature.role, signed.document)
+        message = _message_to_sign(signature.role, signed.document)
         key = find_verifying_key(signature.person, signature.value, message, people)
         if isinstance(key, BundleError):
             return key
         keys.append(key)
     author, approver = (signature.person for signature in signed.signatures)
     if author == approver or keys[0] == keys[1]:
-        return _refused("same_person", "author and approver are the same person")
+        return _signature_error(
+            "same_person", "author and approver are the same person"
+        )
     return author, approver
 
 
 def public_hex(key: SigningKey) -> str:
-    """Return the public key as it stands in bundles and settings."""
+    """Return the public key in hexadecimal, as in bundles and settings."""
     return key.public_bytes().hex()
 
 
-def _refused(code: str, detail: str) -> BundleError:
+def _signature_error(code: str, detail: str) -> BundleError:
     return BundleError("signatures", detail, code=code)
 
 
-def _holds(key: str, value: bytes, message: bytes) -> bool:
+def _is_valid(key: str, value: bytes, message: bytes) -> bool:
     try:
         Ed25519PublicKey.from_public_bytes(bytes.fromhex(key)).verify(value, message)
     except (InvalidSignature, ValueError):
@@ -163,5 +167,5 @@
     return True
 
 
-def _signed_bytes(role: str, document: bytes) -> bytes:
+def _message_to_sign(role: str, document: bytes) -> bytes:
     return _DOMAIN_SEPARATOR + role.encode() + b"\n" + document
--- a/fireflyward/bundles/_state.py
+++ b/fireflyward/bundles/_state.py
@@ -1,4 +1,4 @@
-"""A verified bundle with its parts, and the drafts of what may follow it."""
+"""A verified bundle with its parts, and drafts of the next one."""
 
 from collections.abc import Mapping
 from fnmatch import fnmatchcase
@@ -16,8 +16,8 @@
     chunks_for,
     decode_part,
     digest_of,
+    find_misplaced,
     leaf_of,
-    misplaced,
     root_of,
     section_of,
     split,
@@ -35,10 +35,11 @@
 
 
 class BundleState:
-    """One verified number: its statement, its parts and the bundle they make.
+    """One verified number: its statement, its parts and the bundle they form.
 
-    ``people`` may sign the next number; ``links`` are the signed statements that
-    changed who may sign, oldest first, from which a new node works that out.
+    ``people`` may sign the next number. ``links`` are the signed statements that
+    changed who may sign, oldest first; a new node verifies them one by one to find
+    out whose signatures are valid now.
     """
 
     __slots__ = (
@@ -89,7 +90,7 @@
 def draft(
     bundle: Bundle, *, author: str, base: BundleState | None = None, note: str = ""
 ) -> SignedBundle:
-    """Return the unsigned change that makes ``bundle`` out of ``base``."""
+    """Return the unsigned change from ``base`` to ``bundle``."""
     before = base.statement if base else None
     chunks = chunks_for(len(bundle.accounts), before.chunks if before else 0)
     upstream_chunks = chunks_for(
@@ -122,18 +123,18 @@
     if base is None:
         return part_by_name
     before = base.statement
-    respread = set()
+    rechunked = set()
     if before.chunks != statement.chunks:
-        respread.add(ACCOUNTS)
+        rechunked.add(ACCOUNTS)
     if before.upstream_chunks != statement.upstream_chunks:
-        respread.add(UPSTREAMS)
-    known = base.part_by_name
+        rechunked.add(UPSTREAMS)
+    base_parts = base.part_by_name
     parts = {
         name: body
         for name, body in part_by_name.items()
-        if known.get(name) != body or section_of(name) in respread
+        if base_parts.get(name) != body or section_of(name) in rechunked
     }
-    parts.update(dict.fromkeys(known.keys() - part_by_name.keys(), b""))
+    parts.update(dict.fromkeys(base_parts.keys() - part_by_name.keys(), b""))
     return parts
 
 
@@ -165,7 +166,7 @@
     base: BundleState | None = None,
     note: str = "",
 ) -> SignedBundle:
-    """Sign a bundle by both people at once, as the demo and the tests do."""
+    """Sign a bundle as both people at once, for the demo and the tests."""
     drafted = draft(bundle, author=author.person, base=base, note=note)
     return with_approver(with_author(drafted, author), approver)
 
@@ -173,7 +174,7 @@
 def place_parts(
     statement: Statement, parts: Mapping[str, bytes], base: BundleState | None
 ) -> tuple[dict[str, bytes], dict[str, bytes]]:
-    """Return all parts and their hashes once ``parts`` are put over ``base``."""
+    """Return all parts and their hashes, with ``parts`` replacing those of ``base``."""
     part_by_name = dict(base.part_by_name) if base else {}
     leaf_by_name = dict(base.leaf_by_name) if base else {}
     for name, body in parts.items():
@@ -189,7 +190,7 @@
 def decode_parts(
     statement: Statement, parts: Mapping[str, bytes]
 ) -> dict[str, dict[str, Any]] | BundleError:
-    """Decode parts, refusing what is unreadable, not canonical or misplaced."""
+    """Decode parts, refusing those that are unreadable, not canonical or misplaced."""
     table_by_name: dict[str, dict[str, Any]] = {}
     for name, body in parts.items():
         if not body:
@@ -200,9 +201,9 @@
             return table
         is_account = section_of(name) == ACCOUNTS
         chunks = statement.chunks if is_account else statement.upstream_chunks
-        wrong = misplaced(name, table, chunks)
-        if wrong is not None:
-            detail = f"{wrong!r} does not belong here"
+        misplaced_name = find_misplaced(name, table, chunks)
+        if misplaced_name is not None:
+            detail = f"{misplaced_name!r} belongs to another chunk"
             return BundleError(name, detail, code="misplaced")
         table_by_name[name] = table
     return table_by_name
@@ -214,7 +215,7 @@
     table_by_name: Mapping[str, dict[str, Any]],
     base: BundleState | None,
 ) -> Bundle | BundleError:
-    """Return the bundle; sections that did not change are those of ``base``."""
+    """Return the bundle, with unchanged sections taken from ``base``."""
     accounts = _accounts(statement, part_by_name, table_by_name, base)
     if isinstance(accounts, BundleError):
         return accounts
@@ -238,13 +239,13 @@
     base: BundleState | None,
 ) -> ChunkedAccounts | BundleError:
     body_by_chunk = {
-        _chunk(name): part_by_name.get(name)
+        _chunk_number(name): part_by_name.get(name)
         for name in table_by_name
         if section_of(name) == ACCOUNTS
     }
     is_kept = base is not None and base.statement.chunks == statement.chunks
     before = base.bundle.accounts if is_kept else ChunkedAccounts({}, statement.chunks)
-    return before.changed(body_by_chunk) if body_by_chunk else before
+    return before.with_chunks(body_by_chunk) if body_by_chunk else before
 
 
 def _upstreams(
@@ -260,36 +261,36 @@
     old = base.bundle.upstreams if base else {}
     if not changed:
         return old
-    kept = dict(old)
+    upstreams = dict(old)
     for name in changed:
         body = base.part_by_name.get(name) if base else None
         table = decode_part(name, body) if body else {}
         for upstream_name in table:
-            kept.pop(upstream_name, None)
+            upstreams.pop(upstream_name, None)
     for table in changed.values():
-        kept.update(table)
-    return dict(sorted(kept.items()))
+        upstreams.update(table)
+    return dict(sorted(upstreams.items()))
 
 
-def _chunk(name: str) -> int:
+def _chunk_number(name: str) -> int:
     return int(name.partition("/")[2])
 
 
 def changed_entities(
     table_by_name: Mapping[str, dict[str, Any]], base: BundleState | None
 ) -> set[str]:
-    """Return what a change touches, such as ``account:tower-team`` or ``trust``."""
+    """Return the changed entities, such as ``account:tower-team`` or ``trust``."""
     after: dict[str, Any] = {}
     before: dict[str, Any] = {}
     for name, table in table_by_name.items():
-        after.update(_named(name, table))
+        after.update(_item_by_entity(name, table))
         body = base.part_by_name.get(name) if base else None
-        before.update(_named(name, decode_part(name, body) if body else {}))
+        before.update(_item_by_entity(name, decode_part(name, body) if body else {}))
     names = after.keys() | before.keys()
     return {name for name in names if after.get(name) != before.get(name)}
 
 
-def _named(part: str, table: Mapping[str, Any]) -> dict[str, Any]:
+def _item_by_entity(part: str, table: Mapping[str, Any]) -> dict[str, Any]:
     section = section_of(part)
     if section == TRUST:
         return {TRUST: table} if table else {}
@@ -297,7 +298,7 @@
 
 
 def out_of_scope(scopes: tuple[str, ...], entities: set[str]) -> str | None:
-    """Return something changed that no scope covers, or None."""
+    """Return a changed entity that no scope covers, or None."""
     for entity in sorted(entities):
         if not any(scope == ALL or fnmatchcase(entity, scope) for scope in scopes):
             return entity
--- a/fireflyward/bundles/_store.py
+++ b/fireflyward/bundles/_store.py
@@ -1,4 +1,4 @@
-"""Accepted bundles in the platform: one conditional write makes number N+1."""
+"""Accepted bundles in the platform; one conditional write accepts number N+1."""
 
 import msgspec
 
@@ -22,15 +22,15 @@
 
 HEAD_KEY = "bundle/head"
 HISTORY_PREFIX = "bundle/history/"
-HISTORY_KEPT = 2_000
-SNAPSHOT_EVERY = 64
-_MOST_CHANGES = 2 * SNAPSHOT_EVERY
+MAX_HISTORY_ROWS = 2_000
+NUMBERS_PER_SNAPSHOT = 64
+_MAX_CHANGES = 2 * NUMBERS_PER_SNAPSHOT
 _SETTLE_ATTEMPTS = 4
 _SETTLE_PAUSE_MS = 250
 
 
 class AcceptStep(Step):
-    """The named points of one acceptance, in their order."""
+    """The steps of one acceptance, in order."""
 
     BEGUN = "accept: begun"
     CHANGE_STORED = "accept: change stored"
@@ -41,10 +41,11 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The number in force, the digest of its statement, and whose write it was.
+    """The number in force, the digest of its statement, and who signed it.
 
-    The snapshot is the newest number kept whole; a node that starts reads it and
-    the changes after it. ``note`` is what the author wrote about the change.
+    ``snapshot_number`` and ``snapshot_digest`` name the newest number of which a
+    snapshot is stored; a starting node reads that and the changes after it.
+    ``note`` is the author's remark on the change.
     """
 
     number: int
@@ -58,7 +59,7 @@
 
 
 class Whole(msgspec.Struct, frozen=True):
-    """All that a node needs to start from nothing: links, a snapshot, changes."""
+    """What a node without a bundle needs: trust links, a snapshot and changes."""
 
     links: tuple[SignedBundle, ...]
     snapshot: SignedBundle
@@ -98,7 +99,7 @@
         return tuple(msgspec.json.decode(row.value, type=Head) for row in rows)
 
     async def accepted(self, number: int) -> Head | Missing | Unavailable:
-        """Return whose bundle became ``number``."""
+        """Return the head that was written when ``number`` was accepted."""
         row = await self._table.get(history_key(number))
         if not isinstance(row, Row):
             return row
@@ -107,14 +108,14 @@
     async def accept(
         self, bundle: Bundle, signed: SignedBundle, *, base: BundleState | None = None
     ) -> Committed | Conflict | Unavailable | Uncertain:
-        """Make ``bundle`` the next number, if nobody else did so first.
-
-        The bytes go to the object store under their digest before the head names
-        them, so a reader of the head always finds them. The head and the row of
-        this number in the history are written together. ``Uncertain`` says that
-        the write may still take effect; asking again with the same bytes is safe.
-        ``base`` is the bundle in force, if the caller holds it: every so often it
-        is kept whole for nodes that start.
+        """Make ``bundle`` the next number, unless another bundle became it first.
+
+        The bytes are stored in the object store under their digest before the head
+        names them, so a reader of the head always finds them. The head and the
+        number's history row are written together. ``Uncertain`` means that the
+        write may still take effect; a repeated call with the same bytes is safe.
+        ``base`` is the bundle in force, if the caller has it: from time to time a
+        snapshot of it is stored, for nodes that start.
         """
         self._observe(AcceptStep.BEGUN)
         digest = digest_of(signed.document)
@@ -129,45 +130,48 @@
         self._observe(AcceptStep.HEAD_READ)
         based_on = statement_of(signed).based_on
         if bundle.number != before.number + 1 or based_on != before.digest:
-            return await self._judge_number(bundle.number, digest, before.number)
+            return await self._resolve_number(bundle.number, digest, before.number)
         head = self._head_of(signed, digest, before)
-        head = await self._with_snapshot(head, before, base)
+        head = await self._store_snapshot_if_due(head, before, base)
         return await self._commit(head, version)
 
     async def fetch(self, head: Head) -> SignedBundle | Missing | Unavailable:
-        """Return the signed change that ``head`` names."""
-        return await self._get(change_name(head.number, head.digest))
+        """Fetch the signed change that ``head`` names."""
+        return await self._get_signed(change_name(head.number, head.digest))
 
     async def fetch_changes(
-        self, head: Head, after: int, *, most: int = _MOST_CHANGES
+        self, head: Head, after: int, *, max_changes: int = _MAX_CHANGES
     ) -> tuple[SignedBundle, ...] | Missing | Unavailable:
-        """Return the changes that lead from number ``after`` to ``head``.
+        """Fetch the changes that lead from number ``after`` to ``head``.
 
-        Each change names the one before it, so no row has to be read for them.
+        Each change names its predecessor, so no table row has to be read.
         """
         changes: list[SignedBundle] = []
         number, digest = head.number, head.digest
-        while number > after and len(changes) < most:
-            change = await self._get(change_name(number, digest))
+        while number > after and len(changes) < max_changes:
+            change = await self._get_signed(change_name(number, digest))
             if not isinstance(change, SignedBundle):
                 return change
             changes.append(change)
             number, digest = number - 1, statement_of(change).based_on
         if number > after:
-            return Missing(f"more than {most} changes before {head.number}")
+            return Missing(f"more than {max_changes} changes before {head.number}")
         return tuple(reversed(changes))
 
     async def fetch_snapshot(self, head: Head) -> Whole | Missing | Unavailable:
-        """Return what leads from nothing to ``head``: a snapshot and changes.
+        """Fetch what a node without a bundle needs to reach ``head``.
 
-        However many changes there are since the snapshot, they are followed: a
-        store that refused every later snapshot must not keep nodes from starting.
+        That is a snapshot with its trust links, and all changes since, however many:
+        nodes must be able to start even if the object store refused every later
+        snapshot.
         """
-        changes = await self.fetch_changes(head, head.snapshot_number, most=head.number)
+        changes = await self.fetch_changes(
+            head, head.snapshot_number, max_changes=head.number
+        )
         if isinstance(changes, Missing | Unavailable):
             return changes
         name = snapshot_name(head.snapshot_number, head.snapshot_digest)
-        snapshot = await self._get(name)
+        snapshot = await self._get_signed(name)
         if not isinstance(snapshot, SignedBundle):
             return snapshot
         links = await self._fetch_links(statement_of(snapshot))
@@ -179,16 +183,16 @@
         self, statement: Statement
     ) -> tuple[SignedBundle, ...] | Missing | Unavailable:
         links: list[SignedBundle] = []
-        wanted = statement.trust_before
-        while wanted.since:
-            link = await self._get(link_name(wanted))
+        trust = statement.trust_before
+        while trust.since:
+            link = await self._get_signed(link_name(trust))
             if not isinstance(link, SignedBundle):
                 return link
             links.append(link)
-            wanted = statement_of(link).trust_before
+            trust = statement_of(link).trust_before
         return tuple(reversed(links))
 
-    async def _get(self, name: str) -> SignedBundle | Missing | Unavailable:
+    async def _get_signed(self, name: str) -> SignedBundle | Missing | Unavailable:
         body = await self._objects.get(name)
         if not isinstance(body, bytes):
             return body
@@ -213,31 +217,34 @@
         if statement.number == 1:
             body_by_name[snapshot_name(1, digest)] = body
         for name, inner in body_by_name.items():
-            stored = await self._store(name, inner)
+            stored = await self._put_object(name, inner)
             if isinstance(stored, Unavailable):
                 return stored
         return None
 
-    async def _with_snapshot(
+    async def _store_snapshot_if_due(
         self, head: Head, before: Head, base: BundleState | None
     ) -> Head:
-        """Keep the bundle in force whole if it is time; go on without if not."""
-        is_due = head.number - head.snapshot_number > SNAPSHOT_EVERY
+        """Store a snapshot of the bundle in force if one is due.
+
+        Returns the head that names it, or the same head if none was stored.
+        """
+        is_due = head.number - head.snapshot_number > NUMBERS_PER_SNAPSHOT
         if not is_due or base is None or base.digest != before.digest:
             return head
         name = snapshot_name(base.number, base.digest)
-        stored = await self._store(name, encode_signed(base.snapshot()))
+        stored = await self._put_object(name, encode_signed(base.snapshot()))
         if isinstance(stored, Unavailable):
             return head
         return msgspec.structs.replace(
             head, snapshot_number=base.number, snapshot_digest=base.digest
         )
 
-    async def _store(self, name: str, body: bytes) -> bool | Unavailable:
-        """Put an object; a lost answer is settled by reading the object back.
+    async def _put_object(self, name: str, body: bytes) -> bool | Unavailable:
+        """Put an object; if the answer is lost, read the object back to be sure.
 
-        Names hold the digest of what they name, so a put that lands late writes
-        the same bytes and a second put is harmless.
+        An object's name contains the digest of its contents, so a delayed put writes
+        the same bytes, and a second put is harmless.
         """
         for _ in range(_SETTLE_ATTEMPTS):
             result = await self._objects.put(name, body)
@@ -266,10 +273,14 @@
             statement.note,
         )
 
-    async def _judge_number(
+    async def _resolve_number(
         self, number: int, digest: str, current: int
     ) -> Committed | Conflict:
-        """Tell an operator who asks again whether the number is already his."""
+        """Return the result for a number that does not follow the head.
+
+        It is ``Committed`` if this same bundle was accepted before, as when an
+        operator submits it again.
+        """
         if number <= current:
             found = await self.accepted(number)
             if isinstance(found, Head) and found.digest == digest:
@@ -279,16 +290,16 @@
     async def _commit(
         self, head: Head, version: int
     ) -> Committed | Conflict | Unavailable | Uncertain:
-        """Write the head, and again while nobody knows whether it was written.
-
-        Symptom without this: an operator is told "lost the race" and writes his
-        change a second time, on top of itself. The write's answer was lost and
-        the read-back came before the late write landed, or after another operator
-        had already gone on to the next number. The history row of our number
-        tells whose write it was even then; while it is missing, the same
-        conditional write is sent again, and at most one of the two can take effect.
+        """Write the head, and repeat the write while its outcome is unknown.
+
+        The answer to a write can be lost, and the head be read back too early, before
+        the delayed write takes effect, or too late, after another operator's next
+        number. If that were reported as a lost race, the operator would write the
+        change a second time, on top of itself. The history row of the number shows
+        in both cases whose write it was. While that row is missing, the same
+        conditional write is sent again; at most one of the writes can take effect.
         """
-        lost = Uncertain("the answer was lost")
+        lost_answer = Uncertain("the answer was lost")
         may_be_written = False
         for _ in range(_SETTLE_ATTEMPTS):
             result = await self._write_head(head, version)
@@ -299,41 +310,41 @@
             if isinstance(result, Unavailable) and not may_be_written:
                 return result
             may_be_written = may_be_written or isinstance(result, Uncertain)
-            owner = await self.accepted(head.number)
+            accepted_head = await self.accepted(head.number)
             self._observe(AcceptStep.READ_BACK)
-            if isinstance(owner, Head):
+            if isinstance(accepted_head, Head):
                 self._observe(AcceptStep.SETTLED)
-                return _verdict(owner, head, version)
-            lost = result if isinstance(result, Uncertain) else lost
+                return _result_for(accepted_head, head, version)
+            lost_answer = result if isinstance(result, Uncertain) else lost_answer
             await self._clock.sleep_ms(_SETTLE_PAUSE_MS)
-        return lost
+        return lost_answer
 
     async def _write_head(
         self, head: Head, version: int
     ) -> Committed | Conflict | Unavailable | Uncertain:
         value = msgspec.json.encode(head)
         row_key = history_key(head.number)
-        expired = head.number - HISTORY_KEPT
+        expired_number = head.number - MAX_HISTORY_ROWS
         return await self._table.commit(
             expected={HEAD_KEY: version, row_key: 0},
             puts={HEAD_KEY: value, row_key: value},
-            deletes=(history_key(expired),) if expired > 0 else (),
+            deletes=(history_key(expired_number),) if expired_number > 0 else (),
         )
 
 
-def _verdict(owner: Head, head: Head, version: int) -> Committed | Conflict:
-    if owner.digest == head.digest:
+def _result_for(accepted_head: Head, head: Head, version: int) -> Committed | Conflict:
+    if accepted_head.digest == head.digest:
         return Committed({HEAD_KEY: version + 1})
-    return Conflict({HEAD_KEY: owner.number})
+    return Conflict({HEAD_KEY: accepted_head.number})
 
 
 def history_key(number: int) -> str:
-    """Return the table key of an accepted number; keys sort as numbers do."""
+    """Return the table key of an accepted number; keys sort in numeric order."""
     return f"{HISTORY_PREFIX}{number:012d}"
 
 
 def statement_of(signed: SignedBundle) -> Statement:
-    """Return the statement of a bundle whose bytes were read before."""
+    """Decode the statement of a bundle whose bytes were checked before."""
     return msgspec.json.decode(signed.document, type=Statement)
 
 
@@ -343,20 +354,20 @@
 
 
 def decode_signed(body: bytes) -> SignedBundle:
-    """Read what ``encode_signed`` wrote; raises ``msgspec.DecodeError``."""
+    """Decode what ``encode_signed`` encoded; raises ``msgspec.DecodeError``."""
     return msgspec.msgpack.decode(body, type=SignedBundle)
 
 
 def change_name(number: int, digest: str) -> str:
-    """Return the name under which a signed change is kept."""
+    """Return the name of the object that holds a signed change."""
     return f"bundles/changes/{number}-{digest}"
 
 
 def snapshot_name(number: int, digest: str) -> str:
-    """Return the name under which a number is kept whole."""
+    """Return the name of the object that holds the snapshot of a number."""
     return f"bundles/snapshots/{number}-{digest}"
 
 
 def link_name(trust: TrustRef) -> str:
-    """Return the name under which a change of trust is kept."""
+    """Return the name of the object that holds a change of trust."""
     return f"bundles/trust/{trust.since}-{trust.digest}"
--- a/fireflyward/bundles/_toml.py
+++ b/fireflyward/bundles/_toml.py
@@ -1,4 +1,4 @@
-"""Reads a bundle from TOML with errors that say where, and writes it as TOML."""
+"""Reads bundles from TOML, with line numbers in the errors, and writes them."""
 
 import difflib
 import json
@@ -26,13 +26,13 @@
 def parse_bundle(text: str) -> Bundle | tuple[BundleError, ...]:
     """Read a bundle from TOML, checking types and references between its parts.
 
-    Every error is returned, not only the first. The line is that of the field,
-    or of the table around it where TOML lets a value stand elsewhere.
+    Returns all errors, not only the first. Each has the line of its field, or of
+    the surrounding table if the line of the field itself is not found.
     """
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        return (BundleError("file", str(error), _line_in(str(error))),)
+        return (BundleError("file", str(error), _line_of_message(str(error))),)
     line_by_path = _lines(text)
     errors = tuple(_type_errors(Bundle, table, ()))
     if errors:
@@ -43,12 +43,12 @@
 
 
 def to_toml(bundle: Bundle) -> str:
-    """Write a bundle as TOML that ``parse_bundle`` reads back as the same."""
-    table = msgspec.to_builtins(_plain(bundle), order="sorted")
+    """Return a bundle as TOML, from which ``parse_bundle`` reads an equal bundle."""
+    table = msgspec.to_builtins(_with_plain_accounts(bundle), order="sorted")
     return "\n".join(_table_lines(table, ())).strip() + "\n"
 
 
-def _plain(bundle: Bundle) -> Bundle:
+def _with_plain_accounts(bundle: Bundle) -> Bundle:
     return msgspec.structs.replace(bundle, accounts=dict(bundle.accounts))
 
 
@@ -71,8 +71,10 @@
         return
     field_by_name = {field.name: field for field in msgspec.structs.fields(kind)}
     for name in value.keys() - field_by_name.keys():
-        close = difflib.get_close_matches(name, field_by_name, 1)
-        detail = "is not a field" + (f", perhaps {close[0]!r}" if close else "")
+        close_matches = difflib.get_close_matches(name, field_by_name, 1)
+        detail = "is not a field" + (
+            f", perhaps {close_matches[0]!r}" if close_matches else ""
+        )
         allowed = ", ".join(field_by_name)
         yield _error((*path, name), value[name], detail, allowed)
     for name, field in field_by_name.items():
@@ -115,7 +117,7 @@
 
 
 def _allowed(kind: Any) -> str:
-    """Say in words what a field of this type may hold."""
+    """Describe the values that a field of this type may have."""
     origin, arguments = typing.get_origin(kind), typing.get_args(kind)
     if origin is typing.Annotated:
         return _allowed_by(arguments[0], arguments[1])
@@ -142,7 +144,7 @@
 
 
 def _lines(text: str) -> dict[Path, int]:
-    """Map each table and key to its line, as far as lines alone tell."""
+    """Map each table and key to its line, looking at each line by itself."""
     line_by_path: dict[Path, int] = {}
     table: Path = ()
     for number, line in enumerate(text.splitlines(), 1):
@@ -171,8 +173,8 @@
     best: Path = ()
     for path in line_by_path:
         dotted = ".".join(path)
-        begins = error.field == dotted or error.field.startswith(dotted + ".")
-        if begins and len(path) > len(best):
+        is_prefix = error.field == dotted or error.field.startswith(dotted + ".")
+        if is_prefix and len(path) > len(best):
             best = path
     line = line_by_path.get(best, 0)
     return BundleError(
@@ -180,7 +182,7 @@
     )
 
 
-def _line_in(message: str) -> int:
+def _line_of_message(message: str) -> int:
     found = re.search(r"line (\d+)", message)
     return int(found[1]) if found else 0
 
--- a/fireflyward/bundles/_verify.py
+++ b/fireflyward/bundles/_verify.py
@@ -1,4 +1,4 @@
-"""What every node checks by itself before it serves by a bundle."""
+"""The checks that every node makes before it puts a bundle in force."""
 
 from collections.abc import Mapping
 
@@ -21,7 +21,7 @@
 def verify_bundle(
     signed: SignedBundle, public_key_by_person: Mapping[str, bytes], deployment: str
 ) -> Bundle | BundleError:
-    """Return a whole bundle if an author and another person's approval both hold."""
+    """Return a complete bundle if the signatures of two different people are valid."""
     state = verify_snapshot(
         signed, (), roots=root_people(public_key_by_person), deployment=deployment
     )
@@ -32,7 +32,7 @@
     signed: SignedBundle, base: BundleState, *, deployment: str
 ) -> BundleState | BundleError:
     """Return the state after a change that was made for exactly ``base``."""
-    statement = _read_statement(signed.document, deployment)
+    statement = _decode_statement(signed.document, deployment)
     if isinstance(statement, BundleError):
         return statement
     error = _order_error(statement, base)
@@ -50,14 +50,14 @@
 ) -> BundleState | BundleError:
     """Return the state of a bundle that comes with all its parts.
 
-    ``links`` lead from the roots of the settings to those who signed it. Roles
-    can be judged only against the bundle before; that both signers were known
-    and their keys not revoked is judged here.
+    ``links`` lead from the trust roots of the settings to the people who signed it.
+    Roles can be checked only against the preceding bundle. What is checked here is
+    that both signers are known and that their keys are not revoked.
     """
-    statement = _read_statement(signed.document, deployment)
+    statement = _decode_statement(signed.document, deployment)
     if isinstance(statement, BundleError):
         return statement
-    people = _people_at(statement, links, roots, deployment)
+    people = _people_for(statement, links, roots, deployment)
     if isinstance(people, BundleError):
         return people
     return _verify(signed, statement, None, people, _links_before(statement, links))
@@ -66,11 +66,11 @@
 def read_state(
     signed: SignedBundle, base: BundleState | None, *, deployment: str
 ) -> BundleState | BundleError:
-    """Return what a draft or a signed bundle says, without judging who signed.
+    """Return the state of a draft or signed bundle without verifying signatures.
 
-    For showing and planning only: nothing may be served by it.
+    For display and planning only: the result must not come into force.
     """
-    statement = _read_statement(signed.document, deployment)
+    statement = _decode_statement(signed.document, deployment)
     if isinstance(statement, BundleError):
         return statement
     if base is not None:
@@ -81,7 +81,7 @@
     return _build(signed, statement, base, people, base.links if base else ())
 
 
-def _read_statement(document: bytes, deployment: str) -> Statement | BundleError:
+def _decode_statement(document: bytes, deployment: str) -> Statement | BundleError:
     try:
         statement = msgspec.json.decode(document, type=Statement)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -93,19 +93,21 @@
         detail = f"is for {statement.deployment!r}, not for {deployment!r}"
         return BundleError("deployment", detail, code="other_deployment")
     if statement.number < 1 or statement.chunks < 1 or statement.upstream_chunks < 1:
-        return BundleError("statement", "numbers below 1", code="unreadable")
+        return BundleError("statement", "contains a number below 1", code="unreadable")
     return statement
 
 
 def _order_error(statement: Statement, base: BundleState) -> BundleError | None:
     if statement.number <= base.number:
-        detail = f"{statement.number} is not newer than {base.number}, in force"
+        detail = (
+            f"{statement.number} is not newer than {base.number}, which is in force"
+        )
         return BundleError("number", detail, code="replayed")
     if statement.number != base.number + 1 or statement.based_on != base.digest:
-        detail = f"was made for another bundle than {base.number}, in force"
+        detail = f"was made for another bundle than {base.number}, which is in force"
         return BundleError("based_on", detail, code="other_base")
     if statement.trust_before != base.statement.trust:
-        detail = "names another trust than the one in force"
+        detail = "is not the trust in force"
         return BundleError("trust_before", detail, code="other_trust")
     return None
 
@@ -121,7 +123,9 @@
     if isinstance(signers, BundleError):
         return signers
     if signers[0] != statement.author:
-        detail = f"{signers[0]} signed what {statement.author} wrote"
+        detail = (
+            f"{signers[0]} signed as author, but the statement names {statement.author}"
+        )
         return BundleError("author", detail, code="other_author")
     if base is not None:
         error = _change_error(signed, statement, base, signers)
@@ -152,21 +156,23 @@
 ) -> BundleState | BundleError:
     part_by_name, leaf_by_name = place_parts(statement, signed.parts, base)
     if root_of(leaf_by_name) != statement.root:
-        detail = "the parts are not those that were signed"
+        detail = "the parts are not the signed ones"
         return BundleError("root", detail, code="other_parts")
     table_by_name = decode_parts(statement, signed.parts)
     if isinstance(table_by_name, BundleError):
         return table_by_name
-    error = _rechunk_error(statement, signed, base) if base else None
+    error = _missing_chunks_error(statement, signed, base) if base else None
     if error:
         return error
     bundle = assemble(statement, part_by_name, table_by_name, base)
     if isinstance(bundle, BundleError):
         return bundle
-    return _finish(signed, statement, part_by_name, leaf_by_name, bundle, people, links)
+    return _make_state(
+        signed, statement, part_by_name, leaf_by_name, bundle, people, links
+    )
 
 
-def _finish(
+def _make_state(
     signed: SignedBundle,
     statement: Statement,
     part_by_name: dict[str, bytes],
@@ -210,18 +216,18 @@
     return None
 
 
-def _rechunk_error(
+def _missing_chunks_error(
     statement: Statement, signed: SignedBundle, base: BundleState
 ) -> BundleError | None:
-    """Refuse another number of chunks unless every part of them comes along."""
-    kept = base.part_by_name.keys() - signed.parts.keys()
+    """Refuse a new number of chunks unless the change contains all of them."""
+    unchanged = base.part_by_name.keys() - signed.parts.keys()
     before = base.statement
     for section, is_changed in (
         ("accounts", before.chunks != statement.chunks),
         ("upstreams", before.upstream_chunks != statement.upstream_chunks),
     ):
-        if is_changed and any(section_of(name) == section for name in kept):
-            detail = "the number of chunks changed but not every chunk came"
+        if is_changed and any(section_of(name) == section for name in unchanged):
+            detail = "the number of chunks changed, but some chunks are missing"
             return BundleError(section, detail, code="other_parts")
     return None
 
@@ -229,32 +235,34 @@
 def _trust_error(
     statement: Statement, body: bytes, bundle: Bundle
 ) -> BundleError | None:
-    """Check that the statement names the trust that its parts hold."""
+    """Check that the statement refers to the trust that its parts contain."""
     if statement.trust == NO_TRUST:
-        is_named = not bundle.trust and statement.trust_before == NO_TRUST
+        is_consistent = not bundle.trust and statement.trust_before == NO_TRUST
     else:
         before = statement.trust_before
-        is_kept = statement.trust == before
-        is_new = statement.trust.since == statement.number
-        is_named = statement.trust.digest == digest_of(body) and (is_kept or is_new)
-        is_named = is_named and bool(bundle.trust)
-    if is_named:
+        is_unchanged = statement.trust == before
+        is_changed_here = statement.trust.since == statement.number
+        is_consistent = statement.trust.digest == digest_of(body) and (
+            is_unchanged or is_changed_here
+        )
+        is_consistent = is_consistent and bool(bundle.trust)
+    if is_consistent:
         return None
-    return BundleError(TRUST, "is not the one that was signed", code="other_trust")
+    return BundleError(TRUST, "is not the signed one", code="other_trust")
 
 
-def _people_at(
+def _people_for(
     statement: Statement,
     links: tuple[SignedBundle, ...],
     roots: Mapping[str, Person],
     deployment: str,
 ) -> Mapping[str, Person] | BundleError:
-    """Follow the links from the roots to those who may sign ``statement``."""
-    people, reached = roots, NO_TRUST
+    """Follow the trust links to the people who may sign ``statement``."""
+    people, trust_reached = roots, NO_TRUST
     for link in links:
-        if reached == statement.trust_before:
+        if trust_reached == statement.trust_before:
             break
-        inner = _read_statement(link.document, deployment)
+        inner = _decode_statement(link.document, deployment)
         if isinstance(inner, BundleError):
             return inner
         signers = signers_of(link, people)
@@ -264,21 +272,25 @@
         table = decode_parts(inner, {TRUST: body})
         if isinstance(table, BundleError):
             return table
-        is_next = inner.trust_before == reached and inner.trust.since == inner.number
+        is_next = (
+            inner.trust_before == trust_reached and inner.trust.since == inner.number
+        )
         if not is_next or inner.trust.digest != digest_of(body):
-            return BundleError(TRUST, "a link is out of place", code="other_trust")
-        people, reached = table[TRUST], inner.trust
-    if reached != statement.trust_before:
-        return BundleError(TRUST, "links are missing", code="other_trust")
+            return BundleError(
+                TRUST, "a trust link is out of place", code="other_trust"
+            )
+        people, trust_reached = table[TRUST], inner.trust
+    if trust_reached != statement.trust_before:
+        return BundleError(TRUST, "trust links are missing", code="other_trust")
     return people
 
 
 def _links_before(
     statement: Statement, links: tuple[SignedBundle, ...]
 ) -> tuple[SignedBundle, ...]:
-    kept = []
+    earlier = []
     for link in links:
         inner = msgspec.json.decode(link.document, type=Statement)
         if inner.number < statement.number:
-            kept.append(link)
-    return tuple(kept)
+            earlier.append(link)
+    return tuple(earlier)
--- a/fireflyward/bundles/bundle.thrift
+++ b/fireflyward/bundles/bundle.thrift
@@ -1,5 +1,5 @@
-/* What nodes tell one another of bundles. A signed bundle travels as the bytes
-   that the object store holds; whoever gets one verifies it. */
+/* Messages between nodes about bundles. A signed bundle is sent as the bytes that
+   the object store holds; the node that receives one verifies it. */
 namespace py fireflyward.bundles
 
 struct BundleNews {
--- a/tests/bundles/makers.py
+++ b/tests/bundles/makers.py
@@ -1,4 +1,4 @@
-"""Small bundles, keys and states that the tests of this slice share."""
+"""Small bundles, keys and states that several tests share."""
 
 import hashlib
 
--- a/tests/bundles/test_follower.py
+++ b/tests/bundles/test_follower.py
@@ -23,23 +23,23 @@
     return [type(action) for action in actions]
 
 
-class NeverBackTests(unittest.TestCase):
-    def test_nothing_that_is_told_lowers_the_number(self):
-        """Symptom: rules that were withdrawn are back. Sequence: a lagging table
-        replica or a restarted peer tells an old number. Cause: the last word was
-        taken for the newest."""
+class NumberNeverDecreasesTests(unittest.TestCase):
+    def test_no_message_lowers_the_number(self):
+        """Symptom: rules that were withdrawn are in force again. Sequence: a lagging
+        table replica or a restarted peer sends an old number. Cause: the number that
+        was received last counted as the newest."""
         node = follower(7)
         node.on_head(100, 3)
         node.on_peer_number(100, "peer-1", 2)
         node.on_applied(100, 6, PEERS)
         self.assertEqual((node.number, node.head_number, node.target_number), (7, 7, 7))
 
-    def test_lagging_replica_does_not_count_as_a_confirmation(self):
+    def test_head_of_a_lagging_replica_is_no_confirmation(self):
         node = follower(7)
         node.on_head(5_000, 6)
         self.assertEqual(node.confirmed_at_ms, 0)
 
-    def test_peer_that_is_behind_is_told(self):
+    def test_number_is_announced_to_a_peer_that_is_behind(self):
         self.assertEqual(
             follower(7).on_peer_number(1, "peer-1", 5), [AnnounceNumber("peer-1", 7)]
         )
@@ -51,46 +51,46 @@
         self.assertEqual(kinds(node.on_head(10, 2)), [FetchFromStore])
         self.assertEqual(node.on_head(20, 2), [])
 
-    def test_news_are_fetched_from_who_told_them(self):
+    def test_announced_number_is_fetched_from_its_announcer(self):
         self.assertEqual(
             follower().on_peer_number(10, "peer-3", 2), [FetchFromPeer("peer-3", 2)]
         )
 
-    def test_peer_that_lies_is_left_for_the_store(self):
+    def test_false_number_of_a_peer_is_dropped_after_a_failed_fetch(self):
         node = follower()
         node.on_head(5, 1)
         node.on_peer_number(10, "peer-3", 999)
         self.assertEqual(node.on_fetch_failed(20), [])
         self.assertEqual(node.target_number, 1)
 
-    def test_peer_that_stays_silent_is_given_up(self):
+    def test_fetch_from_a_silent_peer_times_out(self):
         node = follower()
         node.on_peer_number(10, "peer-3", 2)
         node.on_peer_number(11, "peer-4", 2)
         actions = node.on_tick(2_600, PEERS)
         self.assertIn(FetchFromPeer("peer-4", 2), actions)
 
-    def test_store_that_fails_is_asked_less_and_less_often(self):
+    def test_failed_fetches_from_the_store_back_off(self):
         node = follower()
         node.on_head(0, 2)
-        asked_ms = []
+        fetched_ms = []
         now_ms = 0
         while now_ms < 10_000:
             if FetchFromStore in kinds(node.on_tick(now_ms, PEERS)):
-                asked_ms.append(now_ms)
-            if node._fetching:
+                fetched_ms.append(now_ms)
+            if node._current_fetch:
                 node.on_fetch_failed(now_ms)
             now_ms += 50
-        gaps = [b - a for a, b in zip(asked_ms, asked_ms[1:], strict=False)]
+        gaps = [b - a for a, b in zip(fetched_ms, fetched_ms[1:], strict=False)]
         self.assertEqual(gaps, sorted(gaps))
         self.assertLessEqual(gaps[-1], 2_000)
 
-    def test_taken_number_is_told_to_a_few(self):
+    def test_applied_number_is_announced_to_a_few_peers(self):
         node = follower()
-        told = node.on_applied(10, 2, PEERS)
-        self.assertEqual(len({action.peer for action in told}), 5)
+        announcements = node.on_applied(10, 2, PEERS)
+        self.assertEqual(len({action.peer for action in announcements}), 5)
 
-    def test_newer_number_heard_while_fetching_is_fetched_next(self):
+    def test_newer_number_received_during_a_fetch_is_fetched_next(self):
         node = follower()
         node.on_peer_number(10, "peer-1", 2)
         node.on_peer_number(11, "peer-2", 3)
@@ -105,8 +105,8 @@
         self.assertEqual(node.poll_period_ms(180), 3_000)
         self.assertEqual(node.poll_period_ms(350), 4_000)
 
-    def test_many_callers_asking_cause_few_reads(self):
-        """Symptom: the table service is overrun. Sequence: callers send numbers
+    def test_numbers_of_many_callers_cause_few_reads(self):
+        """Symptom: the table service is overloaded. Sequence: callers send numbers
         that do not exist. Cause: one read for each request."""
         node = follower()
         reads = 0
@@ -114,7 +114,7 @@
             reads += kinds(node.on_caller_number(now_ms, 10**9)).count(ReadHead)
         self.assertEqual(reads, 5)
 
-    def test_caller_that_saw_what_a_peer_told_causes_a_fetch(self):
+    def test_caller_with_the_current_number_causes_no_action(self):
         node = follower()
         node.on_peer_number(10, "peer-1", 2)
         node.on_fetch_failed(11)
--- a/tests/bundles/test_holder.py
+++ b/tests/bundles/test_holder.py
@@ -5,9 +5,9 @@
 
 
 class HolderTests(unittest.TestCase):
-    def test_number_never_steps_back(self):
-        """Symptom: a withdrawn key works again. Sequence: an older bundle comes
-        from a lagging peer. Cause: whatever came last was taken."""
+    def test_number_never_decreases(self):
+        """Symptom: a withdrawn key works again. Sequence: an older bundle arrives
+        from a lagging peer. Cause: the bundle that arrived last came into force."""
         holder = BundleHolder()
         self.assertTrue(holder.update(bundle(5, ("tower-team",))))
         self.assertFalse(holder.update(bundle(4)))
@@ -15,13 +15,13 @@
         self.assertIsNone(holder.account_of_key("key-bridge-team"))
 
     def test_lookups_of_a_verified_bundle_and_of_a_plain_one_agree(self):
-        for offered in (bundle(), first_state().bundle):
+        for served in (bundle(), first_state().bundle):
             holder = BundleHolder()
             self.assertIsNone(holder.account_of_key("key-tower-team"))
-            holder.update(offered)
+            holder.update(served)
             name, caller, account = holder.account_of_key("key-tower-team")
             self.assertEqual((name, caller), ("tower-team", "portal"))
-            self.assertEqual(account, offered.accounts["tower-team"])
+            self.assertEqual(account, served.accounts["tower-team"])
             self.assertIsNone(holder.account_of_key("key-other"))
 
     def test_withdrawn_key_stops_working_with_the_next_number(self):
--- a/tests/bundles/test_node_status.py
+++ b/tests/bundles/test_node_status.py
@@ -8,12 +8,12 @@
 )
 
 
-def seen(name, number=2, **options):
+def observation(name, number=2, **options):
     options.setdefault("is_reached", True)
     return NodeObservation(name, "norte", number, **options)
 
 
-class WatchTests(unittest.TestCase):
+class NodeStatusTrackerTests(unittest.TestCase):
     def setUp(self):
         self.watch = NodeStatusTracker()
 
@@ -25,11 +25,11 @@
             100,
             2,
             [
-                seen("a"),
-                seen("b", 1),
-                seen("c", 0, is_reached=False),
-                seen("d", is_leaving=True),
-                seen("e", 1, refused="signatures"),
+                observation("a"),
+                observation("b", 1),
+                observation("c", 0, is_reached=False),
+                observation("d", is_leaving=True),
+                observation("e", 1, refused="signatures"),
             ],
         )
         self.assertEqual(
@@ -45,28 +45,30 @@
 
     def test_since_is_when_the_condition_began(self):
         for wall_ms, number in ((100, 1), (200, 1), (300, 2), (400, 2)):
-            self.watch.observe(wall_ms, 2, [seen("a", number)])
+            self.watch.observe(wall_ms, 2, [observation("a", number)])
         self.assertEqual(self.watch.statuses()[0].since_wall_ms, 300)
 
-    def test_each_number_in_force_begins_anew(self):
-        self.watch.observe(100, 1, [seen("a", 1)])
-        self.watch.observe(200, 2, [seen("a", 2)])
-        self.watch.observe(300, 2, [seen("a", 2)])
+    def test_each_new_number_in_force_has_its_own_start(self):
+        self.watch.observe(100, 1, [observation("a", 1)])
+        self.watch.observe(200, 2, [observation("a", 2)])
+        self.watch.observe(300, 2, [observation("a", 2)])
         self.assertEqual(self.watch.statuses()[0].since_wall_ms, 200)
 
-    def test_unreachable_node_keeps_the_number_last_heard(self):
-        self.watch.observe(100, 2, [seen("a")])
-        self.watch.observe(200, 3, [seen("a", 0, is_reached=False)])
+    def test_unreachable_node_keeps_its_last_reported_number(self):
+        self.watch.observe(100, 2, [observation("a")])
+        self.watch.observe(200, 3, [observation("a", 0, is_reached=False)])
         (status,) = self.watch.statuses()
         self.assertEqual((status.number, status.failure_domain), (2, "norte"))
 
     def test_in_force_everywhere_it_can_be(self):
-        self.watch.observe(1, 2, [seen("a"), seen("b", 0, is_reached=False)])
+        self.watch.observe(
+            1, 2, [observation("a"), observation("b", 0, is_reached=False)]
+        )
         self.assertTrue(is_in_force_everywhere(self.watch.statuses()))
-        self.watch.observe(2, 2, [seen("c", 1)])
+        self.watch.observe(2, 2, [observation("c", 1)])
         self.assertFalse(is_in_force_everywhere(self.watch.statuses()))
 
-    def test_forgotten_node_is_gone(self):
-        self.watch.observe(1, 2, [seen("a"), seen("b")])
+    def test_forgotten_node_is_no_longer_listed(self):
+        self.watch.observe(1, 2, [observation("a"), observation("b")])
         self.watch.forget(["a"])
         self.assertEqual(list(self.conditions()), ["b"])
--- a/tests/bundles/test_parts.py
+++ b/tests/bundles/test_parts.py
@@ -16,7 +16,7 @@
 
 
 class ChunksTests(unittest.TestCase):
-    def test_number_of_chunks_is_kept_until_it_is_far_off(self):
+    def test_number_of_chunks_changes_only_beyond_a_factor_of_four(self):
         self.assertEqual(chunks_for(0), 1)
         self.assertEqual(chunks_for(19_000), 2_048)
         self.assertEqual(chunks_for(19_000, 1_024), 1_024)
@@ -44,15 +44,15 @@
             self.assertEqual(found, (name, "portal"))
         self.assertIsNone(self.accounts.find_key(sha256("other")))
 
-    def test_key_that_shares_the_indexed_bytes_is_not_taken_for_another(self):
-        """Symptom: a stranger is served as an account. Cause: the index holds
-        eight bytes of a hash, and only those were compared."""
+    def test_key_with_the_same_indexed_bytes_is_not_found(self):
+        """Symptom: a stranger is served as a client account. Cause: the index has
+        only eight bytes of each hash, and no more than these were compared."""
         digest = sha256(f"key-{NAMES[0]}")
         self.assertIsNone(self.accounts.find_key(digest[:16] + "0" * 48))
 
-    def test_change_leaves_the_earlier_table_as_it_was(self):
+    def test_change_does_not_modify_the_earlier_table(self):
         chunk = chunk_of(NAMES[0], 128)
-        after = self.accounts.changed({chunk: None})
+        after = self.accounts.with_chunks({chunk: None})
         self.assertIn(NAMES[0], self.accounts)
         self.assertNotIn(NAMES[0], after)
         self.assertEqual(len(after), len(list(after)))
@@ -60,7 +60,7 @@
     def test_key_may_move_between_chunks_in_one_change(self):
         one, other = NAMES[0], NAMES[1]
         moved = canonical_bytes({other: account(one)})
-        after = self.accounts.changed(
+        after = self.accounts.with_chunks(
             {chunk_of(one, 128): None, chunk_of(other, 128): moved}
         )
         self.assertNotIsInstance(after, BundleError)
@@ -68,7 +68,7 @@
 
     def test_key_of_an_account_in_another_chunk_is_refused(self):
         thief = canonical_bytes({NAMES[0]: account(NAMES[1])})
-        after = self.accounts.changed({chunk_of(NAMES[0], 128): thief})
+        after = self.accounts.with_chunks({chunk_of(NAMES[0], 128): thief})
         self.assertIsInstance(after, BundleError)
 
     def test_state_holds_accounts_in_this_form(self):
--- a/tests/bundles/test_plan.py
+++ b/tests/bundles/test_plan.py
@@ -23,7 +23,7 @@
         self.assertEqual((plan.loads, plan.load_seconds), (5, 3.6))
         self.assertTrue(any("v1 to v2" in item for item in plan.sentences))
 
-    def test_new_adapter_is_a_load_of_its_own(self):
+    def test_new_adapter_counts_as_a_load(self):
         plan = make_plan(with_engines(1, 4), with_engines(2, 4, adapters=("beams",)))
         self.assertEqual((plan.loads, plan.load_seconds), (4, 2.4))
 
@@ -40,7 +40,7 @@
         plan = make_plan(bundle(1), bundle(2, ("bridge-team",)))
         self.assertEqual(plan.loads, 0)
 
-    def test_nothing_changed_is_said(self):
+    def test_plan_without_changes_says_so(self):
         self.assertIn("Nothing changes", make_plan(bundle(1), bundle(2)).sentences[0])
 
 
@@ -80,7 +80,7 @@
         )
         self.assert_danger(old, new, "engine-1 is trusted")
 
-    def test_person_who_gains_or_loses_power(self):
+    def test_person_who_gains_or_loses_a_role(self):
         fewer = {name: item for name, item in TRUST.items() if name != "carla"}
         self.assert_danger(bundle(1), bundle(2, trust=fewer), "carla can no longer")
         more = {**TRUST, "dora": person(ANA, approve=("*",))}
--- a/tests/bundles/test_signing.py
+++ b/tests/bundles/test_signing.py
@@ -36,7 +36,7 @@
         )
         self.assertIsInstance(verify_bundle(changed, KEYS, "demo"), BundleError)
 
-    def test_author_signature_cannot_stand_for_an_approval(self):
+    def test_author_signature_is_not_valid_as_an_approval(self):
         document = canonical_bytes(BUNDLE)
         author = ANA.sign("author", document)
         forged = type(author)("bruno", "approver", author.value)
--- a/tests/bundles/test_store.py
+++ b/tests/bundles/test_store.py
@@ -21,11 +21,11 @@
 ROOTS = root_people({key.person: key.public_bytes() for key in (ANA, BRUNO, CARLA)})
 
 
-class Died(Exception):
+class SimulatedCrash(Exception):
     pass
 
 
-class QuickClock(Clock):
+class InstantClock(Clock):
     """A clock whose sleeps take no time."""
 
     __slots__ = ()
@@ -34,38 +34,41 @@
         return None
 
 
-class LateTable(MemoryTable):
-    """A table whose next commit takes effect only after ``reads_before`` reads."""
+class DelayedTable(MemoryTable):
+    """A table whose next commit takes effect only after ``reads_before`` reads.
+
+    Its answer is lost.
+    """
 
     def __init__(self):
         super().__init__()
         self.reads_before = 0
-        self._late = None
+        self._delayed = None
 
     async def get(self, key):
-        if self._late:
+        if self._delayed:
             self.reads_before -= 1
             if self.reads_before <= 0:
-                late, self._late = self._late, None
-                await super().commit(**late)
+                delayed, self._delayed = self._delayed, None
+                await super().commit(**delayed)
         return await super().get(key)
 
     async def commit(self, **write):
-        if self.reads_before and not self._late:
-            self._late = write
+        if self.reads_before and not self._delayed:
+            self._delayed = write
             return Uncertain("answer lost")
         return await super().commit(**write)
 
 
 class LosingObjects(MemoryObjects):
-    """An object store that loses the answers of puts, or the puts themselves."""
+    """An object store that loses the answers to puts, or the puts themselves."""
 
-    def __init__(self, *, keeps):
+    def __init__(self, *, stores_puts):
         super().__init__()
-        self.keeps = keeps
+        self.stores_puts = stores_puts
 
     async def put(self, name, body):
-        if self.keeps:
+        if self.stores_puts:
             await super().put(name, body)
         return Uncertain("answer lost")
 
@@ -90,7 +93,7 @@
         self.objects = MemoryObjects()
 
     def store(self, **options):
-        return BundleStore(self.table, self.objects, clock=QuickClock(), **options)
+        return BundleStore(self.table, self.objects, clock=InstantClock(), **options)
 
     async def number(self):
         head = await self.store().head()
@@ -108,15 +111,15 @@
 
     async def test_of_two_racing_operators_one_wins(self):
         """Symptom: two changes under one number. Sequence: both operators read
-        head 0 and write 1. Cause: a write that did not depend on what was read."""
+        head 0 and write 1. Cause: the write did not depend on the head as read."""
         winner, loser = signed(1), signed(1, author=CARLA)
-        self.table.commit = self._other_first(winner)
+        self.table.commit = self._commit_after(winner)
         result = await self.store().accept(*loser)
         self.assertIsInstance(result, Conflict)
         owner = await self.store().accepted(1)
         self.assertEqual(owner.author, "ana")
 
-    def _other_first(self, winner):
+    def _commit_after(self, winner):
         real = self.table.commit
 
         async def commit(**write):
@@ -126,10 +129,11 @@
 
         return commit
 
-    async def test_asking_again_for_a_number_that_is_ours_says_so(self):
-        """Symptom: "lost the race" against oneself. Sequence: accepted, the
-        process dies before it tells, the operator runs submit again. Cause: the
-        number alone was compared, not the digest."""
+    async def test_repeated_submission_of_an_accepted_bundle_is_committed(self):
+        """Symptom: an operator loses the race against their own change. Sequence:
+        the bundle is accepted, the process crashes before it reports that, and the
+        operator runs submit again. Cause: only the number was compared, not the
+        digest."""
         await self.store().accept(*signed(1))
         await self.store().accept(*signed(2))
         self.assertIsInstance(await self.store().accept(*signed(1)), Committed)
@@ -138,27 +142,28 @@
 
 
 class LostAnswerTests(StoreTestCase):
-    async def test_lost_answer_of_a_write_that_landed(self):
+    async def test_lost_answer_to_a_write_that_took_effect(self):
         self.table.lose_answers = 1
         self.assertIsInstance(await self.store().accept(*signed(1)), Committed)
         self.assertEqual(self.table.writes, 1)
 
-    async def test_write_that_lands_after_the_read_back(self):
-        """Symptom: told "not accepted", then it is in force. Sequence: the commit
-        is delayed on the way, the read-back finds the old head. Cause: an old
-        head was taken as proof that the write would never land."""
+    async def test_write_that_takes_effect_after_the_read_back(self):
+        """Symptom: a change is reported as not accepted, but comes into force.
+        Sequence: the commit is delayed in the network, and the read-back finds the
+        old head. Cause: an old head counted as proof that the write had failed."""
         for reads in range(1, 6):
             with self.subTest(reads=reads):
-                self.table = LateTable()
+                self.table = DelayedTable()
                 self.table.reads_before = reads
                 result = await self.store().accept(*signed(1))
                 self.assertIsInstance(result, Committed)
                 self.assertEqual(self.table.writes, 1)
 
     async def test_lost_answer_and_another_operator_already_at_the_next_number(self):
-        """Symptom: told "lost the race" though the change is in force. Sequence:
-        our commit lands, its answer is lost, another operator accepts N+2, then
-        we read back. Cause: only the head's digest was compared."""
+        """Symptom: a lost race is reported although the change was accepted.
+        Sequence: our commit takes effect, its answer is lost, another operator's
+        bundle becomes the next number, and then we read back. Cause: only the
+        head's digest was compared."""
         real = self.table.commit
 
         async def commit(**write):
@@ -171,15 +176,15 @@
         self.assertIsInstance(await self.store().accept(*signed(1)), Committed)
         self.assertEqual(await self.number(), 2)
 
-    async def test_answers_lost_throughout_are_told_as_uncertain(self):
+    async def test_result_is_uncertain_if_all_answers_are_lost(self):
         async def commit(**write):
             return Uncertain("answer lost")
 
         self.table.commit = commit
         self.assertIsInstance(await self.store().accept(*signed(1)), Uncertain)
 
-    async def test_table_away_after_a_lost_answer_is_not_told_as_not_accepted(self):
-        answers = [Uncertain("lost")] + [Unavailable("away")] * 9
+    async def test_result_is_uncertain_if_the_table_fails_after_a_lost_answer(self):
+        answers = [Uncertain("lost")] + [Unavailable("unavailable")] * 9
 
         async def commit(**write):
             return answers.pop(0)
@@ -188,13 +193,13 @@
         self.assertIsInstance(await self.store().accept(*signed(1)), Uncertain)
 
     async def test_lost_answers_of_the_object_store(self):
-        for keeps, outcome in ((True, Committed), (False, Unavailable)):
-            with self.subTest(keeps=keeps):
-                self.objects = LosingObjects(keeps=keeps)
+        for stores_puts, outcome in ((True, Committed), (False, Unavailable)):
+            with self.subTest(stores_puts=stores_puts):
+                self.objects = LosingObjects(stores_puts=stores_puts)
                 result = await self.store().accept(*signed(1))
                 self.assertIsInstance(result, outcome)
 
-    async def test_services_away_accept_nothing(self):
+    async def test_nothing_is_accepted_while_a_service_is_unavailable(self):
         self.objects.away = True
         self.assertIsInstance(await self.store().accept(*signed(1)), Unavailable)
         self.objects.away, self.table.away = False, True
@@ -204,26 +209,26 @@
 
 
 class CrashTests(StoreTestCase):
-    async def test_crash_at_each_step_leaves_a_whole_number_and_can_be_repeated(self):
-        """Symptom: a head that names bytes which nobody can read, or a change
-        counted twice. Sequence: the process dies between two writes and the
-        operator submits again. Cause: the head written before its bytes."""
-        for fatal in AcceptStep:
+    async def test_after_a_crash_at_any_step_the_submission_can_be_repeated(self):
+        """Symptom: a head names bytes that are not stored, or a change gets two
+        numbers. Sequence: the process crashes between two writes, and the operator
+        submits again. Cause: the head was written before its bytes."""
+        for crash_step in AcceptStep:
             for losing in (0, 1):
-                with self.subTest(step=fatal, losing=losing):
-                    await self._crash_at(fatal, losing)
+                with self.subTest(step=crash_step, losing=losing):
+                    await self._crash_at(crash_step, losing)
 
-    async def _crash_at(self, fatal, losing):
+    async def _crash_at(self, crash_step, losing):
         self.setUp()
         self.table.lose_answers = losing
 
-        def die(step):
-            if step is fatal:
-                raise Died
+        def crash(step):
+            if step is crash_step:
+                raise SimulatedCrash
 
         try:
-            await self.store(observe=die).accept(*signed(1))
-        except Died:
+            await self.store(observe=crash).accept(*signed(1))
+        except SimulatedCrash:
             pass
         head = await self.store().head()
         if isinstance(head, tuple):
@@ -234,9 +239,9 @@
 
 
 class SnapshotTests(StoreTestCase):
-    async def test_node_can_start_though_no_later_snapshot_was_ever_kept(self):
-        """Symptom: no new node can start. Sequence: the object store refuses each
-        snapshot, and more changes come than a running node would follow."""
+    async def test_node_can_start_if_no_later_snapshot_was_stored(self):
+        """Symptom: no new node can start. Sequence: the object store refuses every
+        snapshot, and there are more changes than a running node would fetch."""
         change, base = signed(1)[1], None
         for number in range(1, 140):
             bundle = Bundle("demo", number, {}, {}, {})
--- a/tests/bundles/test_toml.py
+++ b/tests/bundles/test_toml.py
@@ -38,12 +38,12 @@
 
 
 class ParseTestCase(unittest.TestCase):
-    def assert_error(self, text, field, *told, line=None):
+    def assert_error(self, text, field, *parts, line=None):
         errors = parse_bundle(text)
         self.assertIsInstance(errors, tuple, "it was accepted")
         found = [error for error in errors if error.field == field]
         self.assertTrue(found, errors)
-        for part in told:
+        for part in parts:
             self.assertIn(part, str(found[0]))
         if line:
             self.assertEqual(found[0].line, line)
@@ -55,14 +55,14 @@
         self.assertIsInstance(parsed, Bundle, parsed)
         self.assertEqual(parsed.accounts["bridge-team"].priority, 5)
 
-    def test_error_says_line_field_value_and_what_is_allowed(self):
+    def test_error_has_line_field_value_and_allowed_values(self):
         text = TEXT.replace("weight = 1", "weight = 5000")
         line = text.splitlines().index("weight = 5000") + 1
         self.assert_error(
             text, "accounts.bridge-team.weight", "5000", "1 to 1000", line=line
         )
 
-    def test_unknown_key_names_the_likely_one(self):
+    def test_error_of_an_unknown_field_suggests_the_likely_one(self):
         text = TEXT.replace("weight = 1", "wieght = 1")
         self.assert_error(text, "accounts.bridge-team.wieght", "'weight'")
 
@@ -86,15 +86,15 @@
             with self.subTest(new=new):
                 self.assert_error(TEXT.replace(old, new, 1), field, "allowed: ")
 
-    def test_every_error_is_told_at_once(self):
+    def test_all_errors_are_returned_at_once(self):
         text = TEXT.replace("weight = 1", "weight = 0\npriority = 10")
         self.assertEqual(len(parse_bundle(text)), 2)
 
-    def test_broken_toml_tells_the_line(self):
+    def test_error_of_invalid_toml_has_the_line(self):
         errors = parse_bundle("deployment = \n")
         self.assertEqual(errors[0].line, 1)
 
-    def test_name_that_could_break_a_path(self):
+    def test_name_with_path_characters_is_refused(self):
         text = TEXT.replace("accounts.bridge-team", 'accounts."a/../b"')
         self.assertIsInstance(parse_bundle(text), tuple)
 
@@ -108,21 +108,21 @@
         text = TEXT.replace('models = ["clauses"]', 'models = ["beams"]', 1)
         self.assert_error(text, "accounts.bridge-team.models", "'beams'", "clauses")
 
-    def test_model_that_nothing_serves(self):
+    def test_model_without_an_upstream(self):
         text = TEXT + '[models.beams]\nversion = "v1"\n'
         self.assert_error(text, "models.beams", "no upstream")
 
-    def test_service_that_nothing_serves(self):
+    def test_service_without_an_upstream(self):
         self.assert_error(TEXT + "[services.stamps]\n", "services.stamps")
 
-    def test_caller_key_of_two_accounts(self):
+    def test_caller_key_in_two_accounts(self):
         text = TEXT + (
             f'[accounts.b]\nmodels = ["clauses"]\n[accounts.b.callers.c]\n'
             f'key_sha256 = "{sha256("k")}"\n'
         )
         self.assert_error(text, "accounts.b.callers.c.key_sha256", "bridge-team")
 
-    def test_pinned_version_that_no_upstream_holds(self):
+    def test_pinned_version_that_no_upstream_serves(self):
         text = TEXT.replace("weight = 1", 'versions = {clauses = "v7"}')
         self.assert_error(text, "accounts.bridge-team.versions.clauses", "'v7'", "v1")
 
@@ -130,11 +130,11 @@
         text = TEXT + '[accounts.b]\nmodels = ["clauses"]\ncallers = {}\n'
         self.assert_error(text, "accounts.b.callers")
 
-    def test_trust_that_locks_everyone_out(self):
+    def test_trust_that_nobody_could_change(self):
         text = TEXT + f'[trust.ana]\nkeys = ["{"ab" * 32}"]\nmay_author = ["*"]\n'
         self.assert_error(text, "trust", "nobody")
 
-    def test_scope_that_means_nothing(self):
+    def test_invalid_scope(self):
         text = TEXT + '[trust.ana]\nmay_author = ["acount:x"]\n'
         self.assert_error(text, "trust.ana", "'acount:x'", "account:")
 
@@ -158,12 +158,12 @@
     @settings(derandomize=True, max_examples=150, deadline=None, database=None)
     @given(st.text(max_size=200))
     def test_any_text_gives_a_bundle_or_errors(self, text):
-        self.assert_judged(parse_bundle(text))
+        self.assert_bundle_or_errors(parse_bundle(text))
 
     @settings(derandomize=True, max_examples=150, deadline=None, database=None)
     @given(st.sampled_from(TEXT.split()), st.text(max_size=12))
     def test_any_word_replaced_gives_a_bundle_or_errors(self, old, new):
-        self.assert_judged(parse_bundle(TEXT.replace(old, new, 1)))
+        self.assert_bundle_or_errors(parse_bundle(TEXT.replace(old, new, 1)))
 
     @settings(derandomize=True, max_examples=100, deadline=None, database=None)
     @given(
@@ -174,7 +174,7 @@
         ),
         st.text(string.printable, min_size=1, max_size=10),
     )
-    def test_what_is_written_reads_back_as_the_same(self, fields, version):
+    def test_written_toml_reads_back_as_an_equal_bundle(self, fields, version):
         accounts = {
             name: Account(
                 ("clauses",),
@@ -188,7 +188,7 @@
         written = bundle(account_by_name=accounts, models={"clauses": Model(version)})
         self.assertEqual(parse_bundle(to_toml(written)), written)
 
-    def assert_judged(self, result):
+    def assert_bundle_or_errors(self, result):
         if not isinstance(result, Bundle):
             self.assertTrue(result)
             self.assertTrue(all(isinstance(error, BundleError) for error in result))
--- a/tests/bundles/test_verify.py
+++ b/tests/bundles/test_verify.py
@@ -51,14 +51,14 @@
 
 
 class ChangeTests(VerifyTestCase):
-    def test_change_gives_the_same_bundle_as_the_whole(self):
+    def test_change_and_snapshot_give_the_same_bundle(self):
         state = verify_demo_change(self.signed(), self.base)
         self.assertEqual(state.bundle, self.following)
         self.assertEqual(
             verify_demo_snapshot(state.snapshot(), state.links).digest, state.digest
         )
 
-    def test_change_carries_only_the_parts_that_changed(self):
+    def test_change_contains_only_the_changed_parts(self):
         accounts = {f"team-{index}": account(f"team-{index}") for index in range(200)}
         base = first_state(account_by_name=accounts)
         accounts = {**accounts, "team-7": account("team-7", weight=9)}
@@ -70,14 +70,14 @@
         self.assertEqual(state.bundle.accounts["team-7"].weight, 9)
         self.assertEqual(base.bundle.accounts["team-7"].weight, 1)
 
-    def test_growing_past_the_chunks_spreads_all_accounts_anew(self):
+    def test_new_number_of_chunks_redistributes_all_accounts(self):
         accounts = {f"team-{index}": account(f"team-{index}") for index in range(400)}
         state = next_state(self.base, bundle(2, account_by_name=accounts))
         self.assertEqual(state.bundle.accounts, accounts)
         again = next_state(state, bundle(3))
         self.assertEqual(again.bundle, bundle(3))
 
-    def test_removed_account_is_gone_with_its_key(self):
+    def test_removed_account_is_removed_with_its_key(self):
         state = next_state(self.base, bundle(2, ("bridge-team",)))
         self.assertNotIn("tower-team", state.bundle.accounts)
         key = account("tower-team").callers["portal"].key_sha256
@@ -86,8 +86,8 @@
 
 class RefusalTests(VerifyTestCase):
     def test_stolen_single_key_cannot_sign_for_two(self):
-        """Symptom: one stolen key changes everything. Sequence: its thief signs
-        as the author and again, under a colleague's name, as the approver."""
+        """Symptom: one stolen key is enough to change everything. Sequence: the thief
+        signs with it as the author and, under a colleague's name, as the approver."""
         forged = with_author(draft(self.following, author="ana", base=self.base), ANA)
         as_bruno = SigningKey("bruno", ANA._private)
         self.assert_refused(
@@ -138,7 +138,7 @@
         self.assert_refused(verify_demo_change(by_old, state), "revoked_key")
         self.assertIsInstance(verify_demo_change(by_new, state), BundleState)
 
-    def test_rotation_accepts_both_keys_for_a_while(self):
+    def test_both_keys_are_valid_during_a_rotation(self):
         new_ana = SigningKey.from_seed("ana", b"5" * 32)
         both = {**TRUST, "ana": person(ANA, new_ana, author=("*",))}
         state = next_state(self.base, bundle(2, trust=both))
@@ -187,8 +187,8 @@
         self.assert_refused(verify_demo_change(altered, self.base), "bad_signature")
 
     def test_bytes_that_are_not_canonical(self):
-        """Symptom: one bundle with two digests. Cause: a space more in the JSON
-        means the same but hashes to something else."""
+        """Symptom: one bundle has two digests. Cause: JSON with an additional space
+        has the same meaning but another hash."""
         drafted = draft(self.following, author="ana", base=self.base)
         document = drafted.document.replace(b'":', b'": ', 1)
         spaced = SignedBundle(document, (), drafted.parts)
@@ -212,14 +212,14 @@
         altered = SignedBundle(signed.document, signed.signatures, parts)
         self.assert_refused(verify_demo_change(altered, self.base), "other_parts")
 
-    def test_account_in_the_chunk_of_another(self):
+    def test_account_in_another_chunk_than_its_own(self):
         table = canonical_bytes({"tower-x": account("tower-x")})
         following = self._with_part(table, name="accounts/0777")
         self.assert_refused(verify_demo_change(following, self.base), "misplaced")
 
     def test_key_of_another_account(self):
-        """Symptom: one account's answers reach another. Sequence: a team puts a
-        key into its account that a second account in another chunk has."""
+        """Symptom: one account's answers reach another. Sequence: a team adds to its
+        account a key that an account in another chunk already has."""
         accounts = {f"tower-{index}": account(f"tower-{index}") for index in range(99)}
         base = first_state(account_by_name=accounts)
         thief = {**accounts, "tower-5": account("tower-77")}
@@ -237,12 +237,12 @@
         signed = with_approver(with_author(drafted, ANA), BRUNO)
         self.assert_refused(verify_demo_change(signed, self.base), "other_trust")
 
-    def test_trust_cannot_be_emptied(self):
+    def test_trust_cannot_be_removed(self):
         signed = self.signed(following=bundle(2, trust={}))
         self.assert_refused(verify_demo_change(signed, self.base), "other_trust")
 
     def _with_part(self, body, name="models"):
-        """Sign a change whose one part is ``body``, as a hostile pair could."""
+        """Sign a change with ``body`` as its only part, as two attackers could."""
         from fireflyward.bundles._parts import leaf_of, root_of
 
         drafted = draft(bundle(2), author="ana", base=self.base)
@@ -254,7 +254,7 @@
         return with_approver(with_author(unsigned, ANA), BRUNO)
 
 
-class WholeTests(VerifyTestCase):
+class SnapshotTests(VerifyTestCase):
     def setUp(self):
         super().setUp()
         self.new_ana = SigningKey.from_seed("ana", b"5" * 32)
@@ -267,7 +267,7 @@
             self.second, bundle(3, ("bridge-team",), trust=rotated), self.new_ana
         )
 
-    def test_new_node_follows_trust_from_the_roots(self):
+    def test_new_node_verifies_trust_from_the_roots_on(self):
         state = verify_demo_snapshot(self.third.snapshot(), self.third.links)
         self.assertEqual(state.bundle, self.third.bundle)
         self.assertEqual(state.people, self.third.people)
@@ -302,5 +302,5 @@
             verify_demo_snapshot(snapshot, self.second.links), "revoked_key"
         )
 
-    def test_accounts_stay_encoded(self):
+    def test_accounts_of_the_state_are_chunked(self):
         self.assertIsInstance(self.third.bundle.accounts, ChunkedAccounts)
