--- a/fireflyward/admin/_desk.py
+++ b/fireflyward/admin/_desk.py
@@ -232,7 +232,7 @@
     ) -> SubmitReply:
         digest = digest_of(signed.document)
         if error.code in _RACE_CODES and statement.deployment == self.deployment:
-            owner = await self._store.accepted(statement.number)
+            owner = await self._store.accepted_head(statement.number)
             if isinstance(owner, Head) and owner.digest == digest:
                 detail = "it was accepted before"
                 return SubmitReply(
@@ -255,7 +255,7 @@
     ) -> SubmitReply:
         digest = digest_of(signed.document)
         if isinstance(result, Conflict):
-            owner = await self._store.accepted(statement.number)
+            owner = await self._store.accepted_head(statement.number)
             if isinstance(owner, Head):
                 return await self._raced(signed, statement, owner)
             return SubmitReply(
@@ -300,7 +300,7 @@
         state = self._node.state()
         if state is not None and state.number == number:
             return state
-        head = await self._store.accepted(number)
+        head = await self._store.accepted_head(number)
         if not isinstance(head, Head):
             return ErrorReply("no_bundle", f"number {number} is not kept")
         whole = await self._store.fetch_snapshot(head)
--- a/fireflyward/bundles/_store.py
+++ b/fireflyward/bundles/_store.py
@@ -98,7 +98,7 @@
             return rows
         return tuple(msgspec.json.decode(row.value, type=Head) for row in rows)
 
-    async def accepted(self, number: int) -> Head | Missing | Unavailable:
+    async def accepted_head(self, number: int) -> Head | Missing | Unavailable:
         """Return the head that was written when ``number`` was accepted."""
         row = await self._table.get(history_key(number))
         if not isinstance(row, Row):
@@ -282,7 +282,7 @@
         operator submits it again.
         """
         if number <= current:
-            found = await self.accepted(number)
+            found = await self.accepted_head(number)
             if isinstance(found, Head) and found.digest == digest:
                 return Committed({HEAD_KEY: current})
         return Conflict({HEAD_KEY: current})
@@ -310,7 +310,7 @@
             if isinstance(result, Unavailable) and not may_be_written:
                 return result
             may_be_written = may_be_written or isinstance(result, Uncertain)
-            accepted_head = await self.accepted(head.number)
+            accepted_head = await self.accepted_head(head.number)
             self._observe(AcceptStep.READ_BACK)
             if isinstance(accepted_head, Head):
                 self._observe(AcceptStep.SETTLED)
--- a/tests/bundles/test_store.py
+++ b/tests/bundles/test_store.py
@@ -116,7 +116,7 @@
         self.table.commit = self._commit_after(winner)
         result = await self.store().accept(*loser)
         self.assertIsInstance(result, Conflict)
-        owner = await self.store().accepted(1)
+        owner = await self.store().accepted_head(1)
         self.assertEqual(owner.author, "ana")
 
     def _commit_after(self, winner):
