--- a/fireflyward/commands/_bundle.py
+++ b/fireflyward/commands/_bundle.py
@@ -103,7 +103,7 @@
     """Run one action and return its exit code."""
     import asyncio
 
-    from ._bundle_work import ACTIONS, is_offline, run_action
+    from ._bundle_actions import ACTIONS, is_offline, run_action
 
     settings = load_operator_settings(options)
     if settings is None:
