--- a/fireflyward/commands/_bundle_actions.py
+++ b/fireflyward/commands/_bundle_actions.py
@@ -28,7 +28,7 @@
     with_author,
 )
 
-from ._bundle_show import CheckedFile, SignedFile, WrittenFile, show
+from ._bundle_output import CheckedFile, SignedFile, WrittenFile, show
 from ._common import EXIT_FAILED, EXIT_OK, EXIT_USAGE, complain
 from ._operator import (
     AS_JSON,
