--- a/fireflyward/__init__.py
+++ b/fireflyward/__init__.py
@@ -1,7 +1,7 @@
-"""Fireflyward serves prompts whose callers come back after long gaps.
+"""Fireflyward serves prompts whose callers return after long gaps.
 
-The package is a library with thin daemons: each duty is a sub-package with its
-own state, messages and decisions, and ``fireflyward.daemon`` puts them together
+The package is a library with thin daemons: each function of a node is a sub-package
+with its own state, messages and decisions, and ``fireflyward.daemon`` combines them
 into the one program that every entry VM runs.
 """
 
--- a/fireflyward/__main__.py
+++ b/fireflyward/__main__.py
@@ -20,12 +20,12 @@
     "rollout",
 )
 _DESCRIPTION = (
-    "Serves prompts whose callers come back after long gaps. "
-    "Operators drive it only through signed bundles."
+    "Serves prompts whose callers return after long gaps. "
+    "Operators configure it only through signed bundles."
 )
 _EXIT_CODES = (
-    "Exit codes: 0 done; 1 tried and failed; 2 refused before anything began; "
-    "3 stopped by a broken invariant."
+    "Exit codes: 0 success; 1 failure; 2 wrong usage or settings, nothing was "
+    "started; 3 stopped by a broken invariant."
 )
 
 
@@ -36,7 +36,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command and all its subcommands."""
+    """Return the parser of the command and of all its subcommands."""
     parser = argparse.ArgumentParser(
         prog="fireflyward", description=_DESCRIPTION, epilog=_EXIT_CODES
     )
--- a/fireflyward/commands/__init__.py
+++ b/fireflyward/commands/__init__.py
@@ -1,8 +1,8 @@
 """The subcommands of ``fireflyward``, one module each.
 
-A module has ``add(commands)``, which gives its parser to argparse and sets
-``run``: a function of the parsed options that returns an exit code. Heavy imports
-stay inside ``run``, so that ``fireflyward --help`` answers at once.
+Each module has a function ``add(commands)``, which adds a parser and sets its
+default ``run``: a function that gets the parsed options and returns an exit code.
+Slow imports are made inside ``run``, so that ``fireflyward --help`` is fast.
 """
 
 from ._common import EXIT_FAILED, EXIT_OK, EXIT_USAGE
--- a/fireflyward/commands/_bench.py
+++ b/fireflyward/commands/_bench.py
@@ -1,15 +1,15 @@
-"""``fireflyward bench``: measurements against their bounds."""
+"""``fireflyward bench``: runs measurements and compares them with bounds."""
 
 import argparse
 
-from ._common import EXIT_FAILED, EXIT_OK, EXIT_USAGE, complain
+from ._common import EXIT_FAILED, EXIT_OK, EXIT_USAGE, print_error
 
 
 def add(commands) -> None:
     """Add the subcommand."""
     parser = commands.add_parser(
         "bench",
-        help="measure, and hold the figures against their bounds",
+        help="run measurements and compare the figures with their bounds",
         description="Runs measurements and prints figure, bound and verdict of each. "
         "Exits 1 if a bound is missed.",
     )
@@ -30,12 +30,14 @@
     bench_by_name = find_benches()
     unknown = sorted(set(options.names) - set(bench_by_name))
     if unknown:
-        complain(f"no bench {unknown[0]!r}; known: {', '.join(bench_by_name)}")
+        print_error(
+            f"unknown measurement {unknown[0]!r}; known: {', '.join(bench_by_name)}"
+        )
         return EXIT_USAGE
     benches = [bench_by_name[name] for name in options.names or bench_by_name]
     rows = []
     for row in run_benches(benches, load_bounds(Path(options.bounds))):
-        print(_line(row), flush=True)
+        print(_format_row(row), flush=True)
         rows.append(row)
     if options.report:
         from fireflyward.bench import write_report
@@ -45,7 +47,7 @@
     return EXIT_FAILED if missed else EXIT_OK
 
 
-def _line(row) -> str:
+def _format_row(row) -> str:
     figure = row.figure
     return (
         f"{figure.name:<56} {figure.value:>12.4g} {figure.unit:<12} "
--- a/fireflyward/commands/_bundle.py
+++ b/fireflyward/commands/_bundle.py
@@ -1,4 +1,4 @@
-"""``fireflyward bundle``: write, sign, submit and watch bundles."""
+"""``fireflyward bundle``: writes, signs, submits and shows bundles."""
 
 import argparse
 
@@ -8,7 +8,7 @@
 from ._operator import (
     AS_JSON,
     OPERATOR_EXIT_CODES,
-    load_operator,
+    load_operator_key,
     load_operator_settings,
 )
 
@@ -19,9 +19,9 @@
     """Add the subcommands."""
     parser = commands.add_parser(
         "bundle",
-        help="write, check, sign, submit and watch bundles",
-        description="A bundle states everything that operators decide. Its author "
-        "signs it, a colleague approves it, and one of them submits it.",
+        help="write, check, sign, submit and show bundles",
+        description="A bundle is the complete configuration of a deployment. Its "
+        "author signs it, a colleague approves it, and one of them submits it.",
         epilog=OPERATOR_EXIT_CODES,
     )
     inner = parser.add_subparsers(required=True, metavar="ACTION")
@@ -31,40 +31,46 @@
 
 
 def _add_writing(inner) -> None:
-    new = _action(inner, "new", "write a file to start from: the bundle in force")
-    new.add_argument("file", help="where to write it; never overwrites")
-    new.add_argument("--deployment", help="write a first bundle with comments instead")
-    check = _action(inner, "check", "check a file as the nodes would")
+    new = _action(inner, "new", "write the bundle in force to a file, to edit it")
+    new.add_argument("file", help="file to write; it must not exist yet")
+    new.add_argument("--deployment", help="write a commented first bundle instead")
+    check = _action(inner, "check", "check a file as the nodes do")
     check.add_argument("file")
     check.add_argument(
-        "--offline", action="store_true", help="check the file alone, ask no node"
+        "--offline",
+        action="store_true",
+        help="check the file alone, without asking a node",
     )
     diff = _action(inner, "diff", "show what a file changes, by meaning")
-    diff.add_argument("file", help="a bundle, or one that is signed")
-    diff.add_argument("--against", help="another file; the bundle in force otherwise")
-    plan = _action(inner, "plan", "tell what a file would change, and for whom")
-    plan.add_argument("file", help="a bundle, or one that is signed")
+    diff.add_argument("file", help="a bundle or a signed bundle")
+    diff.add_argument(
+        "--against", help="file to compare with; default: the bundle in force"
+    )
+    plan = _action(inner, "plan", "show what a file would change, and for whom")
+    plan.add_argument("file", help="a bundle or a signed bundle")
 
 
 def _add_signing(inner) -> None:
     sign = _action(inner, "sign", "sign a file as its author")
     sign.add_argument("file")
     _add_signed_output(sign)
-    approve = _action(inner, "approve", "sign a colleague's bundle, after its plan")
+    approve = _action(
+        inner, "approve", "show the plan of a colleague's bundle and sign it"
+    )
     approve.add_argument("signed", help="the signed file, or a proposal's digest")
-    approve.add_argument("--out", help="where to write it; FILE.approved otherwise")
+    approve.add_argument("--out", help="file to write; default: FILE.approved")
     approve.add_argument(
-        "--yes", action="store_true", help="do not ask after the plan was shown"
+        "--yes", action="store_true", help="sign without asking for confirmation"
     )
-    submit = _action(inner, "submit", "have a bundle with both signatures accepted")
+    submit = _action(inner, "submit", "submit a bundle with both signatures")
     submit.add_argument("signed")
-    revert = _action(inner, "revert", "draft an earlier bundle as the next number")
+    revert = _action(inner, "revert", "sign an earlier bundle under the next number")
     revert.add_argument("number", type=int)
     _add_signed_output(revert)
 
 
 def _add_showing(inner) -> None:
-    status = _action(inner, "status", "show which number each node serves by")
+    status = _action(inner, "status", "show the number in force at each node")
     status.add_argument(
         "--wait",
         type=float,
@@ -72,20 +78,21 @@
         const=_WAIT_SECONDS,
         default=0.0,
         metavar="SECONDS",
-        help=f"wait until it is in force everywhere it can be; {_WAIT_SECONDS:g} s",
+        help="wait until the number is in force at every reachable node; without "
+        f"SECONDS at most {_WAIT_SECONDS:g} s",
     )
     history = _action(inner, "history", "list the last accepted numbers")
     history.add_argument("--limit", type=int, default=20)
-    _action(inner, "proposals", "list what waits for a colleague's signature")
+    _action(inner, "proposals", "list bundles that wait for a colleague's signature")
 
 
 def _add_signed_output(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--note", default="", help="one line on why, for colleagues")
-    parser.add_argument("--out", help="where to write it; FILE.signed otherwise")
+    parser.add_argument("--note", default="", help="reason for the change in one line")
+    parser.add_argument("--out", help="file to write; default: FILE.signed")
     parser.add_argument(
         "--propose",
         action="store_true",
-        help="leave it with the nodes for a colleague too",
+        help="also store it at the nodes, for a colleague to approve",
     )
 
 
@@ -110,8 +117,8 @@
         return EXIT_USAGE
     key = None
     if not is_offline(options):
-        key = load_operator(settings["key_file"], options)
+        key = load_operator_key(settings["key_file"], options)
         if key is None:
             return EXIT_USAGE
-    work = ACTIONS[options.action]
-    return asyncio.run(run_action(work, options, settings["admin_url"], key))
+    action = ACTIONS[options.action]
+    return asyncio.run(run_action(action, options, settings["admin_url"], key))
--- a/fireflyward/commands/_bundle_output.py
+++ b/fireflyward/commands/_bundle_output.py
@@ -1,4 +1,4 @@
-"""How results of ``fireflyward bundle`` look to people."""
+"""The text output of ``fireflyward bundle``."""
 
 import datetime
 from collections.abc import Iterator
@@ -16,18 +16,18 @@
 )
 from fireflyward.bundles import Difference, Plan
 
-_SHOWN_DIGEST = 16
-_MOST_LISTED = 40
+_SHOWN_DIGEST_CHARACTERS = 16
+_MAX_LISTED = 40
 
 
 class WrittenFile(msgspec.Struct, frozen=True):
-    """A file that was written for the operator to edit."""
+    """The result of ``new``: a file for the operator to edit."""
 
     file: str
 
 
 class CheckedFile(msgspec.Struct, frozen=True):
-    """What a check found."""
+    """The result of ``check``."""
 
     file: str
     problems: tuple[str, ...] = ()
@@ -35,7 +35,7 @@
 
 
 class SignedFile(msgspec.Struct, frozen=True):
-    """A signed file that was written."""
+    """The result of ``sign``, ``approve`` and ``revert``: a signed file."""
 
     file: str
     number: int
@@ -46,17 +46,17 @@
 
 
 @singledispatch
-def show(value: Any) -> Iterator[str]:
-    """Yield the lines that tell a result."""
+def result_lines(value: Any) -> Iterator[str]:
+    """Yield the lines of text that show a result."""
     raise TypeError(f"cannot show {value!r}")
 
 
-@show.register
+@result_lines.register
 def _(value: WrittenFile) -> Iterator[str]:
     yield f"wrote {value.file}; edit it, then: fireflyward bundle check {value.file}"
 
 
-@show.register
+@result_lines.register
 def _(value: CheckedFile) -> Iterator[str]:
     for problem in value.problems:
         yield f"{value.file}: {problem}"
@@ -66,7 +66,7 @@
         yield f"{value.file}: no problem found"
 
 
-@show.register(tuple)
+@result_lines.register(tuple)
 def _(value: tuple[Difference, ...]) -> Iterator[str]:
     for item in value:
         yield str(item)
@@ -74,7 +74,7 @@
         yield "no difference"
 
 
-@show.register
+@result_lines.register
 def _(value: Plan) -> Iterator[str]:
     yield f"Bundle {value.number} would do this:"
     for sentence in value.sentences:
@@ -85,16 +85,16 @@
         yield f"  ! {danger}"
 
 
-@show.register
+@result_lines.register
 def _(value: SignedFile) -> Iterator[str]:
-    yield from show(value.plan)
+    yield from result_lines(value.plan)
     yield f"wrote {value.file}, signed by {' and '.join(value.signed_by)}"
     yield f"digest {value.digest}"
     if value.is_proposed:
         yield f"a colleague signs it with: fireflyward bundle approve {value.digest}"
 
 
-@show.register
+@result_lines.register
 def _(value: SubmitReply) -> Iterator[str]:
     if value.outcome is SubmitOutcome.ACCEPTED:
         yield f"bundle {value.number} is accepted. {value.detail}".rstrip()
@@ -107,58 +107,59 @@
         winner = value.winner
         yield (
             f"  {winner.number} is {winner.author}'s, approved by {winner.approver}, "
-            f"{_time(winner.accepted_wall_ms)}: {winner.note or 'no note'}"
+            f"{_format_time(winner.accepted_wall_ms)}: {winner.note or 'no note'}"
         )
-    for item in value.differs[:_MOST_LISTED]:
-        yield f"  yours against theirs: {item}"
+    for item in value.differs[:_MAX_LISTED]:
+        yield f"  change from theirs to yours: {item}"
 
 
-@show.register
+@result_lines.register
 def _(value: HistoryReply) -> Iterator[str]:
     for head in value.heads:
         yield (
-            f"{head.number:>6}  {_time(head.accepted_wall_ms)}  {head.author} and "
-            f"{head.approver}  {head.digest[:_SHOWN_DIGEST]}  {head.note}".rstrip()
+            f"{head.number:>6}  {_format_time(head.accepted_wall_ms)}  {head.author} "
+            f"and {head.approver}  {head.digest[:_SHOWN_DIGEST_CHARACTERS]}  "
+            f"{head.note}".rstrip()
         )
 
 
-@show.register
+@result_lines.register
 def _(value: ProposalsReply) -> Iterator[str]:
     for item in value.proposals:
         stale = "  (stale: another bundle came first)" if item.is_stale else ""
         yield (
-            f"{item.number:>6}  {_time(item.proposed_wall_ms)}  {item.author}  "
+            f"{item.number:>6}  {_format_time(item.proposed_wall_ms)}  {item.author}  "
             f"{item.digest}  {item.note}{stale}".rstrip()
         )
     if not value.proposals:
-        yield "nothing waits for a signature"
+        yield "no bundle waits for a signature"
 
 
-@show.register
+@result_lines.register
 def _(value: StatusReply) -> Iterator[str]:
     if not value.number:
         yield "no bundle is in force yet"
         return
     yield (
         f"bundle {value.number}, by {value.author or '-'} and {value.approver or '-'}, "
-        f"accepted {_time(value.accepted_wall_ms)}"
+        f"accepted {_format_time(value.accepted_wall_ms)}"
     )
     if not value.is_confirmed:
         yield (
             "  NOT CONFIRMED: the table service cannot be read; this is the highest "
-            "number that this node knows of"
+            "number that this node has received"
         )
     for node in value.nodes:
         refused = f"  {node.refused}" if node.refused else ""
         yield (
             f"  {node.name:<24} {node.failure_domain:<16} {node.number:>6}  "
-            f"{node.condition} since {_time(node.since_wall_ms)}{refused}"
+            f"{node.condition} since {_format_time(node.since_wall_ms)}{refused}"
         )
     verdict = "" if value.is_in_force_everywhere else "NOT "
-    yield f"{verdict}in force everywhere it can be"
+    yield f"{verdict}in force at every reachable node"
 
 
-def _time(wall_ms: int) -> str:
+def _format_time(wall_ms: int) -> str:
     if not wall_ms:
         return "-"
     moment = datetime.datetime.fromtimestamp(wall_ms / 1_000, datetime.UTC)
--- a/fireflyward/commands/_common.py
+++ b/fireflyward/commands/_common.py
@@ -1,4 +1,4 @@
-"""What the subcommands share."""
+"""Exit codes and helper functions of the subcommands."""
 
 import argparse
 import os
@@ -15,15 +15,15 @@
 def load_settings(
     options: argparse.Namespace, declared: tuple[Setting, ...] = SERVE_SETTINGS
 ) -> Settings | None:
-    """Check the settings of a node; print every refusal and return None if any."""
+    """Return a node's settings, or print what is wrong with them and return None."""
     result = load(declared, vars(options), os.environ)
     if isinstance(result, Settings):
         return result
-    for refused in result:
-        complain(str(refused))
+    for problem in result:
+        print_error(str(problem))
     return None
 
 
-def complain(text: str) -> None:
-    """Write one line to standard error in the command's name."""
+def print_error(text: str) -> None:
+    """Print one line to standard error, prefixed with the command's name."""
     print(f"fireflyward: {text}", file=sys.stderr)
--- a/fireflyward/commands/_demo.py
+++ b/fireflyward/commands/_demo.py
@@ -1,4 +1,4 @@
-"""``fireflyward demo``: the whole system at work in one process."""
+"""``fireflyward demo``: runs the complete system in one process."""
 
 import argparse
 
@@ -9,9 +9,10 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         "demo",
-        help="see the whole system at work, with stand-ins, in one process",
-        description="Starts stand-ins and nodes, serves prompts through losses, and "
-        "tells what was reused. Exits 1 if anything was lost, doubled or mixed.",
+        help="run the complete system, with stand-ins, in one process",
+        description="Starts stand-ins and nodes, serves prompts during failures, and "
+        "reports what was reused. Exits 1 if an answer was lost, duplicated or mixed "
+        "up.",
     )
     parser.add_argument(
         "--json", action="store_true", help="end with one JSON object on the last line"
@@ -20,7 +21,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run the demo to its end."""
+    """Run the demo until it is complete."""
     import asyncio
 
     from fireflyward.demo import run_demo
--- a/fireflyward/commands/_load.py
+++ b/fireflyward/commands/_load.py
@@ -1,4 +1,4 @@
-"""``fireflyward load``: ask nodes as many good callers would, and check."""
+"""``fireflyward load``: sends the requests of many callers and checks the answers."""
 
 import argparse
 
@@ -11,22 +11,26 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         "load",
-        help="ask nodes as many good callers would, and check every answer",
+        help="send the requests of many well-behaved callers and check every answer",
         description="Sends prompts, streams and non-idempotent calls, drawn from a "
-        "seed, to nodes that stand before stand-in engines; asks again after cuts "
-        "and refusals as docs/API.md says; holds each answer against the only right "
-        "one. Ends with one JSON object; exits 1 if anything was lost, doubled or "
-        "mixed. Doubles are seen in answers only; the service's own record is not "
-        "read.",
+        "seed, to nodes in front of stand-in engines; after cuts and rejections sends "
+        "them again as docs/API.md says; compares each answer with the only correct "
+        "one. Prints one JSON object at the end; exits 1 if an answer was lost, "
+        "duplicated or mixed up. Duplicates are detected in answers only; the "
+        "service's own record is not read.",
     )
     parser.add_argument("urls", nargs="+", metavar="URL", help="base URL of a node")
-    parser.add_argument("--requests", type=int, default=1_000, help="how many")
-    parser.add_argument("--callers", type=int, default=16, help="how many at once")
-    parser.add_argument("--seed", type=int, default=1, help="what to draw from")
+    parser.add_argument(
+        "--requests", type=int, default=1_000, help="number of requests"
+    )
+    parser.add_argument(
+        "--callers", type=int, default=16, help="number of concurrent callers"
+    )
+    parser.add_argument("--seed", type=int, default=1, help="seed of the requests")
     parser.add_argument(
         "--keys", default=_KEYS, help="account=key of each caller, comma separated"
     )
-    parser.add_argument("--model", default="clauses", help="model that is asked")
+    parser.add_argument("--model", default="clauses", help="model of the prompts")
     parser.add_argument(
         "--versions", default="v1", help="weight versions in force, comma separated"
     )
@@ -39,7 +43,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run the load and print its report."""
+    """Send the requests and print the report."""
     import asyncio
 
     import msgspec
--- a/fireflyward/commands/_replay.py
+++ b/fireflyward/commands/_replay.py
@@ -1,4 +1,4 @@
-"""``fireflyward replay``: a day's prompts under several policies, in one table."""
+"""``fireflyward replay``: compares policies on a day's prompts, in one table."""
 
 import argparse
 import sys
@@ -13,9 +13,9 @@
     parser = commands.add_parser(
         "replay",
         help="compare policies on a day's prompts that return after long gaps",
-        description="Draws a deployment's prompts from a seed and replays them on a "
-        "clock that jumps. Counts are the same every time. A whole day takes a minute "
-        "or two for each policy; --small is for a first look.",
+        description="Draws a deployment's prompts from a seed and replays them in "
+        "simulated time. The counts are the same in each run. A whole day takes a "
+        "minute or two for each policy; --small is for a first look.",
     )
     parser.add_argument("deployment", choices=("andinos", "nota-birlik"))
     parser.add_argument("--seed", type=int, default=1, help="default: 1")
@@ -37,18 +37,18 @@
 
     from fireflyward.workloads import Policy, Setting, replay, table_row, workload
 
-    from ._common import EXIT_USAGE, complain
+    from ._common import EXIT_USAGE, print_error
 
     row_by_name = {str(row): row for row in (*Policy, *Setting)}
     names = options.policy or list(row_by_name)
     unknown = [name for name in names if name not in row_by_name]
     if unknown:
-        complain(f"no policy {unknown[0]!r}; known: {', '.join(row_by_name)}")
+        print_error(f"unknown policy {unknown[0]!r}; known: {', '.join(row_by_name)}")
         return EXIT_USAGE
     load = workload(options.deployment, is_small=options.small)
     prompts = load.prompts(options.seed)
     if not options.json:
-        _print_head()
+        _print_header()
     rows = []
     for name in names:
         result = replay(load, prompts, row_by_name[name], options.seed)
@@ -65,7 +65,7 @@
     return EXIT_OK
 
 
-def _print_head() -> None:
+def _print_header() -> None:
     print(
         _COLUMNS.format(
             "policy", "recomputed", "p50 ms", "p95 ms", "p99 ms", "link TB", "prompts"
--- a/fireflyward/commands/_rollout.py
+++ b/fireflyward/commands/_rollout.py
@@ -1,10 +1,10 @@
-"""``fireflyward rollout``: how far replicas are on the way to the bundle."""
+"""``fireflyward rollout``: shows the progress of replicas towards the bundle."""
 
 import argparse
 
 from fireflyward.settings import SERVE_SETTINGS, add_flags
 
-from ._common import EXIT_FAILED, EXIT_OK, EXIT_USAGE, complain, load_settings
+from ._common import EXIT_FAILED, EXIT_OK, EXIT_USAGE, load_settings, print_error
 
 _READ_SETTINGS = tuple(item for item in SERVE_SETTINGS if item.name == "table_url")
 
@@ -13,15 +13,15 @@
     """Add the subcommand."""
     rollout = commands.add_parser(
         "rollout",
-        help="show how far replicas are on the way to the bundle",
-        description="Shows rollouts. Nothing here changes one: only bundles do.",
+        help="show the progress of replicas towards the bundle in force",
+        description="Shows rollouts. Only bundles change them; no command does.",
     )
     actions = rollout.add_subparsers(required=True, metavar="ACTION")
     status = actions.add_parser(
         "status",
         help="print the rollout's state and, if it is held, the next step",
         description="Reads the table service. Exits 1 if the rollout is held or "
-        "the table does not answer.",
+        "the table service is unavailable.",
     )
     status.add_argument("--json", action="store_true", help="print one JSON object")
     add_flags(status, SERVE_SETTINGS)
@@ -29,7 +29,7 @@
 
 
 def run_status(options: argparse.Namespace) -> int:
-    """Print the state that the table has."""
+    """Print the rollout's state from the table."""
     import asyncio
 
     import msgspec
@@ -40,9 +40,9 @@
     settings = load_settings(options, _READ_SETTINGS)
     if settings is None:
         return EXIT_USAGE
-    row = asyncio.run(_read(settings["table_url"]))
+    row = asyncio.run(_read_rollout_row(settings["table_url"]))
     if isinstance(row, Unavailable):
-        complain(f"the table service does not answer: {row.detail}")
+        print_error(f"the table service is unavailable: {row.detail}")
         return EXIT_FAILED
     if options.json:
         print(msgspec.json.encode(row).decode())
@@ -51,7 +51,7 @@
     return EXIT_FAILED if row.phase == Phase.HELD else EXIT_OK
 
 
-async def _read(table_url: str):
+async def _read_rollout_row(table_url: str):
     import aiohttp
 
     from fireflyward.backing import HttpTable, Missing, Unavailable
--- a/fireflyward/commands/_serve.py
+++ b/fireflyward/commands/_serve.py
@@ -1,4 +1,4 @@
-"""``fireflyward serve``: one entry VM's node."""
+"""``fireflyward serve``: runs one entry VM's node."""
 
 import argparse
 
@@ -9,8 +9,8 @@
     EXIT_FAILED,
     EXIT_OK,
     EXIT_USAGE,
-    complain,
     load_settings,
+    print_error,
 )
 
 
@@ -19,15 +19,15 @@
     parser = commands.add_parser(
         "serve",
         help="run one entry VM's node",
-        description="Runs one node until SIGTERM, which it obeys without cutting "
-        "a request. Every entry VM runs this same command.",
+        description="Runs one node until SIGTERM; it then stops without cutting a "
+        "request. Every entry VM runs this same command.",
     )
     add_flags(parser, SERVE_SETTINGS)
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Serve until a signal."""
+    """Serve until a signal arrives."""
     settings = load_settings(options)
     if settings is None:
         return EXIT_USAGE
@@ -40,6 +40,6 @@
     try:
         stopped_as_planned = asyncio.run(serve(settings))
     except (OSError, ValueError) as error:
-        complain(f"cannot serve: {error}")
+        print_error(f"cannot serve: {error}")
         return EXIT_FAILED
     return EXIT_OK if stopped_as_planned else EXIT_BROKEN
--- a/fireflyward/commands/_settings.py
+++ b/fireflyward/commands/_settings.py
@@ -1,4 +1,4 @@
-"""``fireflyward settings``: what is in force and where it comes from."""
+"""``fireflyward settings``: prints the settings in force and their sources."""
 
 import argparse
 
@@ -12,9 +12,9 @@
     parser = commands.add_parser(
         "settings",
         help="print the settings in force and where each comes from",
-        description="Checks flags and variables as serve would, and prints them. "
-        "Secrets are shown only as set or not set. Like serve it exits with 2 while "
-        "a setting that must be given, such as kept_key or peer_keys, is not.",
+        description="Checks flags and variables as serve does, and prints them. "
+        "Secrets are shown only as set or not set. Like serve it exits with 2 if a "
+        "required setting, such as kept_key or peer_keys, is missing.",
     )
     parser.add_argument(
         "--reference",
@@ -39,7 +39,7 @@
 
 
 def reference() -> str:
-    """Return docs/SETTINGS.md; a test holds the committed page against it."""
+    """Return the text of docs/SETTINGS.md; a test compares the page with it."""
     lines = [
         "# Settings",
         "",
--- a/fireflyward/commands/_standins.py
+++ b/fireflyward/commands/_standins.py
@@ -1,4 +1,4 @@
-"""``fireflyward standins``: what a node needs around it, as one process."""
+"""``fireflyward standins``: runs stand-ins for all a node needs, in one process."""
 
 import argparse
 
@@ -9,25 +9,27 @@
     """Add the subcommand."""
     parser = commands.add_parser(
         "standins",
-        help="run stand-ins of the platform and of upstreams, to try a node against",
+        help="run stand-ins for the platform and upstreams, to try out a node",
         description="Starts a stand-in platform, engines and a plain service on "
-        "loopback, accepts a first bundle signed by two made-up people, and prints "
+        "loopback, accepts a first bundle signed by two invented people, and prints "
         "the command that starts a node against them. For trials only.",
     )
     parser.add_argument(
         "--engines", type=int, default=2, help="engines in each failure domain"
     )
     parser.add_argument(
-        "--port", type=int, default=8490, help="first port; 0 draws free ones"
+        "--port", type=int, default=8490, help="first port; 0 chooses free ones"
     )
     parser.add_argument(
-        "--no-bundle", action="store_true", help="accept no first bundle; yours will be"
+        "--no-bundle",
+        action="store_true",
+        help="accept no first bundle, so that yours is the first",
     )
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Serve stand-ins until a signal."""
+    """Run the stand-ins until a signal arrives."""
     import asyncio
 
     asyncio.run(_serve(options))
@@ -40,10 +42,10 @@
 
     from fireflyward.demo import DemoDeployment, node_command
 
-    stop_asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_asked.set)
+        loop.add_signal_handler(number, stop_requested.set)
     deployment = DemoDeployment(
         nodes_per_domain=0,
         engines_per_domain=options.engines,
@@ -51,6 +53,8 @@
         accepts_bundle=not options.no_bundle,
     )
     async with deployment:
-        print("stand-ins run; start a node against them with:\n", flush=True)
+        print(
+            "the stand-ins are running; start a node against them with:\n", flush=True
+        )
         print(node_command(deployment), flush=True)
-        await stop_asked.wait()
+        await stop_requested.wait()
--- a/tests/commands/test_bundle.py
+++ b/tests/commands/test_bundle.py
@@ -19,13 +19,13 @@
 
 
 class TemplateTests(unittest.TestCase):
-    def test_first_bundle_is_one_that_can_be_read(self):
+    def test_first_bundle_can_be_parsed(self):
         parsed = parse_bundle(first_bundle("demo"))
         self.assertEqual((parsed.deployment, parsed.number), ("demo", 1))
 
 
 class ServedNode:
-    """A node and stand-ins on an event loop of their own, for blocking commands."""
+    """A node and stand-ins in a thread of their own, because commands block."""
 
     def __init__(self, roots):
         self.roots = roots
@@ -94,7 +94,7 @@
 
 
 class OfflineTests(CommandTests):
-    def test_wrong_file_exits_3_with_every_problem(self):
+    def test_invalid_file_exits_3_and_prints_the_problem(self):
         Path("b.toml").write_text(
             first_bundle("demo").replace("weight = 1", "wait = 1")
         )
@@ -102,19 +102,19 @@
         self.assertEqual(code, 3)
         self.assertIn("accounts.bridge-team.wait", text)
 
-    def test_diff_of_two_files_is_by_meaning(self):
+    def test_diff_of_two_files_ignores_comments(self):
         Path("a.toml").write_text(to_toml(bundle(1)))
         Path("b.toml").write_text("# a comment\n" + to_toml(bundle(1)))
         self.assertEqual(
             self.json_of("bundle", "diff", "b.toml", "--against", "a.toml"), []
         )
 
-    def test_nothing_is_overwritten(self):
+    def test_existing_file_is_not_overwritten(self):
         Path("a.toml").write_text("mine")
         code, _ = self.run_command("bundle", "new", "a.toml", "--deployment", "demo")
         self.assertEqual((code, Path("a.toml").read_text()), (2, "mine"))
 
-    def test_without_a_key_or_a_node_it_says_what_to_do(self):
+    def test_missing_key_and_unreachable_node_are_errors(self):
         code, text = self.run_command("bundle", "status")
         self.assertEqual(code, 2)
         self.assertIn("--key-file", text)
@@ -130,14 +130,14 @@
         self.assertEqual(code, 1)
 
 
-class WholeWayTests(CommandTests):
+class LifecycleTests(CommandTests):
     def test_from_the_first_bundle_to_a_revert(self):
-        """The way of docs/operate/first-week.md, with each exit code."""
+        """Follows docs/operate/first-week.md and checks each exit code."""
         with ServedNode(self.make_keys()) as node:
             os.environ["FIREFLYWARD_ADMIN_URL"] = f"http://127.0.0.1:{node.admin_port}"
             self.assert_code(6, "ana", "status")
             self.assert_code(0, "ana", "new", "one.toml", "--deployment", "demo")
-            self.accept("one.toml")
+            self.check_sign_and_submit("one.toml")
             self.assert_code(0, "ana", "status", "--wait", "5")
             self.assert_code(0, "ana", "new", "two.toml")
             two = Path("two.toml").read_text()
@@ -145,7 +145,7 @@
             Path("two.toml").write_text(two.replace('"v1"', '"v2"'))
             self.assert_code(0, "ana", "sign", "late.toml")
             self.assert_code(0, "bruno", "approve", "late.toml.signed", "--yes")
-            self.accept("two.toml", "--propose")
+            self.check_sign_and_submit("two.toml", "--propose")
             text = self.assert_code(4, "ana", "submit", "late.toml.approved")
             self.assertIn("model:clauses version: v2 -> v3", text)
             self.assert_code(0, "ana", "revert", "1", "--out", "back.signed")
@@ -158,7 +158,7 @@
             four = parse_bundle(Path("four.toml").read_text())
             self.assertEqual((four.number, four.models["clauses"].version), (4, "v1"))
 
-    def accept(self, file, *options):
+    def check_sign_and_submit(self, file, *options):
         self.assert_code(0, "ana", "check", file)
         self.assert_code(0, "ana", "plan", file)
         self.assert_code(0, "ana", "sign", file, *options)
@@ -171,9 +171,9 @@
         self.assert_code(0, "bruno", "submit", f"{file}.approved")
         self.assert_code(0, "bruno", "submit", f"{file}.approved")
 
-    def assert_code(self, wanted, person, *arguments):
+    def assert_code(self, expected_code, person, *arguments):
         code, text = self.run_command(
             "bundle", *arguments, "--key-file", f"{person}.key"
         )
-        self.assertEqual(code, wanted, text)
+        self.assertEqual(code, expected_code, text)
         return text
--- a/tests/commands/test_replay.py
+++ b/tests/commands/test_replay.py
@@ -36,7 +36,7 @@
         self.assertGreater(row["recomputed_share"], 0)
         self.assertEqual(row["link_terabytes"], 0)
 
-    def test_unknown_policy_is_refused_and_the_known_ones_are_named(self):
+    def test_unknown_policy_exits_2_and_prints_the_known_ones(self):
         code, output, errors = self.run_command("andinos", "--policy", "best")
         self.assertEqual(code, 2)
         self.assertEqual(output, "")
--- a/tests/commands/test_settings.py
+++ b/tests/commands/test_settings.py
@@ -12,7 +12,7 @@
 
 
 class SettingsCommandTests(unittest.TestCase):
-    def test_wrong_value_exits_2_and_names_what_is_allowed(self):
+    def test_wrong_value_exits_2_and_prints_the_allowed_values(self):
         errors = io.StringIO()
         with contextlib.redirect_stderr(errors):
             code = main(["serve", "--port", "many"])
