--- a/fireflyward/commands/_bundle_actions.py
+++ b/fireflyward/commands/_bundle_actions.py
@@ -179,7 +179,7 @@
     Trust is not reverted, because that would restore keys that were revoked.
     """
     number = session.options.number
-    earlier = _decode_state(_successful(await session.client.at(number)))
+    earlier = _decode_state(_successful(await session.client.bundle_at(number)))
     current_state = await session.current_state()
     if current_state is None:
         raise _ActionStopped(EXIT_USAGE, "no bundle is in force yet")
