--- a/fireflyward/bundles/_follower.py
+++ b/fireflyward/bundles/_follower.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchFromStore:
-    """Fetch the changes that lead to the head from the object store."""
+    """Fetch the changes or the snapshot that lead to the head from the store."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,21 +56,21 @@
 
     Heads that were read and numbers that peers announced go in, actions come out.
     None of them lowers ``number``: a lagging table replica, a lagging peer or a
-    peer that lies can cause a useless fetch, but never a return to an older number.
+    false number can cause a useless fetch, but never a return to an older number.
     The caller verifies what was fetched before it calls ``on_applied``.
     """
 
     __slots__ = (
-        "_next_poll_ms",
-        "_fetch_deadline_ms",
         "_current_fetch",
+        "_fetch_deadline_ms",
         "_last_read_ms",
+        "_next_announce_ms",
+        "_next_poll_ms",
         "_number_by_peer",
         "_poll_ms",
         "_random",
         "_refused_digest",
         "_refused_number",
-        "_next_announce_ms",
         "_retry_at_ms",
         "_retry_ms",
         "confirmed_at_ms",
@@ -100,9 +100,9 @@
 
     @property
     def target_number(self) -> int:
-        """Return the highest number in the head or announced by a peer.
+        """Return the highest number that the head has or a peer announced.
 
-        A head that did not verify is left out.
+        A head whose bundle did not verify is ignored.
         """
         numbers = (self.number, *self._number_by_peer.values())
         if self.head_number > self._refused_number:
--- a/fireflyward/bundles/_node_status.py
+++ b/fireflyward/bundles/_node_status.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeObservation:
-    """The state of a node as just observed; unless it answered, not ``is_reached``."""
+    """One observation of a node; ``is_reached`` is false if it did not answer."""
 
     name: str
     failure_domain: str
@@ -96,7 +96,7 @@
 
 
 def _is_unchanged(before: NodeStatus, condition: Condition, number: int) -> bool:
-    """Return whether the condition goes on; a new number in force starts anew."""
+    """Return whether the condition goes on; a new number in force is a change."""
     if before.condition is not condition:
         return False
     return condition is not Condition.IN_FORCE or before.number == number
--- a/fireflyward/bundles/_store.py
+++ b/fireflyward/bundles/_store.py
@@ -108,7 +108,7 @@
     async def accept(
         self, bundle: Bundle, signed: SignedBundle, *, base: BundleState | None = None
     ) -> Committed | Conflict | Unavailable | Uncertain:
-        """Make ``bundle`` the next number, unless another bundle became it first.
+        """Accept ``bundle`` as the next number, unless another bundle was first.
 
         The bytes are stored in the object store under their digest before the head
         names them, so a reader of the head always finds them. The head and the
@@ -241,7 +241,7 @@
         )
 
     async def _put_object(self, name: str, body: bytes) -> bool | Unavailable:
-        """Put an object; if the answer is lost, read the object back to be sure.
+        """Put an object; if the answer is lost, check by reading the object back.
 
         An object's name contains the digest of its contents, so a delayed put writes
         the same bytes, and a second put is harmless.
@@ -292,12 +292,12 @@
     ) -> Committed | Conflict | Unavailable | Uncertain:
         """Write the head, and repeat the write while its outcome is unknown.
 
-        The answer to a write can be lost, and the head be read back too early, before
-        the delayed write takes effect, or too late, after another operator's next
-        number. If that were reported as a lost race, the operator would write the
-        change a second time, on top of itself. The history row of the number shows
-        in both cases whose write it was. While that row is missing, the same
-        conditional write is sent again; at most one of the writes can take effect.
+        If the answer to the write is lost, the head does not always show whether the
+        write took effect: a delayed write may do so later, and another operator may
+        already have written the next number. An operator to whom this is reported as
+        a lost race writes the change a second time, on top of itself. The history
+        row of the number shows whose write it was. While that row is missing, the
+        same conditional write is sent again; at most one of them can take effect.
         """
         lost_answer = Uncertain("the answer was lost")
         may_be_written = False
--- a/fireflyward/commands/_bundle_output.py
+++ b/fireflyward/commands/_bundle_output.py
@@ -110,7 +110,7 @@
             f"{_format_time(winner.accepted_wall_ms)}: {winner.note or 'no note'}"
         )
     for item in value.differs[:_MAX_LISTED]:
-        yield f"  change from theirs to yours: {item}"
+        yield f"  difference from theirs to yours: {item}"
 
 
 @result_lines.register
