--- a/fireflyward/admin/_auth.py
+++ b/fireflyward/admin/_auth.py
@@ -5,7 +5,7 @@
 import secrets
 from collections.abc import Mapping
 
-from fireflyward.bundles import BundleError, Person, SigningKey, key_error
+from fireflyward.bundles import BundleError, Person, SigningKey, find_verifying_key
 
 from ._messages import ErrorReply
 
@@ -87,9 +87,9 @@
         message = _signed_message(
             self._deployment, self._node_name, method, target, time_text, nonce, body
         )
-        error = key_error(person, _read_signature(headers), message, people)
-        if isinstance(error, BundleError):
-            return ErrorReply(error.code, error.detail)
+        key = find_verifying_key(person, _read_signature(headers), message, people)
+        if isinstance(key, BundleError):
+            return ErrorReply(key.code, key.detail)
         if abs(wall_ms - int(time_text)) > _MAX_SKEW_MS:
             seconds = (wall_ms - int(time_text)) / 1_000
             detail = f"the request's time differs by {seconds:.0f} s from this node's"
--- a/fireflyward/bench/measures/bundle_spread.py
+++ b/fireflyward/bench/measures/bundle_spread.py
@@ -14,11 +14,11 @@
 
 from fireflyward.bench import Bench, Figure
 from fireflyward.bundles import (
+    AnnounceNumber,
     BundleFollower,
     FetchFromPeer,
     FetchFromStore,
     ReadHead,
-    Tell,
 )
 
 _POLL_MS = 2_000
@@ -136,7 +136,7 @@
             self._later(after_ms, self._on_taken, name, number)
 
     @_act.register
-    def _(self, action: Tell, name: str) -> None:
+    def _(self, action: AnnounceNumber, name: str) -> None:
         self.counts.news += 1
         is_lost = self._random.random() < self.lost_share
         if not is_lost and self._reaches(name, action.peer):
@@ -147,11 +147,13 @@
         self._do(name, self.follower_by_name[name].on_head(self.now_ms, number))
 
     def _on_news(self, name: str, peer: str, number: int) -> None:
-        self._do(name, self.follower_by_name[name].on_news(self.now_ms, peer, number))
+        self._do(
+            name, self.follower_by_name[name].on_peer_number(self.now_ms, peer, number)
+        )
 
     def _on_taken(self, name: str, number: int) -> None:
         follower = self.follower_by_name[name]
-        self._do(name, follower.on_taken(self.now_ms, number, self._names))
+        self._do(name, follower.on_applied(self.now_ms, number, self._names))
 
     def _reaches(self, name: str, peer: str) -> bool:
         one, other = self.domain_by_name[name], self.domain_by_name[peer]
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -9,23 +9,23 @@
 
 from fireflyward.backing import Missing, Objects, Table, Unavailable
 from fireflyward.bundles import (
+    AnnounceNumber,
     Bundle,
+    BundleCache,
     BundleError,
     BundleFollower,
     BundleLoader,
-    BundleShelf,
     BundleState,
     BundleStore,
-    BundleWatch,
     FetchFromPeer,
     FetchFromStore,
     Head,
     Loaded,
+    NodeObservation,
     NodeStatus,
+    NodeStatusTracker,
     ReadHead,
-    Seen,
     SignedBundle,
-    Tell,
     Whole,
     root_people,
 )
@@ -105,8 +105,8 @@
         peers: BundlePeers,
         apply: Callable[[Bundle], None],
     ) -> None:
-        self.cache = BundleShelf()
-        self.status_tracker = BundleWatch()
+        self.cache = BundleCache()
+        self.status_tracker = NodeStatusTracker()
         self.last_error: BundleError | None = None
         self._link = link
         self._clock = clock
@@ -157,7 +157,9 @@
         """Wait briefly for the bundle ``number``, which another node has served."""
         deadline_ms = self._clock.now_ms() + _CATCH_UP_TIMEOUT_MS
         while self._follower.number < number and self._clock.now_ms() < deadline_ms:
-            self._perform_all(self._follower.on_asked(self._clock.now_ms(), number))
+            self._perform_all(
+                self._follower.on_caller_number(self._clock.now_ms(), number)
+            )
             await self._clock.sleep_ms(_CATCH_UP_POLL_MS)
         return self._follower.number >= number
 
@@ -165,7 +167,7 @@
         """Handle the bundle number that a member's heartbeat contained."""
         if number != self._follower.number:
             self._perform_all(
-                self._follower.on_news(self._clock.now_ms(), name, number)
+                self._follower.on_peer_number(self._clock.now_ms(), name, number)
             )
 
     def state(self) -> BundleState | None:
@@ -183,9 +185,12 @@
         unanswered = known - {node.name for node in observations}
         self._unanswered = set(unanswered)
         observations += [
-            Seen(name, "", 0, is_reached=False) for name in sorted(unanswered)
+            NodeObservation(name, "", 0, is_reached=False)
+            for name in sorted(unanswered)
         ]
-        number = max(self._follower.wanted, *(node.number for node in observations))
+        number = max(
+            self._follower.target_number, *(node.number for node in observations)
+        )
         self.status_tracker.observe(self._clock.wall_ms(), number, observations)
         return self.status_tracker.statuses()
 
@@ -215,7 +220,7 @@
         self._apply(state.bundle)
         names = list(self._peers.addresses())
         now_ms = self._clock.now_ms()
-        self._perform_all(self._follower.on_taken(now_ms, state.number, names))
+        self._perform_all(self._follower.on_applied(now_ms, state.number, names))
 
     async def _run_ticks(self) -> None:
         next_check_ms = 0
@@ -236,7 +241,7 @@
         ]
         own = observation_of_state(self.own_state())
         self.status_tracker.observe(
-            self._clock.wall_ms(), self._follower.wanted, [own, *members]
+            self._clock.wall_ms(), self._follower.target_number, [own, *members]
         )
         if members:
             current = {own.name, *(member.name for member in members)}
@@ -247,7 +252,7 @@
             ]
             self.status_tracker.forget(gone)
 
-    def _apply_unanswered(self, member: Seen) -> Seen:
+    def _apply_unanswered(self, member: NodeObservation) -> NodeObservation:
         """Treat a member that did not answer a call as unreachable.
 
         The membership needs some seconds to detect that a node has crashed. Without
@@ -282,7 +287,7 @@
         self._spawn(self._fetch_from_peer(action.peer))
 
     @_perform.register
-    def _(self, action: Tell) -> None:
+    def _(self, action: AnnounceNumber) -> None:
         self._peers.announce_number(action.peer, action.number)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -316,12 +321,18 @@
         if state is None:
             snapshot = await self._peers.fetch_snapshot(name)
             has_snapshot = isinstance(snapshot, Whole)
-            loaded = await self._loader.begin(snapshot) if has_snapshot else snapshot
+            loaded = (
+                await self._loader.verify_snapshot_and_changes(snapshot)
+                if has_snapshot
+                else snapshot
+            )
         else:
             changes = await self._peers.fetch_changes(name, state.number)
             has_changes = isinstance(changes, tuple)
             loaded = (
-                await self._loader.follow(state, changes) if has_changes else changes
+                await self._loader.verify_changes(state, changes)
+                if has_changes
+                else changes
             )
         self._apply_or_fail(loaded)
 
@@ -340,14 +351,16 @@
             if _is_state_reply(reply) and reply.number:
                 now_ms = self._clock.now_ms()
                 self._perform_all(
-                    self._follower.on_news(now_ms, reply.node_name, reply.number)
+                    self._follower.on_peer_number(now_ms, reply.node_name, reply.number)
                 )
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _on_announcement(self, sender: str, announcement: Any) -> None:
         self._peers.record_sender(sender, (announcement.host, announcement.port))
         now_ms = self._clock.now_ms()
-        self._perform_all(self._follower.on_news(now_ms, sender, announcement.number))
+        self._perform_all(
+            self._follower.on_peer_number(now_ms, sender, announcement.number)
+        )
 
     async def _on_changes_request(self, sender: str, request: Any) -> Any:
         return self.cache.changes_after(request.after)
--- a/fireflyward/daemon/_bundle_peers.py
+++ b/fireflyward/daemon/_bundle_peers.py
@@ -6,11 +6,11 @@
 
 from fireflyward.bundles import (
     BundleError,
-    Seen,
+    NodeObservation,
     SignedBundle,
     Whole,
-    collect_whole,
     decode_changes,
+    fetch_all_pages,
 )
 from fireflyward.bundles.messages import (
     CHANGES_KIND,
@@ -74,7 +74,7 @@
         if name != self._link.node_name:
             self._sender_address_by_name[name] = address
 
-    def observations(self) -> list[Seen]:
+    def observations(self) -> list[NodeObservation]:
         """Return the state of each other node according to the membership."""
         own = self._link.node_name
         return [
@@ -116,7 +116,7 @@
         async def fetch_page(request: Any) -> Any:
             return await self._link.call(address, WHOLE_KIND, request, WholeReply)
 
-        return await collect_whole(fetch_page)
+        return await fetch_all_pages(fetch_page)
 
     async def fetch_states(self) -> dict[str, Any]:
         """Request the state of every node.
@@ -138,9 +138,9 @@
         return dict(zip(addresses, replies, strict=True))
 
 
-def observation_of_state(reply: Any) -> Seen:
+def observation_of_state(reply: Any) -> NodeObservation:
     """Return the observation that a node's own state reply contains."""
-    return Seen(
+    return NodeObservation(
         reply.node_name,
         reply.failure_domain,
         reply.number,
@@ -149,8 +149,8 @@
     )
 
 
-def _observation_of_member(member: Member) -> Seen:
-    return Seen(
+def _observation_of_member(member: Member) -> NodeObservation:
+    return NodeObservation(
         member.name,
         member.failure_domain,
         member.bundle_number,
--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -334,7 +334,7 @@
 
     def apply(self, bundle: Bundle) -> None:
         """Bring ``bundle`` into force, if it is newer than the current one."""
-        if not self.holder.offer(bundle):
+        if not self.holder.update(bundle):
             return
         self.rollout.versions.on_bundle(
             {name: model.version for name, model in bundle.models.items()}
