--- a/fireflyward/quarantine/_suspects.py
+++ b/fireflyward/quarantine/_suspects.py
@@ -151,13 +151,13 @@
         suspect = self._by_fingerprint.get(fingerprint)
         if suspect is None:
             return frozenset()
-        forgiven = frozenset(suspect.ends | set(incarnation_ids))
-        suspect.cleared |= forgiven
+        cleared_ids = frozenset(suspect.ends | set(incarnation_ids))
+        suspect.cleared |= cleared_ids
         suspect.ends -= suspect.cleared
         suspect.written = frozenset()
         suspect.trials = 0
         self._over_limit.discard(fingerprint)
-        return forgiven
+        return cleared_ids
 
     def forget(self, now_ms: int) -> list[str]:
         """Drop suspects without recent crashes; return those that have a row."""
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -29,7 +29,7 @@
 _EXPIRY_PERIOD_MS = 300_000
 # Trials are short, and other nodes see their end some ten ms later: a suspect waits
 # this long for its own trial, which is less than the retry time of a second.
-_TRIAL_WAIT_MAX_MS = 500
+_MAX_TRIAL_WAIT_MS = 500
 _MAX_LOGGED = 5
 # A caller whose suspect has to wait for a trial retries after about the time of one.
 _TRIAL_RETRY_AFTER_MS = 1_000
@@ -108,7 +108,7 @@
 
     async def admit(self, fingerprint: str) -> Free | Held | Trial:
         """Decide whether a request may be sent; a trial permits one send."""
-        deadline_ms = self._clock.now_ms() + _TRIAL_WAIT_MAX_MS
+        deadline_ms = self._clock.now_ms() + _MAX_TRIAL_WAIT_MS
         while True:
             now_ms = self._clock.now_ms()
             verdict = self._suspects.verdict(now_ms, fingerprint)
@@ -145,7 +145,7 @@
         ``is_late`` means that the request's deadline passed: the replica is probably
         healthy, and each late answer would open one more probe connection.
         """
-        if not self._may_crash(replica):
+        if not self._counts_as_crash(replica):
             return
         found = self._cuts.on_cut(
             self._clock.now_ms(), fingerprint, replica.incarnation_id
@@ -158,7 +158,7 @@
 
     def on_refused(self, replica: ReplicaState) -> None:
         """Handle a refused connection: no process listens at the address any more."""
-        if self._may_crash(replica):
+        if self._counts_as_crash(replica):
             self._on_crash(replica)
 
     def on_gone(self, replica: ReplicaState) -> None:
@@ -170,9 +170,9 @@
         """Clear a request whose answer a replica completed without a crash."""
         if not self._suspects.crashes_of(fingerprint):
             return
-        forgiven = self._suspects.clear(fingerprint)
-        log.info("quarantine: %s cleared of %d ends", fingerprint, len(forgiven))
-        self._announcements.announce_cleared(fingerprint, forgiven)
+        cleared_ids = self._suspects.clear(fingerprint)
+        log.info("quarantine: %s cleared of %d ends", fingerprint, len(cleared_ids))
+        self._announcements.announce_cleared(fingerprint, cleared_ids)
         self._unsynced.add(fingerprint)
         self._has_work.set()
 
@@ -202,7 +202,7 @@
             else:
                 self._poll_soon()
 
-    def _may_crash(self, replica: ReplicaState) -> bool:
+    def _counts_as_crash(self, replica: ReplicaState) -> bool:
         """Return whether a replica that stops now has crashed.
 
         A leaving replica also stops, and so does one whose entry was removed first.
--- a/fireflyward/replicas/_chooser.py
+++ b/fireflyward/replicas/_chooser.py
@@ -28,7 +28,7 @@
 _LOADING_MS = 4_000.0
 # Per unit of the share of failed answers above the median of the service's replicas.
 _FAILING_MS = 600.0
-# Answers by old weights count a fifth less from shortly after newer weights are named.
+# Shortly after newer weights are announced, answers by older ones count a fifth less.
 _OLD_WEIGHTS_MS = 150.0
 # Random part of each cost, so that nodes with the same data choose different replicas.
 _JITTER_MS = 3.0
--- a/fireflyward/replicas/_cold.py
+++ b/fireflyward/replicas/_cold.py
@@ -35,7 +35,7 @@
         self.granted = 0
 
     def set_nodes(self, nodes: Iterable[str]) -> None:
-        """Take the names of all nodes; see ``NodeShares.set_nodes``."""
+        """Set the names of all nodes; see ``NodeShares.set_nodes``."""
         self._shares.set_nodes(nodes)
 
     def allowance(self, replica: int, per_second: float) -> int:
--- a/fireflyward/replicas/_load_reports.py
+++ b/fireflyward/replicas/_load_reports.py
@@ -150,7 +150,7 @@
     def _is_due(self, now_ms: int, own: LoadByReplica) -> bool:
         """Return whether to send the own load now, and record it as sent if so.
 
-        It is sent when it changed, and again after a while when it did not.
+        It is sent when it has changed, and resent periodically when it has not.
         """
         is_resend = bool(own) and now_ms - self._last_report_ms >= _RESEND_MS
         if own == self._last_report and not is_resend:
--- a/fireflyward/replicas/_rate_limits.py
+++ b/fireflyward/replicas/_rate_limits.py
@@ -36,7 +36,7 @@
         self._random = random.Random(seed)
 
     def set_nodes(self, nodes: Iterable[str]) -> None:
-        """Take the names of all nodes; see ``NodeShares.set_nodes``."""
+        """Set the names of all nodes; see ``NodeShares.set_nodes``."""
         self._shares.set_nodes(nodes)
 
     def pause_ms(self, replica: int, per_second: float) -> float | None:
