--- a/fireflyward/checker/__init__.py
+++ b/fireflyward/checker/__init__.py
@@ -2,7 +2,6 @@
 
 from ._checker import Checker
 from ._observations import (
-    Asked,
     BlockFreed,
     BlockRead,
     BlockSealed,
@@ -15,13 +14,14 @@
     Observation,
     Ran,
     Reachable,
+    RequestSent,
     StopBegan,
     UpstreamLeaving,
 )
 from ._promises import Promise, Violation
 
 __all__ = [
-    "Asked",
+    "RequestSent",
     "BlockFreed",
     "BlockRead",
     "BlockSealed",
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -5,7 +5,6 @@
 from ._blocks import BlockChecker
 from ._bundles import BundleChecker
 from ._observations import (
-    Asked,
     BlockFreed,
     BlockRead,
     BlockSealed,
@@ -17,6 +16,7 @@
     Observation,
     Ran,
     Reachable,
+    RequestSent,
     StopBegan,
     UpstreamLeaving,
 )
@@ -33,9 +33,9 @@
     Without ``sees_platform`` nobody tells it of accepted bundles, and it only holds
     the numbers that a node serves by against each other.
 
-    >>> from fireflyward.checker import Asked, Checker, Ended, Ending
+    >>> from fireflyward.checker import RequestSent, Checker, Ended, Ending
     >>> checker = Checker()
-    >>> checker.see(Asked(0, "r", "a", ("yes",)))
+    >>> checker.see(RequestSent(0, "r", "a", ("yes",)))
     >>> checker.see(Ended(9, "r", Ending.ANSWERED, "yes"))
     >>> checker.finish(10)
     ()
@@ -70,7 +70,7 @@
         """Take one observation."""
         raise TypeError(f"no check takes {observation!r}")
 
-    @see.register(Asked | Ended | CallerLeft | StopBegan | NodeLost)
+    @see.register(RequestSent | Ended | CallerLeft | StopBegan | NodeLost)
     def _(self, observation: Observation) -> None:
         self._requests.see(observation)
 
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestSent:
     """A caller sent a request; ``answers`` are the texts that answer it rightly.
 
     Several are right only while a swap of weights is under way.
@@ -174,7 +174,7 @@
 
 
 Observation = (
-    Asked
+    RequestSent
     | Ended
     | CallerLeft
     | Ran
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -4,13 +4,13 @@
 from functools import singledispatchmethod
 
 from ._observations import (
-    Asked,
     CallerLeft,
     Ended,
     Ending,
     NodeLost,
     Observation,
     Ran,
+    RequestSent,
     StopBegan,
 )
 from ._promises import Promise, Violation
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class _Request:
-    asked: Asked
+    asked: RequestSent
     runs: list[Ran] = field(default_factory=list)
     attempts: list[Ended] = field(default_factory=list)
     refused_run_ids: set[str] = field(default_factory=set)
@@ -63,7 +63,7 @@
         raise TypeError(f"no check takes {observation!r}")
 
     @see.register
-    def _(self, observation: Asked) -> None:
+    def _(self, observation: RequestSent) -> None:
         if observation.request in self._request_by_name:
             return
         self._request_by_name[observation.request] = _Request(observation)
--- a/fireflyward/load/_caller.py
+++ b/fireflyward/load/_caller.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from fireflyward.checker import (
-    Asked,
     BundleServed,
     Checker,
     Ended,
     Ending,
+    RequestSent,
 )
 from fireflyward.clock import Clock
 
@@ -87,7 +87,7 @@
         is_call = request.way is Way.CALL
         answers = request.answers(self.plan)
         self.checker.see(
-            Asked(begun_ms, request.name, request.account, answers, is_call)
+            RequestSent(begun_ms, request.name, request.account, answers, is_call)
         )
         received, unknown = Received(), 0
         for attempt in itertools.count(turn):
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -1,7 +1,6 @@
 import unittest
 
 from fireflyward.checker import (
-    Asked,
     BlockFreed,
     BlockRead,
     BlockSealed,
@@ -15,13 +14,14 @@
     Promise,
     Ran,
     Reachable,
+    RequestSent,
     StopBegan,
     UpstreamLeaving,
 )
 
-ASKED = Asked(0, "r", "bridge", ("whole answer",))
-OTHER = Asked(0, "s", "tower", ("its answer",))
-CALL = Asked(0, "c", "bridge", ("done",), is_non_idempotent=True)
+ASKED = RequestSent(0, "r", "bridge", ("whole answer",))
+OTHER = RequestSent(0, "s", "tower", ("its answer",))
+CALL = RequestSent(0, "c", "bridge", ("done",), is_non_idempotent=True)
 ANSWERED = Ended(9, "r", Ending.ANSWERED, "whole answer", "id", "n1")
 SEALED = BlockSealed(1, "store", "b", 1, "bridge", "v1", "sum")
 
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -11,7 +11,7 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
-from fireflyward.checker import Asked, BundleServed, CallerLeft, Ended, Ending
+from fireflyward.checker import BundleServed, CallerLeft, Ended, Ending, RequestSent
 from fireflyward.standins import answer_text
 
 TOKENS = 6
@@ -178,7 +178,9 @@
         only_once = ask.is_call or ask.is_once
         versions = self._world.versions
         answers = ask.answers(versions)
-        self._world.see(Asked(begun_ms, ask.name, ask.account, answers, only_once))
+        self._world.see(
+            RequestSent(begun_ms, ask.name, ask.account, answers, only_once)
+        )
         while not self._has_left and self.ending is None:
             is_late = self._clock.now_ms() - begun_ms > _PATIENCE_MS
             node = self._world.ready_node()
