--- a/fireflyward/checker/__init__.py
+++ b/fireflyward/checker/__init__.py
@@ -2,13 +2,13 @@
 
 from ._checker import Checker
 from ._observations import (
+    AttemptEnded,
     BlockFreed,
     BlockRead,
     BlockSealed,
     BundleAccepted,
     BundleServed,
     CallerLeft,
-    Ended,
     Ending,
     NodeLost,
     Observation,
@@ -29,7 +29,7 @@
     "BundleServed",
     "CallerLeft",
     "Checker",
-    "Ended",
+    "AttemptEnded",
     "Ending",
     "NodeLost",
     "Observation",
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -5,13 +5,13 @@
 from ._blocks import BlockChecker
 from ._bundles import BundleChecker
 from ._observations import (
+    AttemptEnded,
     BlockFreed,
     BlockRead,
     BlockSealed,
     BundleAccepted,
     BundleServed,
     CallerLeft,
-    Ended,
     NodeLost,
     Observation,
     Ran,
@@ -33,10 +33,10 @@
     Without ``sees_platform`` nobody tells it of accepted bundles, and it only holds
     the numbers that a node serves by against each other.
 
-    >>> from fireflyward.checker import RequestSent, Checker, Ended, Ending
+    >>> from fireflyward.checker import RequestSent, Checker, AttemptEnded, Ending
     >>> checker = Checker()
     >>> checker.see(RequestSent(0, "r", "a", ("yes",)))
-    >>> checker.see(Ended(9, "r", Ending.ANSWERED, "yes"))
+    >>> checker.see(AttemptEnded(9, "r", Ending.ANSWERED, "yes"))
     >>> checker.finish(10)
     ()
     """
@@ -70,7 +70,7 @@
         """Take one observation."""
         raise TypeError(f"no check takes {observation!r}")
 
-    @see.register(RequestSent | Ended | CallerLeft | StopBegan | NodeLost)
+    @see.register(RequestSent | AttemptEnded | CallerLeft | StopBegan | NodeLost)
     def _(self, observation: Observation) -> None:
         self._requests.see(observation)
 
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     """An attempt ended at its caller, with the text that came until then.
 
     ``CUT`` means that the connection ended without an outcome. ``node`` is the
@@ -175,7 +175,7 @@
 
 Observation = (
     RequestSent
-    | Ended
+    | AttemptEnded
     | CallerLeft
     | Ran
     | UpstreamLeaving
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -4,8 +4,8 @@
 from functools import singledispatchmethod
 
 from ._observations import (
+    AttemptEnded,
     CallerLeft,
-    Ended,
     Ending,
     NodeLost,
     Observation,
@@ -22,7 +22,7 @@
 class _Request:
     asked: RequestSent
     runs: list[Ran] = field(default_factory=list)
-    attempts: list[Ended] = field(default_factory=list)
+    attempts: list[AttemptEnded] = field(default_factory=list)
     refused_run_ids: set[str] = field(default_factory=set)
     is_over: bool = False
 
@@ -104,7 +104,7 @@
             self._add(Promise.AT_MOST_ONCE, observation.at_ms, detail)
 
     @see.register
-    def _(self, observation: Ended) -> None:
+    def _(self, observation: AttemptEnded) -> None:
         request = self._request_by_name[observation.request]
         request.is_over = request.is_over or observation.is_final
         if request.asked.is_non_idempotent:
@@ -116,7 +116,7 @@
             detail = f"{observation.node} cut {observation.request}"
             self._add(Promise.GRACEFUL_STOP, observation.at_ms, detail)
 
-    def _check_refusal(self, observation: Ended, request: _Request) -> None:
+    def _check_refusal(self, observation: AttemptEnded, request: _Request) -> None:
         """Hold "not run" against the runs so far, and remember it for later ones.
 
         An idempotent request may run for another attempt of its caller, so only
@@ -131,7 +131,7 @@
             found = _false_refusal(observation.at_ms, observation.request)
             self.violations.append(found)
 
-    def _check_text(self, observation: Ended, request: _Request) -> None:
+    def _check_text(self, observation: AttemptEnded, request: _Request) -> None:
         text = observation.text
         if observation.ending is Ending.ANSWERED:
             if text in request.asked.answers:
@@ -150,7 +150,7 @@
         self.violations.append(Violation(promise, at_ms, detail))
 
 
-def _is_of_attempt(run: Ran, ended: Ended) -> bool:
+def _is_of_attempt(run: Ran, ended: AttemptEnded) -> bool:
     """Tell whether a run is the attempt's, by its id or by node and time."""
     if run.run_id == ended.run_id:
         return True
@@ -158,7 +158,7 @@
     return has_window and ended.begun_ms <= run.at_ms <= ended.at_ms
 
 
-def _may_have_made(attempt: Ended, run: Ran) -> bool:
+def _may_have_made(attempt: AttemptEnded, run: Ran) -> bool:
     """Tell whether a run can be that of an attempt which was not refused."""
     if attempt.ending is Ending.NOT_RUN:
         return False
--- a/fireflyward/load/_caller.py
+++ b/fireflyward/load/_caller.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from fireflyward.checker import (
+    AttemptEnded,
     BundleServed,
     Checker,
-    Ended,
     Ending,
     RequestSent,
 )
@@ -118,7 +118,7 @@
     ) -> None:
         now_ms = self.clock.now_ms()
         self.checker.see(
-            Ended(
+            AttemptEnded(
                 now_ms,
                 request.name,
                 received.ending,
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -11,7 +11,13 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
-from fireflyward.checker import BundleServed, CallerLeft, Ended, Ending, RequestSent
+from fireflyward.checker import (
+    AttemptEnded,
+    BundleServed,
+    CallerLeft,
+    Ending,
+    RequestSent,
+)
 from fireflyward.standins import answer_text
 
 TOKENS = 6
@@ -214,7 +220,9 @@
         run_id = writer.headers.get("X-Request-Id", "")
         now_ms, name = self._clock.now_ms(), node.settings["node_name"]
         self._world.see(
-            Ended(now_ms, self.ask.name, ending, text, run_id, name, is_final, begun_ms)
+            AttemptEnded(
+                now_ms, self.ask.name, ending, text, run_id, name, is_final, begun_ms
+            )
         )
         self.ending = ending if is_final else self.ending
         if ending is not Ending.CUT:
