--- a/fireflyward/checker/__init__.py
+++ b/fireflyward/checker/__init__.py
@@ -3,13 +3,13 @@
 from ._checker import Checker
 from ._observations import (
     AttemptEnded,
+    AttemptResult,
     BlockFreed,
     BlockRead,
     BlockSealed,
     BundleAccepted,
     BundleServed,
     CallerLeft,
-    Ending,
     NodeLost,
     Observation,
     Ran,
@@ -30,7 +30,7 @@
     "CallerLeft",
     "Checker",
     "AttemptEnded",
-    "Ending",
+    "AttemptResult",
     "NodeLost",
     "Observation",
     "Promise",
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -33,10 +33,10 @@
     Without ``sees_platform`` nobody tells it of accepted bundles, and it only holds
     the numbers that a node serves by against each other.
 
-    >>> from fireflyward.checker import RequestSent, Checker, AttemptEnded, Ending
+    >>> from fireflyward.checker import RequestSent, Checker, AttemptEnded, AttemptResult
     >>> checker = Checker()
     >>> checker.see(RequestSent(0, "r", "a", ("yes",)))
-    >>> checker.see(AttemptEnded(9, "r", Ending.ANSWERED, "yes"))
+    >>> checker.see(AttemptEnded(9, "r", AttemptResult.ANSWERED, "yes"))
     >>> checker.finish(10)
     ()
     """
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 
-class Ending(enum.StrEnum):
+class AttemptResult(enum.StrEnum):
     """How an attempt ended for its caller."""
 
     ANSWERED = "answered"
@@ -43,7 +43,7 @@
 
     at_ms: int
     request: str
-    ending: Ending
+    ending: AttemptResult
     text: str = ""
     run_id: str = ""
     node: str = ""
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -5,8 +5,8 @@
 
 from ._observations import (
     AttemptEnded,
+    AttemptResult,
     CallerLeft,
-    Ending,
     NodeLost,
     Observation,
     Ran,
@@ -110,9 +110,12 @@
         if request.asked.is_non_idempotent:
             request.attempts.append(observation)
         self._check_text(observation, request)
-        if observation.ending is Ending.NOT_RUN:
+        if observation.ending is AttemptResult.NOT_RUN:
             self._check_refusal(observation, request)
-        if observation.ending is Ending.CUT and observation.node in self._stopping:
+        if (
+            observation.ending is AttemptResult.CUT
+            and observation.node in self._stopping
+        ):
             detail = f"{observation.node} cut {observation.request}"
             self._add(Promise.GRACEFUL_STOP, observation.at_ms, detail)
 
@@ -133,7 +136,7 @@
 
     def _check_text(self, observation: AttemptEnded, request: _Request) -> None:
         text = observation.text
-        if observation.ending is Ending.ANSWERED:
+        if observation.ending is AttemptResult.ANSWERED:
             if text in request.asked.answers:
                 return
         elif any(answer.startswith(text) for answer in request.asked.answers):
@@ -160,7 +163,7 @@
 
 def _may_have_made(attempt: AttemptEnded, run: Ran) -> bool:
     """Tell whether a run can be that of an attempt which was not refused."""
-    if attempt.ending is Ending.NOT_RUN:
+    if attempt.ending is AttemptResult.NOT_RUN:
         return False
     if attempt.run_id == run.run_id:
         return True
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -2,6 +2,7 @@
 
 from fireflyward.checker import (
     AttemptEnded,
+    AttemptResult,
     BlockFreed,
     BlockRead,
     BlockSealed,
@@ -9,7 +10,6 @@
     BundleServed,
     CallerLeft,
     Checker,
-    Ending,
     NodeLost,
     Promise,
     Ran,
@@ -22,7 +22,7 @@
 ASKED = RequestSent(0, "r", "bridge", ("whole answer",))
 OTHER = RequestSent(0, "s", "tower", ("its answer",))
 CALL = RequestSent(0, "c", "bridge", ("done",), is_non_idempotent=True)
-ANSWERED = AttemptEnded(9, "r", Ending.ANSWERED, "whole answer", "id", "n1")
+ANSWERED = AttemptEnded(9, "r", AttemptResult.ANSWERED, "whole answer", "id", "n1")
 SEALED = BlockSealed(1, "store", "b", 1, "bridge", "v1", "sum")
 
 
@@ -43,25 +43,25 @@
 
 KEPT = {
     "a whole answer": [ASKED, Ran(1, "e", "r", "id"), ANSWERED],
-    "a true refusal": [CALL, AttemptEnded(2, "c", Ending.NOT_RUN, run_id="id")],
+    "a true refusal": [CALL, AttemptEnded(2, "c", AttemptResult.NOT_RUN, run_id="id")],
     "a caller that left": [ASKED, CallerLeft(3, "r")],
     "a call that ran when it was asked again": [
         CALL,
-        AttemptEnded(2, "c", Ending.NOT_RUN, "", "id1", "n1", False, 1),
+        AttemptEnded(2, "c", AttemptResult.NOT_RUN, "", "id1", "n1", False, 1),
         Ran(5, "e", "c", "key", node="n1"),
-        AttemptEnded(6, "c", Ending.ANSWERED, "done", "id2", "n1", True, 4),
+        AttemptEnded(6, "c", AttemptResult.ANSWERED, "done", "id2", "n1", True, 4),
     ],
     "a second attempt that ran": [
         ASKED,
-        AttemptEnded(2, "r", Ending.NOT_RUN, run_id="id1", is_final=False),
+        AttemptEnded(2, "r", AttemptResult.NOT_RUN, run_id="id1", is_final=False),
         Ran(3, "e", "r", "id2"),
         ANSWERED,
     ],
     "a run of an earlier attempt under way": [
         ASKED,
         Ran(1, "e", "r", "key", node="n1"),
-        AttemptEnded(4, "r", Ending.NOT_RUN, run_id="id", node="n2", begun_ms=0),
-        AttemptEnded(6, "r", Ending.NOT_RUN, run_id="id", node="n1", begun_ms=5),
+        AttemptEnded(4, "r", AttemptResult.NOT_RUN, run_id="id", node="n2", begun_ms=0),
+        AttemptEnded(6, "r", AttemptResult.NOT_RUN, run_id="id", node="n1", begun_ms=5),
     ],
     "a block freed after it was read": [SEALED, BlockFreed(9, "store", "b", 1), read()],
     "a run that goes on across a swap": [SEALED, read(version="v2", is_continued=True)],
@@ -75,7 +75,7 @@
         ASKED,
         StopBegan(1, "n1"),
         NodeLost(2, "n1"),
-        AttemptEnded(3, "r", Ending.CUT, "whole", "id", "n1", is_final=False),
+        AttemptEnded(3, "r", AttemptResult.CUT, "whole", "id", "n1", is_final=False),
         ANSWERED,
     ],
     "a long request that ends after a short one of a newer bundle": [
@@ -103,28 +103,33 @@
     "another account's block": (Promise.OWN_ACCOUNT, [SEALED, read(account="tower")]),
     "another account's answer": (
         Promise.OWN_ACCOUNT,
-        [ASKED, OTHER, ANSWERED, AttemptEnded(3, "s", Ending.ANSWERED, "whole answer")],
+        [
+            ASKED,
+            OTHER,
+            ANSWERED,
+            AttemptEnded(3, "s", AttemptResult.ANSWERED, "whole answer"),
+        ],
     ),
     "work that nobody asked for": (Promise.OWN_ACCOUNT, [Ran(1, "e", "?", "id")]),
     "another version's block": (Promise.OWN_VERSION, [SEALED, read(version="v2")]),
     "a short answer": (
         Promise.WHOLE_ANSWER,
-        [ASKED, AttemptEnded(3, "r", Ending.ANSWERED, "whole")],
+        [ASKED, AttemptEnded(3, "r", AttemptResult.ANSWERED, "whole")],
     ),
     "a gap in a cut stream": (
         Promise.WHOLE_ANSWER,
-        [ASKED, AttemptEnded(3, "r", Ending.CUT, "whole wer")],
+        [ASKED, AttemptEnded(3, "r", AttemptResult.CUT, "whole wer")],
     ),
     "a repeat in a stream": (
         Promise.WHOLE_ANSWER,
-        [ASKED, AttemptEnded(3, "r", Ending.UNKNOWN, "whole whole")],
+        [ASKED, AttemptEnded(3, "r", AttemptResult.UNKNOWN, "whole whole")],
     ),
     "a refusal after the run": (
         Promise.TRUE_REFUSAL,
         [
             ASKED,
             Ran(1, "e", "r", "id"),
-            AttemptEnded(2, "r", Ending.NOT_RUN, run_id="id"),
+            AttemptEnded(2, "r", AttemptResult.NOT_RUN, run_id="id"),
         ],
     ),
     "a refusal after a run under another id": (
@@ -132,14 +137,16 @@
         [
             ASKED,
             Ran(2, "e", "r", "key", node="n1"),
-            AttemptEnded(3, "r", Ending.NOT_RUN, run_id="id", node="n1", begun_ms=1),
+            AttemptEnded(
+                3, "r", AttemptResult.NOT_RUN, run_id="id", node="n1", begun_ms=1
+            ),
         ],
     ),
     "a refusal before the run": (
         Promise.TRUE_REFUSAL,
         [
             CALL,
-            AttemptEnded(1, "c", Ending.NOT_RUN, run_id="id"),
+            AttemptEnded(1, "c", AttemptResult.NOT_RUN, run_id="id"),
             Ran(2, "e", "c", "id2"),
         ],
     ),
@@ -147,9 +154,9 @@
         Promise.TRUE_REFUSAL,
         [
             CALL,
-            AttemptEnded(2, "c", Ending.NOT_RUN, "", "id1", "n1", False, 1),
+            AttemptEnded(2, "c", AttemptResult.NOT_RUN, "", "id1", "n1", False, 1),
             Ran(5, "e", "c", "key", node="n1"),
-            AttemptEnded(6, "c", Ending.UNKNOWN, "", "id2", "n2", True, 4),
+            AttemptEnded(6, "c", AttemptResult.UNKNOWN, "", "id2", "n2", True, 4),
         ],
     ),
     "a refusal of a call that ran for an earlier attempt": (
@@ -157,8 +164,8 @@
         [
             CALL,
             Ran(1, "e", "c", "id1", node="n1"),
-            AttemptEnded(2, "c", Ending.CUT, "", "id1", "n1", False, 0),
-            AttemptEnded(4, "c", Ending.NOT_RUN, "", "id2", "n2", True, 3),
+            AttemptEnded(2, "c", AttemptResult.CUT, "", "id1", "n1", False, 0),
+            AttemptEnded(4, "c", AttemptResult.NOT_RUN, "", "id2", "n2", True, 3),
         ],
     ),
     "a call that ran twice": (
@@ -167,7 +174,7 @@
             CALL,
             Ran(1, "e", "c", "id"),
             Ran(2, "f", "c", "id2"),
-            AttemptEnded(3, "c", Ending.UNKNOWN),
+            AttemptEnded(3, "c", AttemptResult.UNKNOWN),
         ],
     ),
     "work long after an upstream's leaving": (
@@ -179,7 +186,7 @@
         [
             ASKED,
             StopBegan(1, "n1"),
-            AttemptEnded(2, "r", Ending.CUT, "whole", "id", "n1"),
+            AttemptEnded(2, "r", AttemptResult.CUT, "whole", "id", "n1"),
         ],
     ),
     "a node that steps back": (
