--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -14,9 +14,9 @@
     CallerLeft,
     NodeLost,
     Observation,
-    Ran,
     Reachable,
     RequestSent,
+    RunStarted,
     StopBegan,
     UpstreamLeaving,
 )
@@ -75,7 +75,7 @@
         self._requests.see(observation)
 
     @see.register
-    def _(self, observation: Ran) -> None:
+    def _(self, observation: RunStarted) -> None:
         self._requests.see(observation)
         left_ms = self._leaving_ms.get(observation.upstream)
         if left_ms is None or observation.at_ms <= left_ms + self._leaving_limit_ms:
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class RunStarted:
     """An upstream took a request up; from here on it may have had an effect.
 
     ``node`` is where the connection came from, if the upstream can tell.
@@ -177,7 +177,7 @@
     RequestSent
     | AttemptEnded
     | CallerLeft
-    | Ran
+    | RunStarted
     | UpstreamLeaving
     | BlockSealed
     | BlockFreed
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -9,8 +9,8 @@
     CallerLeft,
     NodeLost,
     Observation,
-    Ran,
     RequestSent,
+    RunStarted,
     StopBegan,
 )
 from ._promises import Promise, Violation
@@ -21,7 +21,7 @@
 @dataclass(slots=True)
 class _Request:
     asked: RequestSent
-    runs: list[Ran] = field(default_factory=list)
+    runs: list[RunStarted] = field(default_factory=list)
     attempts: list[AttemptEnded] = field(default_factory=list)
     refused_run_ids: set[str] = field(default_factory=set)
     is_over: bool = False
@@ -83,7 +83,7 @@
         self._stopping.discard(observation.node)
 
     @see.register
-    def _(self, observation: Ran) -> None:
+    def _(self, observation: RunStarted) -> None:
         request = self._request_by_name.get(observation.request)
         if request is None:
             detail = (
@@ -98,7 +98,7 @@
             found = _false_refusal(observation.at_ms, observation.request)
             self.violations.append(found)
 
-    def _check_once(self, observation: Ran, request: _Request) -> None:
+    def _check_once(self, observation: RunStarted, request: _Request) -> None:
         if len(request.runs) > 1:
             detail = f"{observation.request} ran {len(request.runs)} times"
             self._add(Promise.AT_MOST_ONCE, observation.at_ms, detail)
@@ -153,7 +153,7 @@
         self.violations.append(Violation(promise, at_ms, detail))
 
 
-def _is_of_attempt(run: Ran, ended: AttemptEnded) -> bool:
+def _is_of_attempt(run: RunStarted, ended: AttemptEnded) -> bool:
     """Tell whether a run is the attempt's, by its id or by node and time."""
     if run.run_id == ended.run_id:
         return True
@@ -161,7 +161,7 @@
     return has_window and ended.begun_ms <= run.at_ms <= ended.at_ms
 
 
-def _may_have_made(attempt: AttemptEnded, run: Ran) -> bool:
+def _may_have_made(attempt: AttemptEnded, run: RunStarted) -> bool:
     """Tell whether a run can be that of an attempt which was not refused."""
     if attempt.ending is AttemptResult.NOT_RUN:
         return False
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -12,9 +12,9 @@
     Checker,
     NodeLost,
     Promise,
-    Ran,
     Reachable,
     RequestSent,
+    RunStarted,
     StopBegan,
     UpstreamLeaving,
 )
@@ -42,24 +42,24 @@
 
 
 KEPT = {
-    "a whole answer": [ASKED, Ran(1, "e", "r", "id"), ANSWERED],
+    "a whole answer": [ASKED, RunStarted(1, "e", "r", "id"), ANSWERED],
     "a true refusal": [CALL, AttemptEnded(2, "c", AttemptResult.NOT_RUN, run_id="id")],
     "a caller that left": [ASKED, CallerLeft(3, "r")],
     "a call that ran when it was asked again": [
         CALL,
         AttemptEnded(2, "c", AttemptResult.NOT_RUN, "", "id1", "n1", False, 1),
-        Ran(5, "e", "c", "key", node="n1"),
+        RunStarted(5, "e", "c", "key", node="n1"),
         AttemptEnded(6, "c", AttemptResult.ANSWERED, "done", "id2", "n1", True, 4),
     ],
     "a second attempt that ran": [
         ASKED,
         AttemptEnded(2, "r", AttemptResult.NOT_RUN, run_id="id1", is_final=False),
-        Ran(3, "e", "r", "id2"),
+        RunStarted(3, "e", "r", "id2"),
         ANSWERED,
     ],
     "a run of an earlier attempt under way": [
         ASKED,
-        Ran(1, "e", "r", "key", node="n1"),
+        RunStarted(1, "e", "r", "key", node="n1"),
         AttemptEnded(4, "r", AttemptResult.NOT_RUN, run_id="id", node="n2", begun_ms=0),
         AttemptEnded(6, "r", AttemptResult.NOT_RUN, run_id="id", node="n1", begun_ms=5),
     ],
@@ -68,7 +68,7 @@
     "work soon after an upstream's leaving": [
         ASKED,
         UpstreamLeaving(0, "e"),
-        Ran(3_000, "e", "r", "id"),
+        RunStarted(3_000, "e", "r", "id"),
         ANSWERED,
     ],
     "a crash during a stop": [
@@ -110,7 +110,10 @@
             AttemptEnded(3, "s", AttemptResult.ANSWERED, "whole answer"),
         ],
     ),
-    "work that nobody asked for": (Promise.OWN_ACCOUNT, [Ran(1, "e", "?", "id")]),
+    "work that nobody asked for": (
+        Promise.OWN_ACCOUNT,
+        [RunStarted(1, "e", "?", "id")],
+    ),
     "another version's block": (Promise.OWN_VERSION, [SEALED, read(version="v2")]),
     "a short answer": (
         Promise.WHOLE_ANSWER,
@@ -128,7 +131,7 @@
         Promise.TRUE_REFUSAL,
         [
             ASKED,
-            Ran(1, "e", "r", "id"),
+            RunStarted(1, "e", "r", "id"),
             AttemptEnded(2, "r", AttemptResult.NOT_RUN, run_id="id"),
         ],
     ),
@@ -136,7 +139,7 @@
         Promise.TRUE_REFUSAL,
         [
             ASKED,
-            Ran(2, "e", "r", "key", node="n1"),
+            RunStarted(2, "e", "r", "key", node="n1"),
             AttemptEnded(
                 3, "r", AttemptResult.NOT_RUN, run_id="id", node="n1", begun_ms=1
             ),
@@ -147,7 +150,7 @@
         [
             CALL,
             AttemptEnded(1, "c", AttemptResult.NOT_RUN, run_id="id"),
-            Ran(2, "e", "c", "id2"),
+            RunStarted(2, "e", "c", "id2"),
         ],
     ),
     "a call that ran at the node that refused it": (
@@ -155,7 +158,7 @@
         [
             CALL,
             AttemptEnded(2, "c", AttemptResult.NOT_RUN, "", "id1", "n1", False, 1),
-            Ran(5, "e", "c", "key", node="n1"),
+            RunStarted(5, "e", "c", "key", node="n1"),
             AttemptEnded(6, "c", AttemptResult.UNKNOWN, "", "id2", "n2", True, 4),
         ],
     ),
@@ -163,7 +166,7 @@
         Promise.TRUE_REFUSAL,
         [
             CALL,
-            Ran(1, "e", "c", "id1", node="n1"),
+            RunStarted(1, "e", "c", "id1", node="n1"),
             AttemptEnded(2, "c", AttemptResult.CUT, "", "id1", "n1", False, 0),
             AttemptEnded(4, "c", AttemptResult.NOT_RUN, "", "id2", "n2", True, 3),
         ],
@@ -172,14 +175,14 @@
         Promise.AT_MOST_ONCE,
         [
             CALL,
-            Ran(1, "e", "c", "id"),
-            Ran(2, "f", "c", "id2"),
+            RunStarted(1, "e", "c", "id"),
+            RunStarted(2, "f", "c", "id2"),
             AttemptEnded(3, "c", AttemptResult.UNKNOWN),
         ],
     ),
     "work long after an upstream's leaving": (
         Promise.LEAVING_UPSTREAM,
-        [ASKED, UpstreamLeaving(0, "e"), Ran(3_001, "e", "r", "id"), ANSWERED],
+        [ASKED, UpstreamLeaving(0, "e"), RunStarted(3_001, "e", "r", "id"), ANSWERED],
     ),
     "a request cut by a stop": (
         Promise.GRACEFUL_STOP,
--- a/tests/faults/_fakes.py
+++ b/tests/faults/_fakes.py
@@ -7,7 +7,7 @@
 from fireflyward.backing import Unavailable, Uncertain
 from fireflyward.bundles import Upstream
 from fireflyward.bundles._store import HEAD_KEY, Head
-from fireflyward.checker import BlockRead, BlockSealed, Ran
+from fireflyward.checker import BlockRead, BlockSealed, RunStarted
 from fireflyward.daemon import NodeIO
 from fireflyward.kept import StoreAway
 from fireflyward.outcomes import Reason
@@ -124,7 +124,7 @@
         if isinstance(result, Accepted):
             request = request_of(call.prompt)
             ran = (now_ms, self.name, request, call.run_id, result.version, node)
-            self.world.see(Ran(*ran))
+            self.world.see(RunStarted(*ran))
             self._see_cache(now_ms, call, request, result)
         return result
 
@@ -315,7 +315,7 @@
                 return Refused(Reason.OVERLOADED, "the service did not run it")
             clock, request = self._network.clock, request_of(call.body.decode())
             ran = (clock.now_ms(), self._name, request, call.run_id)
-            self._world.see(Ran(*ran, node=self._process.name))
+            self._world.see(RunStarted(*ran, node=self._process.name))
             await clock.sleep_ms(_SERVICE_WORK_MS)
             await connection.carry()
         except LinkLost as error:
