--- a/fireflyward/checker/_bundles.py
+++ b/fireflyward/checker/_bundles.py
@@ -2,7 +2,12 @@
 
 from functools import singledispatchmethod
 
-from ._observations import BundleAccepted, BundleServed, Observation, Reachable
+from ._observations import (
+    BundleAccepted,
+    BundleServed,
+    Observation,
+    ReachabilityChanged,
+)
 from ._promises import Promise, Violation
 
 
@@ -51,7 +56,7 @@
         self._accepted_ms_by_number.setdefault(number, observation.at_ms)
 
     @see.register
-    def _(self, observation: Reachable) -> None:
+    def _(self, observation: ReachabilityChanged) -> None:
         if not observation.is_reachable:
             self._cut_off.add(observation.node)
         elif observation.node in self._cut_off:
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -14,7 +14,7 @@
     CallerLeft,
     NodeLost,
     Observation,
-    Reachable,
+    ReachabilityChanged,
     RequestSent,
     RunStarted,
     StopBegan,
@@ -94,6 +94,6 @@
     def _(self, observation: Observation) -> None:
         self._blocks.see(observation)
 
-    @see.register(BundleAccepted | BundleServed | Reachable)
+    @see.register(BundleAccepted | BundleServed | ReachabilityChanged)
     def _(self, observation: Observation) -> None:
         self._bundles.see(observation)
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -149,7 +149,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reachable:
+class ReachabilityChanged:
     """A node can reach the platform or a peer that can, or no longer can."""
 
     at_ms: int
@@ -184,7 +184,7 @@
     | BlockRead
     | BundleAccepted
     | BundleServed
-    | Reachable
+    | ReachabilityChanged
     | StopBegan
     | NodeLost
 )
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -12,7 +12,7 @@
     Checker,
     NodeLost,
     Promise,
-    Reachable,
+    ReachabilityChanged,
     RequestSent,
     RunStarted,
     StopBegan,
@@ -86,10 +86,10 @@
     ],
     "a node that was cut off": [
         BundleAccepted(0, 1, "d1"),
-        Reachable(1, "n1", False),
+        ReachabilityChanged(1, "n1", False),
         BundleAccepted(2, 2, "d2"),
         BundleServed(20_000, "n1", 1),
-        Reachable(20_001, "n1", True),
+        ReachabilityChanged(20_001, "n1", True),
         BundleServed(29_001, "n1", 1),
     ],
 }
--- a/tests/faults/_world.py
+++ b/tests/faults/_world.py
@@ -20,7 +20,13 @@
     verify_change,
     verify_snapshot,
 )
-from fireflyward.checker import BundleAccepted, Checker, NodeLost, Reachable, StopBegan
+from fireflyward.checker import (
+    BundleAccepted,
+    Checker,
+    NodeLost,
+    ReachabilityChanged,
+    StopBegan,
+)
 from fireflyward.clock import ManualClock
 from fireflyward.daemon import Node
 from fireflyward.settings import SERVE_SETTINGS, load
@@ -256,7 +262,7 @@
             ways = {other for other in direct if not self.network.is_cut(domain, other)}
             is_paused = node.process.paused_until_ms > self.clock.now_ms()
             is_reachable = bool(ways) and not is_paused
-            self.see(Reachable(self.clock.now_ms(), name, is_reachable))
+            self.see(ReachabilityChanged(self.clock.now_ms(), name, is_reachable))
 
     async def end(self) -> None:
         """Let nothing of this world go on."""
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -11,7 +11,7 @@
     BundleAccepted,
     Checker,
     NodeLost,
-    Reachable,
+    ReachabilityChanged,
     StopBegan,
 )
 from fireflyward.clock import Clock
@@ -141,19 +141,19 @@
     async def _kill(self) -> None:
         node = self._pick(may_be_first=False)
         self._see(NodeLost, node.url)
-        self._see(Reachable, node.url, False)
+        self._see(ReachabilityChanged, node.url, False)
         node.send(signal.SIGKILL)
         await node.ended()
         await node.start()
-        self._see(Reachable, node.url, True)
+        self._see(ReachabilityChanged, node.url, True)
 
     async def _pause(self) -> None:
         node = self._pick(may_be_first=True)
-        self._see(Reachable, node.url, False)
+        self._see(ReachabilityChanged, node.url, False)
         node.send(signal.SIGSTOP)
         await asyncio.sleep(_PAUSE_S)
         node.send(signal.SIGCONT)
-        self._see(Reachable, node.url, True)
+        self._see(ReachabilityChanged, node.url, True)
 
     async def _stop(self) -> None:
         node = self._pick(may_be_first=False)
@@ -173,12 +173,12 @@
     async def _table_away(self) -> None:
         platform = self._deployment.platform
         for node in self._nodes:
-            self._see(Reachable, node.url, False)
+            self._see(ReachabilityChanged, node.url, False)
         platform.table.away = platform.objects.away = True
         await asyncio.sleep(_AWAY_S)
         platform.table.away = platform.objects.away = False
         for node in self._nodes:
-            self._see(Reachable, node.url, True)
+            self._see(ReachabilityChanged, node.url, True)
 
     async def _stores_slow(self) -> None:
         faults = [server.model.faults for server in self._stores()]
