--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -11,7 +11,7 @@
     BlockSealed,
     BundleAccepted,
     BundleServed,
-    CallerLeft,
+    CallerDisconnected,
     NodeLost,
     Observation,
     ReachabilityChanged,
@@ -70,7 +70,9 @@
         """Take one observation."""
         raise TypeError(f"no check takes {observation!r}")
 
-    @see.register(RequestSent | AttemptEnded | CallerLeft | StopBegan | NodeLost)
+    @see.register(
+        RequestSent | AttemptEnded | CallerDisconnected | StopBegan | NodeLost
+    )
     def _(self, observation: Observation) -> None:
         self._requests.see(observation)
 
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller went away and waits for nothing more."""
 
     at_ms: int
@@ -176,7 +176,7 @@
 Observation = (
     RequestSent
     | AttemptEnded
-    | CallerLeft
+    | CallerDisconnected
     | RunStarted
     | UpstreamLeaving
     | BlockSealed
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -6,7 +6,7 @@
 from ._observations import (
     AttemptEnded,
     AttemptResult,
-    CallerLeft,
+    CallerDisconnected,
     NodeLost,
     Observation,
     RequestSent,
@@ -71,7 +71,7 @@
             self._owner_by_answer.setdefault(answer, observation.request)
 
     @see.register
-    def _(self, observation: CallerLeft) -> None:
+    def _(self, observation: CallerDisconnected) -> None:
         self._request_by_name[observation.request].is_over = True
 
     @see.register
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -8,7 +8,7 @@
     BlockSealed,
     BundleAccepted,
     BundleServed,
-    CallerLeft,
+    CallerDisconnected,
     Checker,
     NodeLost,
     Promise,
@@ -44,7 +44,7 @@
 KEPT = {
     "a whole answer": [ASKED, RunStarted(1, "e", "r", "id"), ANSWERED],
     "a true refusal": [CALL, AttemptEnded(2, "c", AttemptResult.NOT_RUN, run_id="id")],
-    "a caller that left": [ASKED, CallerLeft(3, "r")],
+    "a caller that left": [ASKED, CallerDisconnected(3, "r")],
     "a call that ran when it was asked again": [
         CALL,
         AttemptEnded(2, "c", AttemptResult.NOT_RUN, "", "id1", "n1", False, 1),
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -15,7 +15,7 @@
     AttemptEnded,
     AttemptResult,
     BundleServed,
-    CallerLeft,
+    CallerDisconnected,
     RequestSent,
 )
 from fireflyward.standins import answer_text
@@ -170,7 +170,7 @@
         if self.ending is None and not self._has_left:
             self._has_left = True
             self._transport.is_gone = True
-            self._world.see(CallerLeft(self._clock.now_ms(), self.ask.name))
+            self._world.see(CallerDisconnected(self._clock.now_ms(), self.ask.name))
 
     def slow_down(self, slow_ms: int) -> None:
         """Read each piece late."""
