--- a/fireflyward/checker/_bundles.py
+++ b/fireflyward/checker/_bundles.py
@@ -29,10 +29,10 @@
         "violations",
     )
 
-    def __init__(self, force_limit_ms: int, *, sees_platform: bool = True) -> None:
+    def __init__(self, force_limit_ms: int, *, observes_platform: bool = True) -> None:
         self.violations: list[Violation] = []
         self._force_limit_ms = force_limit_ms
-        self._sees_platform = sees_platform
+        self._sees_platform = observes_platform
         self._accepted_ms_by_number: dict[int, int] = {}
         self._digest_by_number: dict[int, str] = {}
         self._seen_by_node: dict[str, list[tuple[int, int]]] = {}
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -30,7 +30,7 @@
 class Checker:
     """Takes observations in the order of time and says which promises broke.
 
-    Without ``sees_platform`` nobody tells it of accepted bundles, and it only holds
+    Without ``observes_platform`` nobody tells it of accepted bundles, and it only holds
     the numbers that a node serves by against each other.
 
     >>> from fireflyward.checker import RequestSent, Checker, AttemptEnded, AttemptResult
@@ -48,11 +48,13 @@
         *,
         leaving_limit_ms: int = _LEAVING_LIMIT_MS,
         force_limit_ms: int = _FORCE_LIMIT_MS,
-        sees_platform: bool = True,
+        observes_platform: bool = True,
     ) -> None:
         self._requests = RequestChecker()
         self._blocks = BlockChecker()
-        self._bundles = BundleChecker(force_limit_ms, sees_platform=sees_platform)
+        self._bundles = BundleChecker(
+            force_limit_ms, observes_platform=observes_platform
+        )
         self._leaving_limit_ms = leaving_limit_ms
         self._leaving_ms: dict[str, int] = {}
 
--- a/fireflyward/demo/_demo.py
+++ b/fireflyward/demo/_demo.py
@@ -55,7 +55,7 @@
     ) -> None:
         self._deployment = deployment
         self._clock = Clock()
-        self._checker = Checker(sees_platform=False)
+        self._checker = Checker(observes_platform=False)
         self._count_by_ending: Counter[AttemptResult | None] = Counter()
         self._plan = LoadPlan(0, 0, KEY_BY_ACCOUNT)
         self._caller = LoadCaller(
--- a/fireflyward/load/_run.py
+++ b/fireflyward/load/_run.py
@@ -34,7 +34,7 @@
         checker: Checker | None = None,
         clock: Clock | None = None,
     ) -> None:
-        self.checker = checker or Checker(sees_platform=False)
+        self.checker = checker or Checker(observes_platform=False)
         self.count_by_ending: Counter[AttemptResult | None] = Counter()
         self._plan = plan
         self._urls = urls
