--- a/fireflyward/checker/_blocks.py
+++ b/fireflyward/checker/_blocks.py
@@ -19,20 +19,20 @@
         self._freed_ms_by_place: dict[_Place, int] = {}
 
     @singledispatchmethod
-    def see(self, observation: Observation) -> None:
+    def observe(self, observation: Observation) -> None:
         """Take one observation of a store or of an engine's reading."""
         raise TypeError(f"no check takes {observation!r}")
 
-    @see.register
+    @observe.register
     def _(self, observation: BlockSealed) -> None:
         self._sealed_by_place.setdefault(_place(observation), observation)
 
-    @see.register
+    @observe.register
     def _(self, observation: BlockFreed) -> None:
         place = _place(observation)
         self._freed_ms_by_place.setdefault(place, observation.at_ms)
 
-    @see.register
+    @observe.register
     def _(self, observation: BlockRead) -> None:
         sealed = self._sealed_by_place.get(_place(observation))
         if sealed is None or sealed.checksum != observation.checksum:
--- a/fireflyward/checker/_bundles.py
+++ b/fireflyward/checker/_bundles.py
@@ -40,11 +40,11 @@
         self._reachable_ms: dict[str, int] = {}
 
     @singledispatchmethod
-    def see(self, observation: Observation) -> None:
+    def observe(self, observation: Observation) -> None:
         """Take one observation of the table service or of a caller."""
         raise TypeError(f"no check takes {observation!r}")
 
-    @see.register
+    @observe.register
     def _(self, observation: BundleAccepted) -> None:
         number = observation.number
         highest = max(self._accepted_ms_by_number, default=number - 1)
@@ -55,7 +55,7 @@
             self._add(observation.at_ms, f"{number} was accepted after {highest}")
         self._accepted_ms_by_number.setdefault(number, observation.at_ms)
 
-    @see.register
+    @observe.register
     def _(self, observation: ReachabilityChanged) -> None:
         if not observation.is_reachable:
             self._cut_off.add(observation.node)
@@ -63,7 +63,7 @@
             self._cut_off.discard(observation.node)
             self._reachable_ms[observation.node] = observation.at_ms
 
-    @see.register
+    @observe.register
     def _(self, observation: BundleServed) -> None:
         node, number = observation.node, observation.number
         if not number:
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -35,8 +35,8 @@
 
     >>> from fireflyward.checker import RequestSent, Checker, AttemptEnded, AttemptResult
     >>> checker = Checker()
-    >>> checker.see(RequestSent(0, "r", "a", ("yes",)))
-    >>> checker.see(AttemptEnded(9, "r", AttemptResult.ANSWERED, "yes"))
+    >>> checker.observe(RequestSent(0, "r", "a", ("yes",)))
+    >>> checker.observe(AttemptEnded(9, "r", AttemptResult.ANSWERED, "yes"))
     >>> checker.finish(10)
     ()
     """
@@ -68,19 +68,19 @@
         return tuple(sorted(found, key=lambda violation: violation.at_ms))
 
     @singledispatchmethod
-    def see(self, observation: Observation) -> None:
+    def observe(self, observation: Observation) -> None:
         """Take one observation."""
         raise TypeError(f"no check takes {observation!r}")
 
-    @see.register(
+    @observe.register(
         RequestSent | AttemptEnded | CallerDisconnected | StopBegan | NodeLost
     )
     def _(self, observation: Observation) -> None:
-        self._requests.see(observation)
+        self._requests.observe(observation)
 
-    @see.register
+    @observe.register
     def _(self, observation: RunStarted) -> None:
-        self._requests.see(observation)
+        self._requests.observe(observation)
         left_ms = self._leaving_ms.get(observation.upstream)
         if left_ms is None or observation.at_ms <= left_ms + self._leaving_limit_ms:
             return
@@ -90,14 +90,14 @@
             Violation(Promise.LEAVING_UPSTREAM, observation.at_ms, detail)
         )
 
-    @see.register
+    @observe.register
     def _(self, observation: UpstreamLeaving) -> None:
         self._leaving_ms.setdefault(observation.upstream, observation.at_ms)
 
-    @see.register(BlockSealed | BlockFreed | BlockRead)
+    @observe.register(BlockSealed | BlockFreed | BlockRead)
     def _(self, observation: Observation) -> None:
-        self._blocks.see(observation)
+        self._blocks.observe(observation)
 
-    @see.register(BundleAccepted | BundleServed | ReachabilityChanged)
+    @observe.register(BundleAccepted | BundleServed | ReachabilityChanged)
     def _(self, observation: Observation) -> None:
-        self._bundles.see(observation)
+        self._bundles.observe(observation)
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -58,11 +58,11 @@
         ]
 
     @singledispatchmethod
-    def see(self, observation: Observation) -> None:
+    def observe(self, observation: Observation) -> None:
         """Take one observation of a caller, an upstream or a node's end."""
         raise TypeError(f"no check takes {observation!r}")
 
-    @see.register
+    @observe.register
     def _(self, observation: RequestSent) -> None:
         if observation.request in self._request_by_name:
             return
@@ -70,19 +70,19 @@
         for answer in observation.answers:
             self._owner_by_answer.setdefault(answer, observation.request)
 
-    @see.register
+    @observe.register
     def _(self, observation: CallerDisconnected) -> None:
         self._request_by_name[observation.request].is_over = True
 
-    @see.register
+    @observe.register
     def _(self, observation: StopBegan) -> None:
         self._stopping.add(observation.node)
 
-    @see.register
+    @observe.register
     def _(self, observation: NodeLost) -> None:
         self._stopping.discard(observation.node)
 
-    @see.register
+    @observe.register
     def _(self, observation: RunStarted) -> None:
         request = self._request_by_name.get(observation.request)
         if request is None:
@@ -103,7 +103,7 @@
             detail = f"{observation.request} ran {len(request.runs)} times"
             self._add(Promise.AT_MOST_ONCE, observation.at_ms, detail)
 
-    @see.register
+    @observe.register
     def _(self, observation: AttemptEnded) -> None:
         request = self._request_by_name[observation.request]
         request.is_over = request.is_over or observation.is_final
--- a/fireflyward/load/_caller.py
+++ b/fireflyward/load/_caller.py
@@ -86,7 +86,7 @@
         begun_ms = self.clock.now_ms()
         is_call = request.way is Way.CALL
         answers = request.answers(self.plan)
-        self.checker.see(
+        self.checker.observe(
             RequestSent(begun_ms, request.name, request.account, answers, is_call)
         )
         received, unknown = Received(), 0
@@ -117,7 +117,7 @@
         is_final: bool,
     ) -> None:
         now_ms = self.clock.now_ms()
-        self.checker.see(
+        self.checker.observe(
             AttemptEnded(
                 now_ms,
                 request.name,
@@ -129,7 +129,7 @@
                 begun_ms,
             )
         )
-        self.checker.see(BundleServed(now_ms, url, received.bundle, begun_ms))
+        self.checker.observe(BundleServed(now_ms, url, received.bundle, begun_ms))
 
     async def _attempt(
         self, url: str, request: LoadRequest, before: Received
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -233,7 +233,7 @@
 def promises_broken_by(observations):
     checker = Checker()
     for observation in observations:
-        checker.see(observation)
+        checker.observe(observation)
     return {violation.promise for violation in checker.finish(30_000)}
 
 
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -170,7 +170,7 @@
         if self.ending is None and not self._has_left:
             self._has_left = True
             self._transport.is_gone = True
-            self._world.see(CallerDisconnected(self._clock.now_ms(), self.ask.name))
+            self._world.observe(CallerDisconnected(self._clock.now_ms(), self.ask.name))
 
     def slow_down(self, slow_ms: int) -> None:
         """Read each piece late."""
@@ -184,7 +184,7 @@
         only_once = ask.is_call or ask.is_once
         versions = self._world.versions
         answers = ask.answers(versions)
-        self._world.see(
+        self._world.observe(
             RequestSent(begun_ms, ask.name, ask.account, answers, only_once)
         )
         while not self._has_left and self.ending is None:
@@ -219,7 +219,7 @@
         )
         run_id = writer.headers.get("X-Request-Id", "")
         now_ms, name = self._clock.now_ms(), node.settings["node_name"]
-        self._world.see(
+        self._world.observe(
             AttemptEnded(
                 now_ms, self.ask.name, ending, text, run_id, name, is_final, begun_ms
             )
@@ -227,7 +227,7 @@
         self.ending = ending if is_final else self.ending
         if ending is not AttemptResult.CUT:
             number = int(writer.headers.get("X-Bundle", 0))
-            self._world.see(BundleServed(now_ms, name, number, begun_ms))
+            self._world.observe(BundleServed(now_ms, name, number, begun_ms))
 
     async def _send(self, node) -> _Writer:
         writer = _Writer(self._clock, self._transport)
--- a/tests/faults/_fakes.py
+++ b/tests/faults/_fakes.py
@@ -124,7 +124,7 @@
         if isinstance(result, Accepted):
             request = request_of(call.prompt)
             ran = (now_ms, self.name, request, call.run_id, result.version, node)
-            self.world.see(RunStarted(*ran))
+            self.world.observe(RunStarted(*ran))
             self._see_cache(now_ms, call, request, result)
         return result
 
@@ -137,16 +137,16 @@
         for index, key in enumerate(call.block_keys):
             place = self.name, key, self.epoch
             if index < cached:
-                self.world.see(
+                self.world.observe(
                     BlockSealed(now_ms, *place, *self.world.owner_by_key[key], "")
                 )
                 read = BlockRead(
                     now_ms, now_ms, *place, "", request, account, call.version
                 )
-                self.world.see(read)
+                self.world.observe(read)
             else:
                 sealed = BlockSealed(now_ms, *place, account, call.version, "")
-                self.world.see(sealed)
+                self.world.observe(sealed)
 
     def report(self):
         now_ms = self.world.clock.now_ms()
@@ -315,7 +315,7 @@
                 return Refused(Reason.OVERLOADED, "the service did not run it")
             clock, request = self._network.clock, request_of(call.body.decode())
             ran = (clock.now_ms(), self._name, request, call.run_id)
-            self._world.see(RunStarted(*ran, node=self._process.name))
+            self._world.observe(RunStarted(*ran, node=self._process.name))
             await clock.sleep_ms(_SERVICE_WORK_MS)
             await connection.carry()
         except LinkLost as error:
--- a/tests/faults/_faults.py
+++ b/tests/faults/_faults.py
@@ -181,7 +181,7 @@
     """An engine says that it leaves, and would still take what it is given."""
     vm = _busiest_engine(world)
     vm.is_leaving = True
-    world.see(UpstreamLeaving(world.clock.now_ms(), vm.name))
+    world.observe(UpstreamLeaving(world.clock.now_ms(), vm.name))
 
 
 @_fault("operators race")
--- a/tests/faults/_stores.py
+++ b/tests/faults/_stores.py
@@ -23,7 +23,7 @@
             owner = self.world.owner_by_key.get(ref.key, ("", ""))
             now_ms = self.world.clock.now_ms()
             place = self.name, ref.key, ref.generation
-            self.world.see(BlockSealed(now_ms, *place, *owner, ref.checksum))
+            self.world.observe(BlockSealed(now_ms, *place, *owner, ref.checksum))
         return done
 
     def _clear(self, slot) -> None:
@@ -39,7 +39,7 @@
         if slot.key:
             now_ms = self.world.clock.now_ms()
             freed = BlockFreed(now_ms, self.name, slot.key, slot.generation)
-            self.world.see(freed)
+            self.world.observe(freed)
 
     def fill(self, blocks: int) -> None:
         """Keep so many other blocks."""
@@ -73,7 +73,7 @@
             checksum = block_checksum(ref.key, ref.generation, payload)
             place = ref.store, ref.key, ref.generation
             now_ms = self.clock.now_ms()
-            self.world.see(
+            self.world.observe(
                 BlockRead(
                     now_ms, self.read_at_ms, *place, checksum, order.order_id, *owner
                 )
--- a/tests/faults/_world.py
+++ b/tests/faults/_world.py
@@ -95,8 +95,8 @@
             self.engine_by_name[name] = EngineVm(self, name, {MODEL: "v1"})
             self.network.add(f"service-{domain}", domain)
 
-    def see(self, observation) -> None:
-        self.checker.see(observation)
+    def observe(self, observation) -> None:
+        self.checker.observe(observation)
 
     async def begin(self) -> None:
         """Accept the first bundle and start the nodes."""
@@ -181,7 +181,7 @@
             )
         else:
             self.bundle_state = verify_change(signed, base, deployment="demo")
-        self.see(BundleAccepted(self.clock.now_ms(), number, digest))
+        self.observe(BundleAccepted(self.clock.now_ms(), number, digest))
 
     async def start_node(self, name: str, domain: str) -> Node:
         process = self.network.add(name, domain)
@@ -235,7 +235,7 @@
         return next((ask.account for ask in asks if ask.name == request), "")
 
     def kill_node(self, node: Node) -> None:
-        self.see(NodeLost(self.clock.now_ms(), node.settings["node_name"]))
+        self.observe(NodeLost(self.clock.now_ms(), node.settings["node_name"]))
         node.io.is_listening = False
         node.process.die()
         for task in node._tasks:
@@ -246,7 +246,7 @@
 
     def stop_node(self, name: str) -> asyncio.Task:
         node = self.node_by_name[name]
-        self.see(StopBegan(self.clock.now_ms(), name))
+        self.observe(StopBegan(self.clock.now_ms(), name))
         return node.process.spawn(node.stop())
 
     def see_reachable(self) -> None:
@@ -262,7 +262,7 @@
             ways = {other for other in direct if not self.network.is_cut(domain, other)}
             is_paused = node.process.paused_until_ms > self.clock.now_ms()
             is_reachable = bool(ways) and not is_paused
-            self.see(ReachabilityChanged(self.clock.now_ms(), name, is_reachable))
+            self.observe(ReachabilityChanged(self.clock.now_ms(), name, is_reachable))
 
     async def end(self) -> None:
         """Let nothing of this world go on."""
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -105,7 +105,7 @@
     engines = world.engine_by_name.values()
     vm = max(engines, key=lambda engine: len(engine.model.run_by_id))
     vm.is_leaving = True
-    world.see(UpstreamLeaving(world.clock.now_ms(), vm.name))
+    world.observe(UpstreamLeaving(world.clock.now_ms(), vm.name))
     await world.clock.sleep_ms(3_100)
     await asyncio.gather(*(world.ask(f"prompt-{index}") for index in range(8)))
 
@@ -129,7 +129,7 @@
         node.apply(world.make_bundle(1))
         number = node.holder.number
         name = node.settings["node_name"]
-        world.see(BundleServed(world.clock.now_ms(), name, number))
+        world.observe(BundleServed(world.clock.now_ms(), name, number))
 
 
 async def one_prompt(world):
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -56,7 +56,7 @@
         """Run for the given time and return the figures."""
         with tempfile.TemporaryDirectory() as folder:
             async with self._deployment:
-                self._checker.see(BundleAccepted(self._clock.now_ms(), 1, "1"))
+                self._checker.observe(BundleAccepted(self._clock.now_ms(), 1, "1"))
                 try:
                     return await self._run(Path(folder))
                 finally:
@@ -136,7 +136,7 @@
         return self._drawn.choice(self._nodes[0 if may_be_first else 1 :])
 
     def _see(self, kind, *fields) -> None:
-        self._checker.see(kind(self._clock.now_ms(), *fields))
+        self._checker.observe(kind(self._clock.now_ms(), *fields))
 
     async def _kill(self) -> None:
         node = self._pick(may_be_first=False)
