--- a/fireflyward/checker/__init__.py
+++ b/fireflyward/checker/__init__.py
@@ -1,4 +1,4 @@
-"""Judges a run of the whole system by what was seen from outside it."""
+"""Checks a run of the whole system against observations made from outside it."""
 
 from ._checker import Checker
 from ._observations import (
--- a/fireflyward/checker/_blocks.py
+++ b/fireflyward/checker/_blocks.py
@@ -1,44 +1,44 @@
-"""Checks what engines took from stores against what was sealed and freed there."""
+"""Checks the blocks that engines read from stores against those sealed and freed."""
 
 from functools import singledispatchmethod
 
 from ._observations import BlockFreed, BlockRead, BlockSealed, Observation
 from ._promises import Promise, Violation
 
-_Place = tuple[str, str, int]
+_BlockId = tuple[str, str, int]
 
 
 class BlockChecker:
-    """Keeps every generation of every block, with the time of its end."""
+    """Records every sealed generation of every block and when it was freed."""
 
-    __slots__ = ("_freed_ms_by_place", "_sealed_by_place", "violations")
+    __slots__ = ("_freed_ms_by_block", "_sealed_by_block", "violations")
 
     def __init__(self) -> None:
         self.violations: list[Violation] = []
-        self._sealed_by_place: dict[_Place, BlockSealed] = {}
-        self._freed_ms_by_place: dict[_Place, int] = {}
+        self._sealed_by_block: dict[_BlockId, BlockSealed] = {}
+        self._freed_ms_by_block: dict[_BlockId, int] = {}
 
     @singledispatchmethod
     def observe(self, observation: Observation) -> None:
-        """Take one observation of a store or of an engine's reading."""
-        raise TypeError(f"no check takes {observation!r}")
+        """Record an observation of a store, or check a block that an engine read."""
+        raise TypeError(f"no check handles {observation!r}")
 
     @observe.register
     def _(self, observation: BlockSealed) -> None:
-        self._sealed_by_place.setdefault(_place(observation), observation)
+        self._sealed_by_block.setdefault(_block_id(observation), observation)
 
     @observe.register
     def _(self, observation: BlockFreed) -> None:
-        place = _place(observation)
-        self._freed_ms_by_place.setdefault(place, observation.at_ms)
+        block_id = _block_id(observation)
+        self._freed_ms_by_block.setdefault(block_id, observation.at_ms)
 
     @observe.register
     def _(self, observation: BlockRead) -> None:
-        sealed = self._sealed_by_place.get(_place(observation))
+        sealed = self._sealed_by_block.get(_block_id(observation))
         if sealed is None or sealed.checksum != observation.checksum:
             self._add(Promise.WHOLE_BLOCKS, observation, "not whole when read")
             return
-        freed_ms = self._freed_ms_by_place.get(_place(observation))
+        freed_ms = self._freed_ms_by_block.get(_block_id(observation))
         if freed_ms is not None and freed_ms < observation.read_at_ms:
             self._add(Promise.WHOLE_BLOCKS, observation, f"freed at {freed_ms} ms")
         if sealed.account != observation.account:
@@ -54,5 +54,5 @@
         self.violations.append(Violation(promise, observation.at_ms, detail))
 
 
-def _place(observation: BlockSealed | BlockFreed | BlockRead) -> _Place:
+def _block_id(observation: BlockSealed | BlockFreed | BlockRead) -> _BlockId:
     return observation.store, observation.block, observation.generation
--- a/fireflyward/checker/_bundles.py
+++ b/fireflyward/checker/_bundles.py
@@ -1,4 +1,4 @@
-"""Checks the bundle numbers that callers met against the accepted ones."""
+"""Checks the bundle numbers that callers received against the accepted ones."""
 
 from functools import singledispatchmethod
 
@@ -12,37 +12,40 @@
 
 
 class BundleChecker:
-    """Keeps the time of each acceptance and the highest number of each node.
+    """Records when each bundle was accepted and the numbers that each node served.
 
-    A node that could not reach the platform has its limit counted from the time
-    at which it could again. Number 0 is what a node without a bundle refuses by.
+    For a node that could not reach the platform, the time limit starts when it can
+    reach the platform again. A node without a bundle rejects requests with number 0,
+    which is not checked.
     """
 
     __slots__ = (
         "_accepted_ms_by_number",
-        "_cut_off",
+        "_nodes_without_platform",
         "_digest_by_number",
-        "_force_limit_ms",
-        "_reachable_ms",
-        "_seen_by_node",
+        "_in_force_limit_ms",
+        "_reachable_since_ms",
+        "_served_by_node",
         "_sees_platform",
         "violations",
     )
 
-    def __init__(self, force_limit_ms: int, *, observes_platform: bool = True) -> None:
+    def __init__(
+        self, in_force_limit_ms: int, *, observes_platform: bool = True
+    ) -> None:
         self.violations: list[Violation] = []
-        self._force_limit_ms = force_limit_ms
+        self._in_force_limit_ms = in_force_limit_ms
         self._sees_platform = observes_platform
         self._accepted_ms_by_number: dict[int, int] = {}
         self._digest_by_number: dict[int, str] = {}
-        self._seen_by_node: dict[str, list[tuple[int, int]]] = {}
-        self._cut_off: set[str] = set()
-        self._reachable_ms: dict[str, int] = {}
+        self._served_by_node: dict[str, list[tuple[int, int]]] = {}
+        self._nodes_without_platform: set[str] = set()
+        self._reachable_since_ms: dict[str, int] = {}
 
     @singledispatchmethod
     def observe(self, observation: Observation) -> None:
-        """Take one observation of the table service or of a caller."""
-        raise TypeError(f"no check takes {observation!r}")
+        """Record or check one observation of the table service or of a caller."""
+        raise TypeError(f"no check handles {observation!r}")
 
     @observe.register
     def _(self, observation: BundleAccepted) -> None:
@@ -58,10 +61,10 @@
     @observe.register
     def _(self, observation: ReachabilityChanged) -> None:
         if not observation.is_reachable:
-            self._cut_off.add(observation.node)
-        elif observation.node in self._cut_off:
-            self._cut_off.discard(observation.node)
-            self._reachable_ms[observation.node] = observation.at_ms
+            self._nodes_without_platform.add(observation.node)
+        elif observation.node in self._nodes_without_platform:
+            self._nodes_without_platform.discard(observation.node)
+            self._reachable_since_ms[observation.node] = observation.at_ms
 
     @observe.register
     def _(self, observation: BundleServed) -> None:
@@ -72,28 +75,30 @@
         highest = self._highest_at(node, begun_ms)
         if number < highest:
             self._add(observation.at_ms, f"{node} went from {highest} to {number}")
-        seen = self._seen_by_node.setdefault(node, [])
+        seen = self._served_by_node.setdefault(node, [])
         if not seen or number > seen[-1][1]:
             seen.append((observation.at_ms, number))
         if self._sees_platform and number not in self._accepted_ms_by_number:
-            self._add(observation.at_ms, f"{node} serves {number}, accepted by none")
-        if node not in self._cut_off:
-            self._check_force(observation)
+            self._add(
+                observation.at_ms, f"{node} serves {number}, which was never accepted"
+            )
+        if node not in self._nodes_without_platform:
+            self._check_in_force(observation)
 
     def _highest_at(self, node: str, before_ms: int | None) -> int:
-        """Return the highest number that a node had served by before a time."""
-        for at_ms, number in reversed(self._seen_by_node.get(node, ())):
+        """Return the highest bundle number that a node served before a time."""
+        for at_ms, number in reversed(self._served_by_node.get(node, ())):
             if before_ms is None or at_ms < before_ms:
                 return number
         return 0
 
-    def _check_force(self, observation: BundleServed) -> None:
-        reachable_ms = self._reachable_ms.get(observation.node, 0)
+    def _check_in_force(self, observation: BundleServed) -> None:
+        reachable_ms = self._reachable_since_ms.get(observation.node, 0)
         served_ms = (
             observation.begun_ms if observation.begun_ms >= 0 else observation.at_ms
         )
         for number, accepted_ms in self._accepted_ms_by_number.items():
-            due_ms = max(accepted_ms, reachable_ms) + self._force_limit_ms
+            due_ms = max(accepted_ms, reachable_ms) + self._in_force_limit_ms
             if number > observation.number and served_ms > due_ms:
                 detail = f"{observation.node} still serves {observation.number}"
                 self._add(observation.at_ms, f"{detail}, {number} was due at {due_ms}")
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -1,4 +1,4 @@
-"""The one checker behind the fault matrix, the load tool and the long run."""
+"""The checker that the fault matrix, the load tool and the long run share."""
 
 from functools import singledispatchmethod
 
@@ -24,14 +24,14 @@
 from ._requests import RequestChecker
 
 _LEAVING_LIMIT_MS = 3_000
-_FORCE_LIMIT_MS = 9_000
+_IN_FORCE_LIMIT_MS = 9_000
 
 
 class Checker:
-    """Takes observations in the order of time and says which promises broke.
+    """Receives observations in the order of time and returns the broken promises.
 
-    Without ``observes_platform`` nobody tells it of accepted bundles, and it only holds
-    the numbers that a node serves by against each other.
+    Without ``observes_platform`` the checker receives no ``BundleAccepted``. For
+    bundles it then only checks that the number of each node never decreases.
 
     >>> from fireflyward.checker import RequestSent, Checker, AttemptEnded, AttemptResult
     >>> checker = Checker()
@@ -47,19 +47,19 @@
         self,
         *,
         leaving_limit_ms: int = _LEAVING_LIMIT_MS,
-        force_limit_ms: int = _FORCE_LIMIT_MS,
+        in_force_limit_ms: int = _IN_FORCE_LIMIT_MS,
         observes_platform: bool = True,
     ) -> None:
         self._requests = RequestChecker()
         self._blocks = BlockChecker()
         self._bundles = BundleChecker(
-            force_limit_ms, observes_platform=observes_platform
+            in_force_limit_ms, observes_platform=observes_platform
         )
         self._leaving_limit_ms = leaving_limit_ms
         self._leaving_ms: dict[str, int] = {}
 
     def finish(self, now_ms: int) -> tuple[Violation, ...]:
-        """Return every violation, those of unended requests included."""
+        """Return every violation, including those of requests without an outcome."""
         found = [
             *self._requests.finish(now_ms),
             *self._blocks.violations,
@@ -69,8 +69,8 @@
 
     @singledispatchmethod
     def observe(self, observation: Observation) -> None:
-        """Take one observation."""
-        raise TypeError(f"no check takes {observation!r}")
+        """Pass one observation to the checks that it concerns."""
+        raise TypeError(f"no check handles {observation!r}")
 
     @observe.register(
         RequestSent | AttemptEnded | CallerDisconnected | StopBegan | NodeLost
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -1,8 +1,9 @@
-"""What callers, upstreams, stores and the platform saw; nothing from inside.
+"""Observations of callers, upstreams, stores and the platform, none from inside nodes.
 
-Each observation carries the time at which it was made, in milliseconds of one
-clock. ``request`` is the caller's own name for a request, the same for all its
-attempts, and ``run_id`` is the name that the system gave to one attempt.
+Each observation has the time at which it was made, in milliseconds of one clock
+that all observers share. ``request`` is the name that the caller gave to a request,
+the same for all its attempts; ``run_id`` is the id that the system gave to one
+attempt.
 """
 
 import enum
@@ -10,7 +11,7 @@
 
 
 class AttemptResult(enum.StrEnum):
-    """How an attempt ended for its caller."""
+    """The result of an attempt as its caller received it."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -20,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSent:
-    """A caller sent a request; ``answers`` are the texts that answer it rightly.
+    """A caller sent a request; ``answers`` are the texts that are correct answers.
 
-    Several are right only while a swap of weights is under way.
+    More than one text is correct only during a weight swap.
     """
 
     at_ms: int
@@ -34,16 +35,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended at its caller, with the text that came until then.
+    """An attempt ended for its caller, who had received ``text`` up to that time.
 
-    ``CUT`` means that the connection ended without an outcome. ``node`` is the
-    node that the caller was connected to. ``is_final`` is false when the caller
-    is going to ask again. ``begun_ms`` is when the attempt began, if that is known.
+    ``AttemptResult.CUT`` means that the connection was lost without an outcome.
+    ``node`` is the node that the caller was connected to. ``is_final`` is false when
+    the caller is going to retry. ``begun_ms`` is when the attempt began, or -1 if
+    that is not known.
     """
 
     at_ms: int
     request: str
-    ending: AttemptResult
+    result: AttemptResult
     text: str = ""
     run_id: str = ""
     node: str = ""
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """The caller went away and waits for nothing more."""
+    """The caller disconnected and expects no outcome for this request."""
 
     at_ms: int
     request: str
@@ -61,9 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunStarted:
-    """An upstream took a request up; from here on it may have had an effect.
+    """An upstream started a request, which may have an effect from then on.
 
-    ``node`` is where the connection came from, if the upstream can tell.
+    ``node`` is the node that opened the connection, or empty if the upstream does
+    not know it.
     """
 
     at_ms: int
@@ -76,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLeaving:
-    """The first sign that nodes could see of an upstream's leaving."""
+    """An upstream first showed, in a way that nodes can detect, that it is leaving."""
 
     at_ms: int
     upstream: str
@@ -84,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockSealed:
-    """A block of kept work is whole in a store under a new generation."""
+    """A store sealed a completely written block under a new generation."""
 
     at_ms: int
     store: str
@@ -97,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockFreed:
-    """A store freed a block's generation; its space may hold other bytes now."""
+    """A store freed a generation of a block; its space may now hold other bytes."""
 
     at_ms: int
     store: str
@@ -107,10 +110,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockRead:
-    """An engine took a block into a run.
+    """An engine read a block for a run.
 
-    ``is_continued`` says that the run had begun before its weight version was
-    swapped. ``read_at_ms`` is when the store gave the bytes out.
+    ``is_continued`` is true if the run had begun before its weight version was
+    swapped. ``read_at_ms`` is when the store returned the bytes.
     """
 
     at_ms: int
@@ -127,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleAccepted:
-    """The table service took a write that makes ``number`` the one in force."""
+    """The table service accepted a write that puts bundle ``number`` in force."""
 
     at_ms: int
     number: int
@@ -136,10 +139,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleServed:
-    """A node served a caller by ``number`` (the ``X-Bundle`` header).
+    """A node served a caller under bundle ``number`` (the ``X-Bundle`` header).
 
-    A node takes the number when a request comes, so a long one may end with a lower
-    number than a short one beside it; ``begun_ms`` is when it was sent, if known.
+    A node fixes the number when a request arrives, so a long request may end with a
+    lower number than a short one that was sent later. ``begun_ms`` is when the
+    request was sent, or -1 if that is not known.
     """
 
     at_ms: int
@@ -150,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReachabilityChanged:
-    """A node can reach the platform or a peer that can, or no longer can."""
+    """A node gained or lost its path to the platform, directly or through a peer."""
 
     at_ms: int
     node: str
@@ -159,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopBegan:
-    """A node was told to stop as planned."""
+    """A node received the order for a planned stop."""
 
     at_ms: int
     node: str
@@ -167,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeLost:
-    """A node's process died or its VM was lost, not as planned."""
+    """A node's process crashed or its VM was lost, unplanned."""
 
     at_ms: int
     node: str
--- a/fireflyward/checker/_promises.py
+++ b/fireflyward/checker/_promises.py
@@ -1,11 +1,11 @@
-"""What must always hold, and the finding that something did not."""
+"""The promises that must hold in every run, and their violations."""
 
 import enum
 from dataclasses import dataclass
 
 
 class Promise(enum.StrEnum):
-    """The nine promises of the brief, and what follows from them for every run."""
+    """The nine promises of the requirements and one that follows from them."""
 
     WHOLE_BLOCKS = "a freed or partly written block is never read"
     OWN_ACCOUNT = "nothing of a client account reaches another"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was not kept, when, and how it was noticed."""
+    """A broken promise, when it was detected and from which observation."""
 
     promise: Promise
     at_ms: int
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -19,7 +19,7 @@
     UpstreamLeaving,
 )
 
-ASKED = RequestSent(0, "r", "bridge", ("whole answer",))
+SENT = RequestSent(0, "r", "bridge", ("whole answer",))
 OTHER = RequestSent(0, "s", "tower", ("its answer",))
 CALL = RequestSent(0, "c", "bridge", ("done",), is_non_idempotent=True)
 ANSWERED = AttemptEnded(9, "r", AttemptResult.ANSWERED, "whole answer", "id", "n1")
@@ -42,37 +42,40 @@
 
 
 KEPT = {
-    "a whole answer": [ASKED, RunStarted(1, "e", "r", "id"), ANSWERED],
+    "a whole answer": [SENT, RunStarted(1, "e", "r", "id"), ANSWERED],
     "a true refusal": [CALL, AttemptEnded(2, "c", AttemptResult.NOT_RUN, run_id="id")],
-    "a caller that left": [ASKED, CallerDisconnected(3, "r")],
-    "a call that ran when it was asked again": [
+    "a caller that disconnected": [SENT, CallerDisconnected(3, "r")],
+    "a call that ran on a retry": [
         CALL,
         AttemptEnded(2, "c", AttemptResult.NOT_RUN, "", "id1", "n1", False, 1),
         RunStarted(5, "e", "c", "key", node="n1"),
         AttemptEnded(6, "c", AttemptResult.ANSWERED, "done", "id2", "n1", True, 4),
     ],
     "a second attempt that ran": [
-        ASKED,
+        SENT,
         AttemptEnded(2, "r", AttemptResult.NOT_RUN, run_id="id1", is_final=False),
         RunStarted(3, "e", "r", "id2"),
         ANSWERED,
     ],
-    "a run of an earlier attempt under way": [
-        ASKED,
+    "a run of an earlier attempt still in flight": [
+        SENT,
         RunStarted(1, "e", "r", "key", node="n1"),
         AttemptEnded(4, "r", AttemptResult.NOT_RUN, run_id="id", node="n2", begun_ms=0),
         AttemptEnded(6, "r", AttemptResult.NOT_RUN, run_id="id", node="n1", begun_ms=5),
     ],
     "a block freed after it was read": [SEALED, BlockFreed(9, "store", "b", 1), read()],
-    "a run that goes on across a swap": [SEALED, read(version="v2", is_continued=True)],
-    "work soon after an upstream's leaving": [
-        ASKED,
+    "a run that continues across a weight swap": [
+        SEALED,
+        read(version="v2", is_continued=True),
+    ],
+    "new work within the limit after an upstream started leaving": [
+        SENT,
         UpstreamLeaving(0, "e"),
         RunStarted(3_000, "e", "r", "id"),
         ANSWERED,
     ],
-    "a crash during a stop": [
-        ASKED,
+    "a crash during a planned stop": [
+        SENT,
         StopBegan(1, "n1"),
         NodeLost(2, "n1"),
         AttemptEnded(3, "r", AttemptResult.CUT, "whole", "id", "n1", is_final=False),
@@ -84,7 +87,7 @@
         BundleServed(5, "n1", 2, begun_ms=4),
         BundleServed(20_000, "n1", 1, begun_ms=3),
     ],
-    "a node that was cut off": [
+    "a node that could not reach the platform": [
         BundleAccepted(0, 1, "d1"),
         ReachabilityChanged(1, "n1", False),
         BundleAccepted(2, 2, "d2"),
@@ -94,43 +97,46 @@
     ],
 }
 BROKEN = {
-    "a block freed before": (
+    "a block freed before it was read": (
         Promise.WHOLE_BLOCKS,
         [SEALED, BlockFreed(7, "store", "b", 1), read()],
     ),
     "a block never sealed": (Promise.WHOLE_BLOCKS, [read()]),
-    "other bytes in its place": (Promise.WHOLE_BLOCKS, [SEALED, read(checksum="x")]),
+    "a block that holds other bytes": (
+        Promise.WHOLE_BLOCKS,
+        [SEALED, read(checksum="x")],
+    ),
     "another account's block": (Promise.OWN_ACCOUNT, [SEALED, read(account="tower")]),
     "another account's answer": (
         Promise.OWN_ACCOUNT,
         [
-            ASKED,
+            SENT,
             OTHER,
             ANSWERED,
             AttemptEnded(3, "s", AttemptResult.ANSWERED, "whole answer"),
         ],
     ),
-    "work that nobody asked for": (
+    "a run of a request that no caller sent": (
         Promise.OWN_ACCOUNT,
         [RunStarted(1, "e", "?", "id")],
     ),
     "another version's block": (Promise.OWN_VERSION, [SEALED, read(version="v2")]),
     "a short answer": (
         Promise.WHOLE_ANSWER,
-        [ASKED, AttemptEnded(3, "r", AttemptResult.ANSWERED, "whole")],
+        [SENT, AttemptEnded(3, "r", AttemptResult.ANSWERED, "whole")],
     ),
-    "a gap in a cut stream": (
+    "a gap in a stream that was cut": (
         Promise.WHOLE_ANSWER,
-        [ASKED, AttemptEnded(3, "r", AttemptResult.CUT, "whole wer")],
+        [SENT, AttemptEnded(3, "r", AttemptResult.CUT, "whole wer")],
     ),
     "a repeat in a stream": (
         Promise.WHOLE_ANSWER,
-        [ASKED, AttemptEnded(3, "r", AttemptResult.UNKNOWN, "whole whole")],
+        [SENT, AttemptEnded(3, "r", AttemptResult.UNKNOWN, "whole whole")],
     ),
     "a refusal after the run": (
         Promise.TRUE_REFUSAL,
         [
-            ASKED,
+            SENT,
             RunStarted(1, "e", "r", "id"),
             AttemptEnded(2, "r", AttemptResult.NOT_RUN, run_id="id"),
         ],
@@ -138,7 +144,7 @@
     "a refusal after a run under another id": (
         Promise.TRUE_REFUSAL,
         [
-            ASKED,
+            SENT,
             RunStarted(2, "e", "r", "key", node="n1"),
             AttemptEnded(
                 3, "r", AttemptResult.NOT_RUN, run_id="id", node="n1", begun_ms=1
@@ -180,19 +186,19 @@
             AttemptEnded(3, "c", AttemptResult.UNKNOWN),
         ],
     ),
-    "work long after an upstream's leaving": (
+    "new work past the limit after an upstream started leaving": (
         Promise.LEAVING_UPSTREAM,
-        [ASKED, UpstreamLeaving(0, "e"), RunStarted(3_001, "e", "r", "id"), ANSWERED],
+        [SENT, UpstreamLeaving(0, "e"), RunStarted(3_001, "e", "r", "id"), ANSWERED],
     ),
-    "a request cut by a stop": (
+    "a request cut by a planned stop": (
         Promise.GRACEFUL_STOP,
         [
-            ASKED,
+            SENT,
             StopBegan(1, "n1"),
             AttemptEnded(2, "r", AttemptResult.CUT, "whole", "id", "n1"),
         ],
     ),
-    "a node that steps back": (
+    "a node that returns to an older bundle": (
         Promise.BUNDLE_IN_FORCE,
         [
             BundleAccepted(0, 1, "d1"),
@@ -201,7 +207,7 @@
             BundleServed(3, "n1", 1),
         ],
     ),
-    "a request sent after a newer bundle was seen": (
+    "an older bundle for a request sent after a newer bundle was served": (
         Promise.BUNDLE_IN_FORCE,
         [
             BundleAccepted(0, 1, "d1"),
@@ -210,7 +216,7 @@
             BundleServed(9, "n1", 1, begun_ms=6),
         ],
     ),
-    "a node that stays behind": (
+    "a node that keeps an older bundle past the limit": (
         Promise.BUNDLE_IN_FORCE,
         [
             BundleAccepted(0, 1, "d1"),
@@ -222,11 +228,11 @@
         Promise.BUNDLE_IN_FORCE,
         [BundleAccepted(0, 1, "d1"), BundleAccepted(1, 1, "d2")],
     ),
-    "a bundle that nobody accepted": (
+    "a bundle that was never accepted": (
         Promise.BUNDLE_IN_FORCE,
         [BundleServed(1, "n1", 3)],
     ),
-    "a request without an outcome": (Promise.NOTHING_LOST, [ASKED]),
+    "a request without an outcome": (Promise.NOTHING_LOST, [SENT]),
 }
 
 
@@ -238,15 +244,15 @@
 
 
 class CheckerTests(unittest.TestCase):
-    def test_what_is_kept_is_not_reported(self):
+    def test_kept_promises_are_not_reported(self):
         for name, observations in KEPT.items():
             with self.subTest(name):
                 self.assertEqual(promises_broken_by(observations), set())
 
-    def test_what_is_broken_is_reported_as_that(self):
+    def test_each_violation_names_the_broken_promise(self):
         for name, (promise, observations) in BROKEN.items():
             with self.subTest(name):
                 self.assertEqual(promises_broken_by(observations), {promise})
 
-    def test_every_promise_is_broken_by_some_case(self):
+    def test_cases_cover_every_promise(self):
         self.assertEqual({promise for promise, _ in BROKEN.values()}, set(Promise))
