--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -33,7 +33,8 @@
     Without ``observes_platform`` the checker receives no ``BundleAccepted``. For
     bundles it then only checks that the number of each node never decreases.
 
-    >>> from fireflyward.checker import RequestSent, Checker, AttemptEnded, AttemptResult
+    >>> from fireflyward.checker import AttemptEnded, AttemptResult
+    >>> from fireflyward.checker import Checker, RequestSent
     >>> checker = Checker()
     >>> checker.observe(RequestSent(0, "r", "a", ("yes",)))
     >>> checker.observe(AttemptEnded(9, "r", AttemptResult.ANSWERED, "yes"))
