--- a/fireflyward/bench/_membership_net.py
+++ b/fireflyward/bench/_membership_net.py
@@ -91,7 +91,7 @@
         for message in self._held_by_name.pop(name, []):
             self._take(name, message)
 
-    def tell(self, name: str, message: Message) -> None:
+    def deliver(self, name: str, message: Message) -> None:
         """Hand a message to a node and carry out what it decides."""
         self._take(name, message)
 
--- a/fireflyward/bench/measures/membership.py
+++ b/fireflyward/bench/measures/membership.py
@@ -50,9 +50,9 @@
         Figure(f"{name}.bytes_per_node_s", quiet, "B/s"),
         Figure(f"{name}.datagrams_per_node_s", packets, "1/s"),
     ]
-    net.tell("entry-0-0", BundleChanged(7))
+    net.deliver("entry-0-0", BundleChanged(7))
     bundle_ms = _until(net, "entry-0-0", lambda member: member.bundle_number == 7)
-    net.tell("entry-0-0", LeaveStarted())
+    net.deliver("entry-0-0", LeaveStarted())
     leaving_ms = _until(net, "entry-0-0", _is_in(MemberState.LEAVING))
     killed_ms = net.now_ms
     net.kill("entry-1-0")
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -42,7 +42,7 @@
 
     def test_bundle_number_reaches_all_nodes(self):
         self.start(3, 3)
-        self.net.tell("entry-0-0", BundleChanged(7))
+        self.net.deliver("entry-0-0", BundleChanged(7))
         nodes = self.net.node_by_name.values()
         self.assert_soon(
             lambda: all(
@@ -119,9 +119,9 @@
 
     def test_leaving_is_announced_before_the_node_exits(self):
         self.start(2, 5)
-        self.net.tell("entry-0-0", LeaveStarted())
+        self.net.deliver("entry-0-0", LeaveStarted())
         self.assert_soon(self.all_nodes_see("entry-0-0", MemberState.LEAVING), 3_000)
-        self.net.tell("entry-0-0", LeaveDone())
+        self.net.deliver("entry-0-0", LeaveDone())
         self.net.kill("entry-0-0")
         self.assert_soon(self.all_nodes_see("entry-0-0", MemberState.DEAD), 3_000)
         self.assertEqual(self.alarms(AlarmKind.NODE_SUSPECTED), [])
@@ -240,7 +240,7 @@
         self.net.run_ms(15_000)
         for packet in recorded:
             if packet.sender.name != "entry-0-0":
-                self.net.tell("entry-0-0", Received(packet))
+                self.net.deliver("entry-0-0", Received(packet))
         self.assertEqual(self.view("entry-0-0", "entry-3-0"), MemberState.LIVE)
         self.assertEqual(self.view("entry-0-0", "entry-2-0"), MemberState.DEAD)
 
@@ -258,5 +258,5 @@
                 if name == "entry-1-0" and packet.kind is PacketKind.ACK
             )
             packet = type(packet)(PacketKind.NEWS, packet.sender, rows=(other,))
-            self.net.tell("entry-0-0", Received(packet))
+            self.net.deliver("entry-0-0", Received(packet))
         self.assertEqual(len(self.alarms(AlarmKind.NAME_TAKEN)), 1)
--- a/tests/membership/test_membership_states.py
+++ b/tests/membership/test_membership_states.py
@@ -76,7 +76,7 @@
     def replay(self, index, name):
         if self.net.sent and name in self.net.node_by_name:
             _, _, packet = self.net.sent[index % len(self.net.sent)]
-            self.net.tell(name, Received(packet))
+            self.net.deliver(name, Received(packet))
 
     @invariant()
     def incarnations_never_decrease(self):
