--- a/fireflyward/bench/_membership_net.py
+++ b/fireflyward/bench/_membership_net.py
@@ -25,7 +25,7 @@
 class MembershipNet:
     """Delivers datagrams between ``Membership`` objects in one process.
 
-    ``loss`` is the share that gets lost; ``is_cut`` tells of two nodes' names
+    ``loss`` is the share that gets lost; ``is_blocked`` tells of two nodes' names
     whether nothing passes between them. A paused node takes nothing until it is
     resumed, and then everything at once, as a stopped process does.
     """
@@ -33,7 +33,7 @@
     def __init__(self, *, seed: int, loss: float = 0.0, delay_ms: int = 1) -> None:
         self.now_ms = 0
         self.loss = loss
-        self.is_cut: Callable[[str, str], bool] = lambda one, other: False
+        self.is_blocked: Callable[[str, str], bool] = lambda one, other: False
         self.node_by_name: dict[str, Membership] = {}
         self.sent: list[tuple[int, str, Packet]] = []
         self.alarms: list[tuple[int, str, Alarm]] = []
@@ -134,7 +134,7 @@
         target = self._name_by_address.get(action.address)
         if target is None or self._random.random() < self.loss:
             return
-        if not self.is_cut(name, target):
+        if not self.is_blocked(name, target):
             self._push(self.now_ms + self._delay_ms, target, Received(action.packet))
 
     def _push(self, at_ms: int, name: str, message: Message) -> None:
--- a/fireflyward/bench/measures/membership.py
+++ b/fireflyward/bench/measures/membership.py
@@ -121,7 +121,7 @@
     """Cut a failure domain off for a minute and count what its return costs."""
     net = MembershipNet(seed=4)
     net.start_many(4, 9)
-    net.is_cut = lambda one, other: one.endswith("-0") != other.endswith("-0")
+    net.is_blocked = lambda one, other: one.endswith("-0") != other.endswith("-0")
     net.run_ms(60_000)
     alone = [
         len(node.members.all_live())
@@ -132,7 +132,7 @@
     net.run_ms(_QUIET_MS)
     before = len(net.sent)
     net.sent.clear()
-    net.is_cut = lambda one, other: False
+    net.is_blocked = lambda one, other: False
     nodes = list(net.node_by_name.values())
     took_ms = net.run_until(
         lambda: all(len(node.members.all_live()) == 36 for node in nodes), _LIMIT_MS
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -129,7 +129,7 @@
 
 class PartitionTests(MembershipCase):
     def cut_domain(self, suffix):
-        self.net.is_cut = lambda one, other: (
+        self.net.is_blocked = lambda one, other: (
             one.endswith(suffix) != other.endswith(suffix)
         )
 
@@ -150,7 +150,7 @@
         self.net.run_ms(10_000)
         quiet = len(self.net.sent)
         self.net.sent.clear()
-        self.net.is_cut = lambda one, other: False
+        self.net.is_blocked = lambda one, other: False
         self.net.run_ms(10_000)
         self.assertLess(len(self.net.sent), 1.5 * quiet)
         for node in self.net.node_by_name.values():
@@ -166,7 +166,7 @@
         self.net.start("entry-2-0", "domain-0", (("entry-0-0", 1),), incarnation=9)
         own = self.net.node_by_name["entry-2-0"].members
         self.assert_soon(lambda: len(own.live_in("domain-0")) == 3, 5_000)
-        self.net.is_cut = lambda one, other: False
+        self.net.is_blocked = lambda one, other: False
         self.assert_soon(self.all_nodes_see("entry-1-0", MemberState.DEAD), 60_000)
         self.assert_soon(self.all_nodes_see("entry-2-0", MemberState.LIVE), 60_000)
 
@@ -177,11 +177,11 @@
         spread the deaths that it assumed meanwhile.
         """
         self.start(2, 6)
-        self.net.is_cut = lambda one, other: "entry-1-0" in (one, other)
+        self.net.is_blocked = lambda one, other: "entry-1-0" in (one, other)
         self.net.run_ms(120_000)
         alone = self.net.node_by_name["entry-1-0"].members
         self.assertEqual([member.name for member in alone.all_live()], ["entry-1-0"])
-        self.net.is_cut = lambda one, other: False
+        self.net.is_blocked = lambda one, other: False
         self.net.run_ms(30_000)
         dead = {alarm.name for _, _, alarm in self.alarms(AlarmKind.NODE_DEAD)}
         self.assertEqual(dead, {"entry-1-0"})
@@ -191,11 +191,11 @@
     def test_two_halves_of_a_domain_rejoin_after_a_partition(self):
         self.start(1, 6)
         left = {"entry-0-0", "entry-1-0", "entry-2-0"}
-        self.net.is_cut = lambda one, other: (one in left) != (other in left)
+        self.net.is_blocked = lambda one, other: (one in left) != (other in left)
         self.net.run_ms(60_000)
         for node in self.net.node_by_name.values():
             self.assertEqual(len(node.members.all_live()), 3)
-        self.net.is_cut = lambda one, other: False
+        self.net.is_blocked = lambda one, other: False
         nodes = self.net.node_by_name.values()
         self.assert_soon(
             lambda: all(len(node.members.all_live()) == 6 for node in nodes), 120_000
--- a/tests/membership/test_membership_states.py
+++ b/tests/membership/test_membership_states.py
@@ -23,7 +23,7 @@
         for name in NAMES:
             self.net.seed(name, SEEDS)
         self.cut = set()
-        self.net.is_cut = lambda one, other: frozenset((one, other)) in self.cut
+        self.net.is_blocked = lambda one, other: frozenset((one, other)) in self.cut
         self.highest_by_view = {}
 
     @rule(duration_ms=st.integers(50, 20_000))
