--- a/fireflyward/bench/_load_mesh.py
+++ b/fireflyward/bench/_load_mesh.py
@@ -101,7 +101,7 @@
             node.sent_bytes = node.received_bytes = node.polls = node.datagrams = 0
             node.age_ms.clear()
 
-    def oldest_ms(self, name: str) -> int:
+    def oldest_entry_ms(self, name: str) -> int:
         """Return the age of the oldest entry that a node has now."""
         taken = self.node_by_name[name].taken_ms_by_name
         return self.now_ms - min(taken.get(item, 0) for item in self.report_by_name)
--- a/fireflyward/bench/measures/load_sharing.py
+++ b/fireflyward/bench/measures/load_sharing.py
@@ -22,7 +22,7 @@
 
 def _rows(series: str, mesh: LoadMesh) -> list[Figure]:
     members = list(mesh.node_by_name.values())
-    oldest = max(mesh.oldest_ms(name) for name in mesh.node_by_name)
+    oldest = max(mesh.oldest_entry_ms(name) for name in mesh.node_by_name)
     return [
         Figure(f"{series}.sent", _mean(members, "sent_bytes"), "B/s"),
         Figure(f"{series}.received", _mean(members, "received_bytes"), "B/s"),
--- a/tests/routing/test_load_sharing.py
+++ b/tests/routing/test_load_sharing.py
@@ -88,7 +88,7 @@
         period_ms = mesh.node_by_name["entry-here-0"].sharing.period_ms()
         for name, node in mesh.node_by_name.items():
             if node.is_alive:
-                self.assertLess(mesh.oldest_ms(name), 8 * period_ms)
+                self.assertLess(mesh.oldest_entry_ms(name), 8 * period_ms)
 
     def test_node_that_receives_no_datagrams_eventually_polls_all_replicas(self):
         mesh = LoadMesh(9, 30, loss=1.0)
@@ -117,7 +117,7 @@
         mesh.run(20_000)
         period_ms = mesh.node_by_name["entry-here-0"].sharing.period_ms()
         for name in mesh.node_by_name:
-            self.assertLess(mesh.oldest_ms(name), 6 * period_ms)
+            self.assertLess(mesh.oldest_entry_ms(name), 6 * period_ms)
 
 
 class LoadSharingTests(unittest.TestCase):
