--- a/fireflyward/bench/_shares_mesh.py
+++ b/fireflyward/bench/_shares_mesh.py
@@ -46,7 +46,7 @@
         """Return a node's part of the limit."""
         return self.shares_by_name[name].local_limit(self.now_ms, account, self.limit)
 
-    def ask(self, name: str, account: str) -> bool:
+    def try_admit(self, name: str, account: str) -> bool:
         """Let one request come in, if the node's part allows it."""
         held = self.in_flight.get((name, account), 0)
         if held < self.allowed(name, account):
--- a/fireflyward/bench/measures/account_shares.py
+++ b/fireflyward/bench/measures/account_shares.py
@@ -24,7 +24,7 @@
         mesh.in_flight.clear()
         for name in mesh.names:
             for account in _ACCOUNTS:
-                while mesh.ask(name, account):
+                while mesh.try_admit(name, account):
                     pass
         most = max(most, *(mesh.total(account) for account in _ACCOUNTS))
         mesh.pass_time()
--- a/tests/limits/test_account_shares.py
+++ b/tests/limits/test_account_shares.py
@@ -14,7 +14,7 @@
         for _ in range(rounds):
             for name in names:
                 for _ in range(LIMIT):
-                    domain.ask(name, ACCOUNT)
+                    domain.try_admit(name, ACCOUNT)
             domain.pass_time()
 
     def test_flood_at_every_node_stays_within_the_limit(self):
@@ -56,7 +56,7 @@
 
     def test_demand_far_below_the_limit_is_not_reported(self):
         domain = SharesMesh(4)
-        domain.ask(domain.names[1], ACCOUNT)
+        domain.try_admit(domain.names[1], ACCOUNT)
         shares = domain.shares_by_name[domain.names[1]]
         self.assertEqual(shares.tick(2_000, lambda account: 1), [])
 
@@ -82,7 +82,7 @@
     @rule(place=st.integers(0, 3), count=st.integers(1, 60))
     def request(self, place, count):
         for _ in range(count):
-            self.domain.ask(self.domain.names[place], ACCOUNT)
+            self.domain.try_admit(self.domain.names[place], ACCOUNT)
 
     @rule(place=st.integers(0, 3), count=st.integers(1, 60))
     def end(self, place, count):
