--- a/fireflyward/bench/_shares_mesh.py
+++ b/fireflyward/bench/_shares_mesh.py
@@ -42,14 +42,14 @@
         assert member is not None, "a mesh has nodes"
         return member.name
 
-    def allowed(self, name: str, account: str) -> int:
+    def local_limit(self, name: str, account: str) -> int:
         """Return a node's part of the limit."""
         return self.shares_by_name[name].local_limit(self.now_ms, account, self.limit)
 
     def try_admit(self, name: str, account: str) -> bool:
         """Let one request come in, if the node's part allows it."""
         held = self.in_flight.get((name, account), 0)
-        if held < self.allowed(name, account):
+        if held < self.local_limit(name, account):
             self.in_flight[name, account] = held + 1
             return True
         self.shares_by_name[name].on_rejected(account)
--- a/tests/limits/test_account_shares.py
+++ b/tests/limits/test_account_shares.py
@@ -50,9 +50,9 @@
     def test_tally_expires(self):
         domain = SharesMesh(4)
         self.saturate(domain, [domain.names[1]])
-        self.assertGreater(domain.allowed(domain.names[1], ACCOUNT), 25)
+        self.assertGreater(domain.local_limit(domain.names[1], ACCOUNT), 25)
         domain.now_ms += 6_001
-        self.assertEqual(domain.allowed(domain.names[1], ACCOUNT), 25)
+        self.assertEqual(domain.local_limit(domain.names[1], ACCOUNT), 25)
 
     def test_demand_far_below_the_limit_is_not_reported(self):
         domain = SharesMesh(4)
@@ -62,7 +62,7 @@
 
     def test_single_node_has_the_whole_limit(self):
         mesh = SharesMesh(1)
-        self.assertEqual(mesh.allowed(mesh.names[0], ACCOUNT), LIMIT)
+        self.assertEqual(mesh.local_limit(mesh.names[0], ACCOUNT), LIMIT)
 
     def test_limit_smaller_than_the_node_count_admits_one_request_per_node(self):
         domain = SharesMesh(9)
@@ -97,7 +97,7 @@
     @invariant()
     def local_limit_is_between_one_and_the_limit(self):
         for name in self.domain.names:
-            assert 1 <= self.domain.allowed(name, ACCOUNT) <= LIMIT
+            assert 1 <= self.domain.local_limit(name, ACCOUNT) <= LIMIT
 
     @invariant()
     def total_is_at_most_twice_the_limit(self):
