--- a/fireflyward/bench/_shares_mesh.py
+++ b/fireflyward/bench/_shares_mesh.py
@@ -55,7 +55,7 @@
         self.shares_by_name[name].on_rejected(account)
         return False
 
-    def total(self, account: str) -> int:
+    def total_in_flight(self, account: str) -> int:
         """Return what all nodes together hold of an account."""
         return sum(
             held for (_, other), held in self.in_flight.items() if other == account
--- a/fireflyward/bench/measures/account_shares.py
+++ b/fireflyward/bench/measures/account_shares.py
@@ -26,7 +26,7 @@
             for account in _ACCOUNTS:
                 while mesh.try_admit(name, account):
                     pass
-        most = max(most, *(mesh.total(account) for account in _ACCOUNTS))
+        most = max(most, *(mesh.total_in_flight(account) for account in _ACCOUNTS))
         mesh.pass_time()
     series = f"account_shares.nodes_{nodes}"
     sent = mesh.sent_bytes.values()
--- a/tests/limits/test_account_shares.py
+++ b/tests/limits/test_account_shares.py
@@ -22,20 +22,20 @@
         nodes, and each node counted only its own requests."""
         domain = SharesMesh(9)
         self.saturate(domain, domain.names)
-        self.assertLessEqual(domain.total(ACCOUNT), LIMIT)
-        self.assertGreater(domain.total(ACCOUNT), 0.8 * LIMIT)
+        self.assertLessEqual(domain.total_in_flight(ACCOUNT), LIMIT)
+        self.assertGreater(domain.total_in_flight(ACCOUNT), 0.8 * LIMIT)
 
     def test_account_with_callers_at_one_node_gets_most_of_its_limit(self):
         domain = SharesMesh(9)
         self.saturate(domain, [domain.names[4]])
-        self.assertGreaterEqual(domain.total(ACCOUNT), 75)
+        self.assertGreaterEqual(domain.total_in_flight(ACCOUNT), 75)
 
     def test_parts_follow_callers_to_another_node(self):
         domain = SharesMesh(3)
         self.saturate(domain, [domain.names[1]])
         domain.in_flight.clear()
         self.saturate(domain, [domain.names[2]])
-        self.assertGreaterEqual(domain.total(ACCOUNT), 75)
+        self.assertGreaterEqual(domain.total_in_flight(ACCOUNT), 75)
 
     def test_node_that_receives_no_tally_uses_an_even_part(self):
         """In a partitioned domain an account got twice its limit. The nodes could not
@@ -45,7 +45,7 @@
         owner = domain.owner(ACCOUNT)
         domain.cut = {owner}
         self.saturate(domain, [name for name in domain.names if name != owner])
-        self.assertEqual(domain.total(ACCOUNT), 75)
+        self.assertEqual(domain.total_in_flight(ACCOUNT), 75)
 
     def test_tally_expires(self):
         domain = SharesMesh(4)
@@ -101,7 +101,7 @@
 
     @invariant()
     def total_is_at_most_twice_the_limit(self):
-        assert self.domain.total(ACCOUNT) <= 2 * LIMIT
+        assert self.domain.total_in_flight(ACCOUNT) <= 2 * LIMIT
 
 
 AccountSharesMachineTests = AccountSharesMachine.TestCase
