--- a/fireflyward/bench/_shares_mesh.py
+++ b/fireflyward/bench/_shares_mesh.py
@@ -22,7 +22,7 @@
         self.now_ms = 0
         self.limit = limit
         self.names = [f"entry-{_DOMAIN}-{index}" for index in range(nodes)]
-        self.cut: set[str] = set()
+        self.disconnected: set[str] = set()
         self.in_flight: dict[tuple[str, str], int] = {}
         self.sent_bytes = dict.fromkeys(self.names, 0)
         self._codec = PeerCodec((_KEY,))
@@ -77,7 +77,7 @@
         is_demand = isinstance(action, SendDemand)
         message = action.demand if is_demand else action.tally
         self.sent_bytes[sender] += self._size(sender, message)
-        if sender in self.cut or action.peer in self.cut:
+        if sender in self.disconnected or action.peer in self.disconnected:
             return
         receiver = self.shares_by_name[action.peer]
         if not is_demand:
--- a/tests/limits/test_account_shares.py
+++ b/tests/limits/test_account_shares.py
@@ -43,7 +43,7 @@
         other nodes."""
         domain = SharesMesh(4)
         owner = domain.owner(ACCOUNT)
-        domain.cut = {owner}
+        domain.disconnected = {owner}
         self.saturate(domain, [name for name in domain.names if name != owner])
         self.assertEqual(domain.total_in_flight(ACCOUNT), 75)
 
