--- a/fireflyward/bench/_bench.py
+++ b/fireflyward/bench/_bench.py
@@ -1,4 +1,4 @@
-"""Finds the measurements, runs them and holds their figures against bounds."""
+"""Finds the measurements, runs them and compares their figures with bounds."""
 
 import importlib
 import pkgutil
@@ -23,9 +23,9 @@
 class Bench:
     """One measurement.
 
-    ``is_count`` says that its figures are the same in every run (counts on a
-    faked clock with a fixed seed); only such figures are bounded in CI. Timings
-    are ratios against a baseline that the same call measured.
+    ``is_count`` is true if the figures are the same in every run, because they are
+    counts on a faked clock with a fixed seed. CI checks only the bounds of such
+    figures. Timings are ratios to a baseline that the same call measures.
     """
 
     name: str
@@ -88,7 +88,7 @@
 def run_benches(
     benches: Iterable[Bench], bound_by_figure: dict[str, Bound]
 ) -> Iterator[Row]:
-    """Run measurements one after the other, judging each figure as it comes."""
+    """Run the measurements in order and yield each figure with its bound."""
     for bench in benches:
         for figure in bench.run():
             yield Row(figure, bound_by_figure.get(figure.name))
--- a/fireflyward/bench/_load_mesh.py
+++ b/fireflyward/bench/_load_mesh.py
@@ -1,4 +1,4 @@
-"""The load sharing of one failure domain, in memory on a faked clock."""
+"""Simulates the load sharing of one failure domain on a faked clock."""
 
 import heapq
 import itertools
@@ -22,7 +22,7 @@
 
 DOMAIN = "here"
 _TICK_MS = 50
-_WAY_MS = 1
+_NETWORK_DELAY_MS = 1
 _POLL_SENT_BYTES = 130
 _POLL_RECEIVED_BYTES = 313
 _KEY = b"k" * 16
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class MeshNode:
-    """One node and what it spent."""
+    """One node with its traffic and the load reports that it has."""
 
     sharing: LoadSharing
     is_alive: bool = True
@@ -38,16 +38,16 @@
     received_bytes: int = 0
     polls: int = 0
     datagrams: int = 0
-    age_ms: list[int] = field(default_factory=list)
-    taken_ms_by_name: dict[str, int] = field(default_factory=dict)
+    entry_ages_ms: list[int] = field(default_factory=list)
+    measured_ms_by_name: dict[str, int] = field(default_factory=dict)
     report_by_name: dict[str, LoadReport | None] = field(default_factory=dict)
 
 
 class LoadMesh:
-    """Nodes of one domain that poll replicas and tell each other.
+    """Nodes of one domain that poll replicas and send each other the load reports.
 
-    ``report_by_name`` is what each replica says of itself, None for no answer;
-    ``loss`` is the share of datagrams that vanish.
+    ``report_by_name`` is the load report of each replica, None for a replica that
+    does not answer. ``loss`` is the share of datagrams that are lost.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
     ) -> None:
         self.now_ms = 0
         self.loss = loss
-        self.seconds_cpu = 0.0
+        self.cpu_s = 0.0
         self._random = random.Random(seed)
         self._codec = PeerCodec((_KEY,))
         self._events: list[tuple[int, int, str, str, bytes]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         watched = [
             WatchedReplica(f"replica-{index}", DOMAIN, {f"model-{index % 17}": "v1"})
             for index in range(replicas)
@@ -77,34 +77,36 @@
         for node in self.node_by_name.values():
             node.sharing.set_peers(self.node_by_name)
             node.sharing.set_replicas(watched)
-        self._first_tick_by_name = {
+        self._first_tick_ms_by_name = {
             name: self._random.randrange(2_000) for name in self.node_by_name
         }
 
     def run(self, duration_ms: int) -> None:
-        """Let time pass."""
+        """Advance the clock and run all events up to that time."""
         until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             self.now_ms += _TICK_MS
             self._deliver()
             for name, node in self.node_by_name.items():
-                if node.is_alive and self.now_ms >= self._first_tick_by_name[name]:
+                if node.is_alive and self.now_ms >= self._first_tick_ms_by_name[name]:
                     began = time.perf_counter()
                     actions = node.sharing.tick(self.now_ms)
-                    self.seconds_cpu += time.perf_counter() - began
+                    self.cpu_s += time.perf_counter() - began
                     self._perform_all(name, actions)
 
     def reset_counts(self) -> None:
-        """Begin to count what is spent from here."""
-        self.seconds_cpu = 0.0
+        """Reset the counts of processor time and traffic."""
+        self.cpu_s = 0.0
         for node in self.node_by_name.values():
             node.sent_bytes = node.received_bytes = node.polls = node.datagrams = 0
-            node.age_ms.clear()
+            node.entry_ages_ms.clear()
 
     def oldest_entry_ms(self, name: str) -> int:
-        """Return the age of the oldest entry that a node has now."""
-        taken = self.node_by_name[name].taken_ms_by_name
-        return self.now_ms - min(taken.get(item, 0) for item in self.report_by_name)
+        """Return the age of the oldest load entry that a node has."""
+        measured_ms = self.node_by_name[name].measured_ms_by_name
+        return self.now_ms - min(
+            measured_ms.get(item, 0) for item in self.report_by_name
+        )
 
     def _deliver(self) -> None:
         while self._events and self._events[0][0] <= self.now_ms:
@@ -114,12 +116,12 @@
                 continue
             node.received_bytes += len(frame)
             began = time.perf_counter()
-            news = unpack(LoadNews, self._codec.open(frame).body)
-            entries, actions = node.sharing.on_load_update(self.now_ms, sender, news)
-            self.seconds_cpu += time.perf_counter() - began
+            update = unpack(LoadNews, self._codec.open(frame).body)
+            entries, actions = node.sharing.on_load_update(self.now_ms, sender, update)
+            self.cpu_s += time.perf_counter() - began
             for entry in entries:
-                node.age_ms.append(self.now_ms - entry.measured_ms)
-                node.taken_ms_by_name[entry.name] = entry.measured_ms
+                node.entry_ages_ms.append(self.now_ms - entry.measured_ms)
+                node.measured_ms_by_name[entry.name] = entry.measured_ms
                 node.report_by_name[entry.name] = entry.report
             self._perform_all(name, actions)
 
@@ -140,31 +142,31 @@
         report = self.report_by_name[action.name]
         entry, actions = node.sharing.on_polled(self.now_ms, action.name, report)
         if entry:
-            node.taken_ms_by_name[entry.name] = entry.measured_ms
+            node.measured_ms_by_name[entry.name] = entry.measured_ms
             node.report_by_name[entry.name] = entry.report
         self._perform_all(name, actions)
 
     @_perform.register
     def _(self, action: Send, name: str) -> None:
         for peer in action.peers:
-            frame = self._frame(name, action.update)
+            frame = self._encode_frame(name, action.update)
             node = self.node_by_name[name]
             node.datagrams += 1
             node.sent_bytes += len(frame)
             if self._random.random() >= self.loss:
-                at_ms = self.now_ms + _WAY_MS
-                event = at_ms, next(self._order), name, peer, frame
+                at_ms = self.now_ms + _NETWORK_DELAY_MS
+                event = at_ms, next(self._sequence), name, peer, frame
                 heapq.heappush(self._events, event)
 
-    def _frame(self, name: str, news: Any) -> bytes:
+    def _encode_frame(self, name: str, update: Any) -> bytes:
         began = time.perf_counter()
         envelope = Envelope(
             sender=name,
             incarnation=1_790_000_000_000,
-            sequence=next(self._order),
+            sequence=next(self._sequence),
             kind="loads",
-            body=pack(news),
+            body=pack(update),
         )
         frame = self._codec.seal(envelope)
-        self.seconds_cpu += time.perf_counter() - began
+        self.cpu_s += time.perf_counter() - began
         return frame
--- a/fireflyward/bench/_membership_net.py
+++ b/fireflyward/bench/_membership_net.py
@@ -1,4 +1,4 @@
-"""Drives many membership decisions on a faked clock, for measures and tests."""
+"""Runs the membership of many nodes on a faked clock, for measurements and tests."""
 
 import heapq
 import itertools
@@ -25,9 +25,10 @@
 class MembershipNet:
     """Delivers datagrams between ``Membership`` objects in one process.
 
-    ``loss`` is the share that gets lost; ``is_blocked`` tells of two nodes' names
-    whether nothing passes between them. A paused node takes nothing until it is
-    resumed, and then everything at once, as a stopped process does.
+    ``loss`` is the share of datagrams that are lost. ``is_blocked`` returns whether
+    the network drops every datagram from one named node to another. A paused node
+    receives nothing until it is resumed and then receives all waiting messages at
+    once, as a process after SIGSTOP and SIGCONT does.
     """
 
     def __init__(self, *, seed: int, loss: float = 0.0, delay_ms: int = 1) -> None:
@@ -41,10 +42,10 @@
         self._random = random.Random(seed)
         self._seed = seed
         self._delay_ms = delay_ms
-        self._order = itertools.count()
-        self._due: list[tuple[int, int, str, Message]] = []
+        self._sequence = itertools.count()
+        self._events: list[tuple[int, int, str, Message]] = []
         self._name_by_address: dict[Address, str] = {}
-        self._held_by_name: dict[str, list[Message]] = {}
+        self._held_messages_by_name: dict[str, list[Message]] = {}
 
     def start(
         self,
@@ -54,18 +55,18 @@
         *,
         incarnation: int = 1,
     ) -> Membership:
-        """Start a node, or start one of the same name again."""
+        """Start a node, or restart the node of that name."""
         address = (name, 1)
         own = Member(name, address, domain, "r", incarnation)
         node = Membership(self.now_ms, own, seed=self._random.randrange(1 << 30))
         self.node_by_name[name] = node
         self._name_by_address[address] = name
-        self._take(name, SeedsFound(seeds))
-        self._push(self.now_ms + self._random.randrange(100), name, Tick())
+        self._handle(name, SeedsFound(seeds))
+        self._schedule(self.now_ms + self._random.randrange(100), name, Tick())
         return node
 
     def start_many(self, domains: int, per_domain: int) -> None:
-        """Start a deployment that knows itself, as after a long quiet time."""
+        """Start a deployment whose nodes already have complete member lists."""
         names = [
             (f"entry-{index}-{domain}", f"domain-{domain}")
             for domain in range(domains)
@@ -78,38 +79,38 @@
             node.preload_rows(self.now_ms, rows)
 
     def seed(self, name: str, seeds: tuple[Address, ...]) -> None:
-        """Give a node the addresses that its settings would name."""
-        self._take(name, SeedsFound(seeds))
+        """Give a node seed addresses, as its settings would."""
+        self._handle(name, SeedsFound(seeds))
 
     def kill(self, name: str) -> None:
-        """End a node without a word."""
+        """Stop a node without a leave message, as a crash does."""
         del self.node_by_name[name]
 
     def resume(self, name: str) -> None:
-        """Let a paused node go on; its held datagrams and its tick come now."""
+        """Resume a paused node and deliver its waiting datagrams and ticks."""
         self.paused.discard(name)
-        for message in self._held_by_name.pop(name, []):
-            self._take(name, message)
+        for message in self._held_messages_by_name.pop(name, []):
+            self._handle(name, message)
 
     def deliver(self, name: str, message: Message) -> None:
-        """Hand a message to a node and carry out what it decides."""
-        self._take(name, message)
+        """Deliver a message to a node and perform the actions that the node returns."""
+        self._handle(name, message)
 
     def run_ms(self, duration_ms: int) -> None:
-        """Let time pass."""
+        """Advance the clock and run all events up to that time."""
         until_ms = self.now_ms + duration_ms
-        while self._due and self._due[0][0] <= until_ms:
-            self.now_ms, _, name, message = heapq.heappop(self._due)
+        while self._events and self._events[0][0] <= until_ms:
+            self.now_ms, _, name, message = heapq.heappop(self._events)
             if name in self.paused:
-                self._held_by_name.setdefault(name, []).append(message)
+                self._held_messages_by_name.setdefault(name, []).append(message)
             elif name in self.node_by_name:
-                self._take(name, message)
+                self._handle(name, message)
         self.now_ms = until_ms
 
     def run_until(
         self, done: Callable[[], bool], limit_ms: int, *, step_ms: int = 50
     ) -> int | None:
-        """Let time pass until ``done``; return how long it took, None if over."""
+        """Advance the clock until ``done``; return the duration, None at the limit."""
         began_ms = self.now_ms
         while not done():
             if self.now_ms - began_ms >= limit_ms:
@@ -117,11 +118,11 @@
             self.run_ms(step_ms)
         return self.now_ms - began_ms
 
-    def _take(self, name: str, message: Message) -> None:
+    def _handle(self, name: str, message: Message) -> None:
         if name not in self.node_by_name:
             return
         if isinstance(message, Tick):
-            self._push(self.now_ms + Timings().tick_ms, name, message)
+            self._schedule(self.now_ms + Timings().tick_ms, name, message)
         for action in self.node_by_name[name].decide(self.now_ms, message):
             self._perform(name, action)
 
@@ -135,7 +136,9 @@
         if target is None or self._random.random() < self.loss:
             return
         if not self.is_blocked(name, target):
-            self._push(self.now_ms + self._delay_ms, target, Received(action.packet))
+            self._schedule(
+                self.now_ms + self._delay_ms, target, Received(action.packet)
+            )
 
-    def _push(self, at_ms: int, name: str, message: Message) -> None:
-        heapq.heappush(self._due, (at_ms, next(self._order), name, message))
+    def _schedule(self, at_ms: int, name: str, message: Message) -> None:
+        heapq.heappush(self._events, (at_ms, next(self._sequence), name, message))
--- a/fireflyward/bench/_overload.py
+++ b/fireflyward/bench/_overload.py
@@ -1,74 +1,93 @@
-"""Overload and floods before nodes with limits, on the faked clock."""
+"""Measures overload and floods of one account at nodes that apply limits."""
 
 from dataclasses import replace
 
-from ._balancing import CAPACITY_BY_SHAPE, Request, Shape, make_requests
-from ._limiting import Limiting
+from ._balancing import CAPACITY_BY_SHAPE, DeploymentShape, Request, make_requests
+from ._limiting import LimitingSimulation
 
 _SMALL_SHARE = 0.1
-_FLOOD = 2.0
-_WARM_REQUESTS = 30
+_FLOOD_LOAD_FACTOR = 2.0
+_WARM_UP_REQUESTS = 30
 _MS_PER_SECOND = 1_000
 
 
-def goodput(shape: Shape, *, times: float, seconds: float, reuse: bool) -> float:
-    """Return what is served at ``times`` the capacity, as a share of capacity.
+def goodput(
+    shape: DeploymentShape, *, load_factor: float, seconds: float, reuse: bool
+) -> float:
+    """Return the requests served per second as a share of the capacity.
 
-    The first quarter and the last twentieth of the time do not count.
+    Callers send ``load_factor`` times the capacity. The first quarter and the last
+    twentieth of the time are not counted.
     """
     capacity = CAPACITY_BY_SHAPE[shape.name][reuse]
     requests = make_requests(
         shape,
-        count=int(capacity * times * seconds),
-        per_second=capacity * times,
+        count=int(capacity * load_factor * seconds),
+        per_second=capacity * load_factor,
         reuse=reuse,
         seed=3,
     )
-    limiting = Limiting(shape)
-    limiting.run(requests)
+    simulation = LimitingSimulation(shape)
+    simulation.run(requests)
     from_ms, to_ms = requests[-1].at_ms * 0.25, requests[-1].at_ms * 0.95
-    served = [run for run in limiting.runs if from_ms < run.first_token_ms < to_ms]
+    served = [run for run in simulation.runs if from_ms < run.first_token_ms < to_ms]
     return len(served) * _MS_PER_SECOND / (to_ms - from_ms) / capacity
 
 
 def flood_ratio(
-    shape: Shape, *, nodes: int, count: int, reuse: bool, chunked: bool = True
+    shape: DeploymentShape, *, nodes: int, count: int, reuse: bool, chunked: bool = True
 ) -> float:
-    """Return a small account's p95 beside a flood as a ratio to its p95 alone.
+    """Return a small account's p95 during a flood as a ratio to its p95 alone.
 
-    The small account asks for a tenth of the capacity, the large one for twice
-    the capacity; ``nodes`` nodes serve both.
+    The p95 is that of the time to first token. The small account sends a tenth of
+    the capacity, the large account sends twice the capacity, and ``nodes`` nodes
+    serve both.
     """
     shape = replace(shape, node_domains=shape.node_domains[:nodes])
     capacity = CAPACITY_BY_SHAPE[shape.name][reuse]
-    small = _requests_of(
+    small = _account_requests(
         "small", shape, count, capacity * _SMALL_SHARE, reuse=reuse, seed=5
     )
     seconds = small[-1].at_ms / _MS_PER_SECOND
-    large_count = int(seconds * capacity * _FLOOD)
-    large = _requests_of(
-        "large", shape, large_count, capacity * _FLOOD, reuse=reuse, seed=6
+    large_count = int(seconds * capacity * _FLOOD_LOAD_FACTOR)
+    large = _account_requests(
+        "large", shape, large_count, capacity * _FLOOD_LOAD_FACTOR, reuse=reuse, seed=6
+    )
+    combined = sorted(small + large, key=lambda request: request.at_ms)
+    alone_ms = _small_account_p95_ms(LimitingSimulation(shape, chunked=chunked), small)
+    return (
+        _small_account_p95_ms(LimitingSimulation(shape, chunked=chunked), combined)
+        / alone_ms
     )
-    beside = sorted(small + large, key=lambda request: request.at_ms)
-    alone_ms = _p95(Limiting(shape, chunked=chunked), small)
-    return _p95(Limiting(shape, chunked=chunked), beside) / alone_ms
 
 
-def _requests_of(
-    account: str, shape: Shape, count: int, rate: float, *, reuse: bool, seed: int
+def _account_requests(
+    account: str,
+    shape: DeploymentShape,
+    count: int,
+    rate: float,
+    *,
+    reuse: bool,
+    seed: int,
 ) -> list[Request]:
-    made = make_requests(shape, count=count, per_second=rate, reuse=reuse, seed=seed)
+    requests = make_requests(
+        shape, count=count, per_second=rate, reuse=reuse, seed=seed
+    )
     return [
         replace(
             request,
             account=account,
             block_keys=tuple(f"{account}/{key}" for key in request.block_keys),
         )
-        for request in made
+        for request in requests
     ]
 
 
-def _p95(limiting: Limiting, requests: list[Request]) -> float:
-    limiting.run(requests)
-    waits = sorted(limiting.first_token_by_account["small"][_WARM_REQUESTS:])
-    return waits[int(0.95 * len(waits))]
+def _small_account_p95_ms(
+    simulation: LimitingSimulation, requests: list[Request]
+) -> float:
+    simulation.run(requests)
+    first_token_ms = sorted(
+        simulation.first_token_by_account["small"][_WARM_UP_REQUESTS:]
+    )
+    return first_token_ms[int(0.95 * len(first_token_ms))]
--- a/fireflyward/bench/_report.py
+++ b/fireflyward/bench/_report.py
@@ -1,4 +1,4 @@
-"""A report of measured figures: one table, and a plot of figures in families."""
+"""Writes a report of measured figures: a table and one plot per family."""
 
 from pathlib import Path
 
@@ -11,9 +11,9 @@
 def write_report(directory: Path, rows: list[Row]) -> None:
     """Write ``report.md`` and a plot of each family of figures to ``directory``.
 
-    Figures belong to one family when they share the first two parts of their
-    names, as ``replay.andinos.ours`` and ``replay.andinos.bound`` do. matplotlib
-    is imported here alone; serving does not need it.
+    Figures belong to one family when the first two parts of their names are equal,
+    as in ``replay.andinos.ours`` and ``replay.andinos.bound``. Only this function
+    imports matplotlib, because serving does not need it.
     """
     directory.mkdir(parents=True, exist_ok=True)
     lines = ["# Measurements", "", "| Figure | Value | Unit | Bound | Verdict |"]
--- a/fireflyward/bench/measures/__init__.py
+++ b/fireflyward/bench/measures/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each measurement; each has a ``BENCH`` (see ``Bench``)."""
+"""The measurements: each module defines one as ``BENCH`` (see ``Bench``)."""
--- a/fireflyward/bench/measures/account_shares.py
+++ b/fireflyward/bench/measures/account_shares.py
@@ -1,4 +1,4 @@
-"""Whether a flooding account is held to its limit over all nodes of a domain."""
+"""Measures whether all nodes of a domain together keep an account to its limit."""
 
 from fireflyward.bench._bench import Bench, Figure
 from fireflyward.bench._shares_mesh import SharesMesh
@@ -7,7 +7,7 @@
 _ACCOUNTS = tuple(f"flood-{index}" for index in range(5))
 _SETTLING_ROUNDS = 4
 _ROUNDS = 10
-_SECONDS_IN_ROUND = 2
+_ROUND_S = 2
 
 
 def _figures() -> list[Figure]:
@@ -15,9 +15,9 @@
 
 
 def _rows(nodes: int) -> list[Figure]:
-    """Flood by five accounts at every node, all runs taking a round."""
+    """Let five accounts flood every node; each request lasts one round."""
     mesh = SharesMesh(nodes, limit=_LIMIT)
-    most = 0
+    max_in_flight = 0
     for number in range(_SETTLING_ROUNDS + _ROUNDS):
         if number == _SETTLING_ROUNDS:
             mesh.sent_bytes = dict.fromkeys(mesh.names, 0)
@@ -26,13 +26,15 @@
             for account in _ACCOUNTS:
                 while mesh.try_admit(name, account):
                     pass
-        most = max(most, *(mesh.total_in_flight(account) for account in _ACCOUNTS))
+        max_in_flight = max(
+            max_in_flight, *(mesh.total_in_flight(account) for account in _ACCOUNTS)
+        )
         mesh.pass_time()
     series = f"account_shares.nodes_{nodes}"
     sent = mesh.sent_bytes.values()
-    seconds = _ROUNDS * _SECONDS_IN_ROUND
+    seconds = _ROUNDS * _ROUND_S
     return [
-        Figure(f"{series}.most_in_flight", most / _LIMIT, "of limit"),
+        Figure(f"{series}.most_in_flight", max_in_flight / _LIMIT, "of limit"),
         Figure(f"{series}.sent", sum(sent) / nodes / seconds, "B/s"),
         Figure(f"{series}.most_sent", max(sent) / seconds, "B/s"),
     ]
--- a/fireflyward/bench/measures/bundle_bytes.py
+++ b/fireflyward/bench/measures/bundle_bytes.py
@@ -1,4 +1,4 @@
-"""How many bytes one change of a bundle costs a node, by number of accounts."""
+"""Measures the bytes that a node reads per bundle change, by number of accounts."""
 
 import hashlib
 
@@ -75,12 +75,12 @@
     state = verify_change(signed, base, deployment=DEPLOYMENT)
     assert isinstance(state, BundleState), state
     change_bytes = len(encode_signed(signed))
-    whole_bytes = len(encode_signed(state.snapshot()))
+    snapshot_bytes = len(encode_signed(state.snapshot()))
     per_second = change_bytes * _CHANGES_PER_DAY / _SECONDS_PER_DAY
     prefix = f"bundle_bytes.accounts_{accounts}"
     return [
         Figure(f"{prefix}.change", change_bytes, "B"),
-        Figure(f"{prefix}.whole", whole_bytes, "B"),
+        Figure(f"{prefix}.whole", snapshot_bytes, "B"),
         Figure(f"{prefix}.changes_per_node_s", per_second, "B/s"),
     ]
 
--- a/fireflyward/bench/measures/bundle_cost.py
+++ b/fireflyward/bench/measures/bundle_cost.py
@@ -1,7 +1,7 @@
-"""Processor time and memory of a bundle at a node, by number of accounts.
+"""Measures processor time and memory of a bundle at a node, by number of accounts.
 
-Times are ratios to a run of SHA-256 over a megabyte, measured in the same call;
-memory is what Python allocated for the state and the holder.
+The baseline for times is SHA-256 over one mebibyte, measured in the same call.
+Memory is the memory that Python allocated for the bundle state and the holder.
 """
 
 import gc
@@ -36,33 +36,35 @@
     figures = []
     for accounts in (100, 1_000, 5_000, 19_000):
         figures += _time_figures(accounts, baseline_s) + _memory_figures(accounts)
-    return figures + _duty_figures()
+    return figures + _idle_figures()
 
 
-def _duty_figures() -> list[Figure]:
-    """Measure what following costs a node among 350 while nothing changes."""
+def _idle_figures() -> list[Figure]:
+    """Measure the cost of following for one of 350 nodes while no bundle changes."""
     names = [f"node-{index}" for index in range(_NODES - 1)]
-    seen = [NodeObservation(name, "norte", 1, is_reached=True) for name in names]
-    follower, watch = BundleFollower(poll_ms=2_000, seed=1), NodeStatusTracker()
+    observations = [
+        NodeObservation(name, "norte", 1, is_reached=True) for name in names
+    ]
+    follower, tracker = BundleFollower(poll_ms=2_000, seed=1), NodeStatusTracker()
     follower.on_applied(0, 1, names)
     for name in names:
         follower.on_peer_number(0, name, 1)
     times_ms = iter(range(0, 1 << 30, 100))
     tick_s = _best_of(lambda: follower.on_tick(next(times_ms), names))
-    watch_s = _best_of(lambda: watch.observe(0, 1, seen))
-    core = (tick_s * _TICKS_PER_SECOND + watch_s) * 100
+    observe_s = _best_of(lambda: tracker.observe(0, 1, observations))
+    core = (tick_s * _TICKS_PER_SECOND + observe_s) * 100
     return [
         Figure(f"bundle_cost.nodes_{_NODES}.tick_us", tick_s * 1e6, "µs"),
-        Figure(f"bundle_cost.nodes_{_NODES}.watch_us", watch_s * 1e6, "µs"),
+        Figure(f"bundle_cost.nodes_{_NODES}.watch_us", observe_s * 1e6, "µs"),
         Figure(f"bundle_cost.nodes_{_NODES}.core_percent", core, "%"),
     ]
 
 
-def _best_of(work: Callable[[], Any]) -> float:
+def _best_of(function: Callable[[], Any]) -> float:
     times = []
     for _ in range(_REPEATS):
         began_s = time.perf_counter()
-        work()
+        function()
         times.append(time.perf_counter() - began_s)
     return min(times)
 
@@ -95,22 +97,26 @@
     holder = BundleHolder()
     holder.update(state.bundle)
     _look_up(holder, accounts)
-    state = _next(state, accounts)
+    state = _next_state(state, accounts)
     holder.update(state.bundle)
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    memory_bytes, _ = tracemalloc.get_traced_memory()
     objects = make_bundle(accounts)
-    with_objects, _ = tracemalloc.get_traced_memory()
+    memory_with_objects_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert holder.number == state.number and objects.number == 1
     prefix = f"bundle_cost.accounts_{accounts}"
     return [
-        Figure(f"{prefix}.memory_per_account", held / accounts, "B"),
-        Figure(f"{prefix}.as_objects", (with_objects - held) / accounts, "B"),
+        Figure(f"{prefix}.memory_per_account", memory_bytes / accounts, "B"),
+        Figure(
+            f"{prefix}.as_objects",
+            (memory_with_objects_bytes - memory_bytes) / accounts,
+            "B",
+        ),
     ]
 
 
-def _next(state: BundleState, accounts: int) -> BundleState:
+def _next_state(state: BundleState, accounts: int) -> BundleState:
     signed = sign_bundle(
         make_bundle(accounts, 2, weight_of_first=7),
         author=AUTHOR,
--- a/fireflyward/bench/measures/kept_index.py
+++ b/fireflyward/bench/measures/kept_index.py
@@ -1,4 +1,4 @@
-"""What the index of kept prompts costs: memory, listing bytes, rebuilding."""
+"""Measures the index of kept blocks: memory, listing bytes, time to rebuild."""
 
 import hashlib
 import time
@@ -14,48 +14,54 @@
     shard_of,
 )
 
-_SMALL = 4_000
-_LARGE = 8_000
+_SMALL_PROMPTS = 4_000
+_LARGE_PROMPTS = 8_000
 _SHARED_BLOCKS = 16
-_BLOCKS = 40
+_BLOCKS_PER_PROMPT = 40
 _PROMPTS_PER_ACCOUNT = 17
-# What bench kept_shards gives as the most that one of 35 nodes holds.
-_MOST_HELD = 0.09
-_PROMPTS_OF_A_REGION = 320_000 / 3
+# Largest share of the index at one of 35 nodes, from the measurement kept_shards.
+_MAX_HELD_SHARE = 0.09
+_PROMPTS_PER_REGION = 320_000 / 3
 _KEY_DIGITS = 32
 
 
 def run() -> list[Figure]:
-    """Return slopes over the number of prompts, and what they come to by design."""
-    small, large = _changes(_SMALL), _changes(_LARGE)
-    prompts = _LARGE - _SMALL
-    bytes_per_prompt = (_bytes_of(large) - _bytes_of(small)) / prompts
+    """Return the cost per prompt and entry, and the cost of a node as designed."""
+    small, large = _changes(_SMALL_PROMPTS), _changes(_LARGE_PROMPTS)
+    prompts = _LARGE_PROMPTS - _SMALL_PROMPTS
+    bytes_per_prompt = (_index_bytes(large) - _index_bytes(small)) / prompts
     entries_per_prompt = (len(large) - len(small)) / prompts
-    listed = len(msgspec.json.encode(large)) / len(large)
+    listing_bytes_per_entry = len(msgspec.json.encode(large)) / len(large)
     seconds_per_entry = _rebuild_s(large) / len(large)
-    prompts_here = _PROMPTS_OF_A_REGION * _MOST_HELD
-    entries_here = prompts_here * entries_per_prompt
-    megabytes_here = prompts_here * bytes_per_prompt / 1e6
+    prompts_per_node = _PROMPTS_PER_REGION * _MAX_HELD_SHARE
+    entries_per_node = prompts_per_node * entries_per_prompt
+    megabytes_per_node = prompts_per_node * bytes_per_prompt / 1e6
     return [
         Figure("kept_index.bytes_per_prompt", bytes_per_prompt, "B"),
         Figure("kept_index.entries_per_prompt", entries_per_prompt, ""),
-        Figure("kept_index.listing_bytes_per_entry", listed, "B"),
+        Figure("kept_index.listing_bytes_per_entry", listing_bytes_per_entry, "B"),
         Figure("kept_index.rebuild_us_per_entry", seconds_per_entry * 1e6, "µs"),
-        Figure("kept_index.design_node_mb", megabytes_here, "MB"),
-        Figure("kept_index.design_node_listing_mb", entries_here * listed / 1e6, "MB"),
+        Figure("kept_index.design_node_mb", megabytes_per_node, "MB"),
         Figure(
-            "kept_index.design_node_rebuild_s", entries_here * seconds_per_entry, "s"
+            "kept_index.design_node_listing_mb",
+            entries_per_node * listing_bytes_per_entry / 1e6,
+            "MB",
+        ),
+        Figure(
+            "kept_index.design_node_rebuild_s",
+            entries_per_node * seconds_per_entry,
+            "s",
         ),
     ]
 
 
 def _changes(prompts: int) -> list[StoreChange]:
-    """Return the entries of prompts that share clauses within their account."""
+    """Return index entries of prompts; those of one account share their clauses."""
     changes = {}
     for prompt in range(prompts):
         account = prompt // _PROMPTS_PER_ACCOUNT
         shard = shard_of(_key("account", account, 0))
-        for position in range(INDEX_STRIDE, _BLOCKS + 1, INDEX_STRIDE):
+        for position in range(INDEX_STRIDE, _BLOCKS_PER_PROMPT + 1, INDEX_STRIDE):
             is_shared = position <= _SHARED_BLOCKS
             kind, number = ("account", account) if is_shared else ("prompt", prompt)
             key = _key(kind, number, position)
@@ -68,7 +74,7 @@
     return digest[:_KEY_DIGITS]
 
 
-def _bytes_of(changes: list[StoreChange]) -> int:
+def _index_bytes(changes: list[StoreChange]) -> int:
     tracemalloc.start()
     index = PrefixIndex()
     index.apply("store-1", changes)
@@ -79,7 +85,7 @@
 
 
 def _rebuild_s(changes: list[StoreChange]) -> float:
-    """Return the time to decode a listing and to take it into an index."""
+    """Return the seconds to decode a listing and to apply it to an index."""
     listing = msgspec.json.encode(changes)
     began_s = time.perf_counter()
     PrefixIndex().apply("store-1", msgspec.json.decode(listing, type=list[StoreChange]))
--- a/fireflyward/bench/measures/kept_names.py
+++ b/fireflyward/bench/measures/kept_names.py
@@ -1,4 +1,4 @@
-"""Naming the blocks of a long prompt, against one plain hash of its text."""
+"""Measures the naming of a prompt's blocks against one plain hash of its text."""
 
 import hashlib
 import time
@@ -14,7 +14,7 @@
 
 
 def run() -> list[Figure]:
-    """Return the time a token and its ratio to SHA-256 over the same bytes."""
+    """Return the time per token and the ratio to SHA-256 over the same bytes."""
     names = BlockNames(b"k" * 32)
     naming_s = _best_s(lambda: names.of_prompt("a", "m", "v1", "", _PROMPT))
     hashing_s = _best_s(lambda: hashlib.sha256(_PROMPT.encode()).digest())
@@ -25,11 +25,11 @@
     ]
 
 
-def _best_s(work: Callable[[], object]) -> float:
+def _best_s(function: Callable[[], object]) -> float:
     times = []
     for _ in range(_ROUNDS):
         began_s = time.perf_counter()
-        work()
+        function()
         times.append(time.perf_counter() - began_s)
     return min(times)
 
--- a/fireflyward/bench/measures/kept_shards.py
+++ b/fireflyward/bench/measures/kept_shards.py
@@ -1,25 +1,27 @@
-"""How much of the index a node holds, and how much a loss of nodes moves."""
+"""Measures a node's share of the index and the share that moves when nodes stop."""
 
 from fireflyward.bench import Bench, Figure
 from fireflyward.kept import ALL_SHARDS, holders_of
 from fireflyward.membership import Member
 
 _DOMAIN_NODES = 35
-_HALF = 17
-_COPIES = 2
+_LOST_NODES = 17
+_HOLDERS_PER_SHARD = 2
 
 
 def run() -> list[Figure]:
-    """Return shares of the index, in a failure domain of 35 nodes."""
+    """Return shares of the index in a failure domain of 35 nodes."""
     members = _members(_DOMAIN_NODES)
-    before = _held(members)
-    most = max(
+    before = _holders_by_shard(members)
+    max_held = max(
         sum(member.name in names for names in before.values()) for member in members
     )
     return [
-        Figure("kept_shards.most_held_of_35", most / len(ALL_SHARDS), ""),
+        Figure("kept_shards.most_held_of_35", max_held / len(ALL_SHARDS), ""),
         Figure("kept_shards.moved_when_one_goes", _moved(before, members[1:]), ""),
-        Figure("kept_shards.moved_when_half_go", _moved(before, members[_HALF:]), ""),
+        Figure(
+            "kept_shards.moved_when_half_go", _moved(before, members[_LOST_NODES:]), ""
+        ),
     ]
 
 
@@ -30,18 +32,18 @@
     )
 
 
-def _held(members: tuple[Member, ...]) -> dict[int, set[str]]:
+def _holders_by_shard(members: tuple[Member, ...]) -> dict[int, set[str]]:
     return {
         shard: {member.name for member in holders_of(shard, members)}
         for shard in ALL_SHARDS
     }
 
 
-def _moved(before: dict[int, set[str]], left: tuple[Member, ...]) -> float:
-    """Return the share of all copies that the nodes left have to read anew."""
-    after = _held(left)
+def _moved(before: dict[int, set[str]], remaining: tuple[Member, ...]) -> float:
+    """Return the share of all copies that the remaining nodes have to read."""
+    after = _holders_by_shard(remaining)
     gained = sum(len(after[shard] - before[shard]) for shard in ALL_SHARDS)
-    return gained / (_COPIES * len(ALL_SHARDS))
+    return gained / (_HOLDERS_PER_SHARD * len(ALL_SHARDS))
 
 
 BENCH = Bench("kept_shards", run, is_count=True)
--- a/fireflyward/bench/measures/kept_wire.py
+++ b/fireflyward/bench/measures/kept_wire.py
@@ -1,4 +1,7 @@
-"""Bytes that a node sends and reads for kept work; the blocks go past it."""
+"""Measures the bytes that a node exchanges for kept blocks.
+
+The contents of the blocks are transferred between engines and stores directly.
+"""
 
 import msgspec
 
@@ -32,14 +35,14 @@
 
 
 def run() -> list[Figure]:
-    """Return bytes of JSON for each block of a 40-block prompt."""
+    """Return the bytes of JSON per block of a 40-block prompt."""
     names = BlockNames(b"k" * 32)
     keys = names.of_prompt("account", "clauses", "v1", "", _TEXT)[:_BLOCKS]
     owner = names.owner_tag("account")
     store = StoreModel("store-1")
     wanted = tuple(
-        Wanted(key, place, shard_of(keys[0]), owner)
-        for place, key in enumerate(keys, start=1)
+        Wanted(key, position, shard_of(keys[0]), owner)
+        for position, key in enumerate(keys, start=1)
     )
     reserved = store.reserve(0, wanted)
     sealed = tuple(_seal(store, ref) for ref in reserved.refs)
@@ -54,11 +57,11 @@
 
 
 def _look_up(keys: tuple[str, ...]) -> int:
-    """Return the bodies of asking another node for a prompt that two holders have."""
+    """Return the bytes of a look-up at another node that returns two holders."""
     entries = entries_of(keys)
-    asked = LookUp(shard=shard_of(keys[0]), entries=entries)
+    query = LookUp(shard=shard_of(keys[0]), entries=entries)
     found = Found(holders=["store-1", "engine-7"], places=[b"\x1f", b"\x03"])
-    return len(pack(asked)) + len(pack(found))
+    return len(pack(query)) + len(pack(found))
 
 
 def _seal(store: StoreModel, ref: BlockRef) -> BlockRef:
@@ -101,8 +104,8 @@
 
 def _events(keys: tuple[str, ...]) -> object:
     cache = EngineCache(_BLOCKS)
-    for place, key in enumerate(keys, start=1):
-        cache.store(key, place, keys[0])
+    for position, key in enumerate(keys, start=1):
+        cache.store(key, position, keys[0])
     return cache.events(0, stride=INDEX_STRIDE)
 
 
--- a/fireflyward/bench/measures/lease_table.py
+++ b/fireflyward/bench/measures/lease_table.py
@@ -1,4 +1,4 @@
-"""What a lease costs the table service, by number of nodes that could hold it."""
+"""Measures the table calls and takeover time of a lease, by number of nodes."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 _NODES = (9, 35, 350)
 _LEASE = "rollout"
-_TURN_MS = 3_000
+_STEP_MS = 3_000
 _MEASURED_S = 240
 _MS_PER_SECOND = 1_000
 
@@ -18,10 +18,10 @@
     clock, table = ManualClock(), MemoryTable()
     names = [f"entry-{index}" for index in range(nodes)]
     leases = [_make(name, names, clock, table) for name in names]
-    for _ in range(_MEASURED_S * _MS_PER_SECOND // _TURN_MS):
+    for _ in range(_MEASURED_S * _MS_PER_SECOND // _STEP_MS):
         for lease in leases:
             await lease.step()
-        await clock.advance_ms(_TURN_MS)
+        await clock.advance_ms(_STEP_MS)
     name = f"lease_table.nodes_{nodes}"
     takeover_ms = await _takeover_ms(leases, clock)
     return [
@@ -45,18 +45,18 @@
 
 
 async def _takeover_ms(leases: list[LeaseTask], clock: ManualClock) -> int:
-    """Let the holder die; return how long nobody holds the lease."""
-    rest = [lease for lease in leases if lease.claim() is None]
-    died_ms = clock.now_ms()
-    while all(lease.claim() is None for lease in rest):
-        for lease in rest:
+    """Stop the holder and return how long no node holds the lease."""
+    others = [lease for lease in leases if lease.claim() is None]
+    stopped_ms = clock.now_ms()
+    while all(lease.claim() is None for lease in others):
+        for lease in others:
             await lease.step()
-        await clock.advance_ms(_TURN_MS)
-    return clock.now_ms() - _TURN_MS - died_ms
+        await clock.advance_ms(_STEP_MS)
+    return clock.now_ms() - _STEP_MS - stopped_ms
 
 
 def run() -> list[Figure]:
-    """Hold a lease for four minutes at each size, then let its holder die."""
+    """Hold a lease for four minutes at each size, then stop its holder."""
     figures = []
     for nodes in _NODES:
         figures += asyncio.run(_measure(nodes))
--- a/fireflyward/bench/measures/limits_loads.py
+++ b/fireflyward/bench/measures/limits_loads.py
@@ -1,9 +1,9 @@
-"""The whole table of limits: new and returning prompts, one to eight nodes.
+"""Measures limits in all cases: new and returning prompts, one to eight nodes.
 
-The figures are the same in every run, but too many to make on every check.
+The figures are the same in every run, but they take too long for every CI run.
 """
 
-from fireflyward.bench._balancing import ANDINOS, NOTA_BIRLIK, Shape
+from fireflyward.bench._balancing import ANDINOS, NOTA_BIRLIK, DeploymentShape
 from fireflyward.bench._bench import Bench, Figure
 from fireflyward.bench._overload import flood_ratio, goodput
 
@@ -20,12 +20,14 @@
     ]
 
 
-def _rows(shape: Shape, reuse: bool) -> list[Figure]:
+def _rows(shape: DeploymentShape, reuse: bool) -> list[Figure]:
     series = f"limits_loads.{shape.name}.{'returning' if reuse else 'new'}"
     rows = []
-    for times in (1.5, 2.0, 5.0):
-        share = goodput(shape, times=times, seconds=_SECONDS, reuse=reuse)
-        rows.append(Figure(f"{series}.goodput_at_{times:g}x", share, "of capacity"))
+    for load_factor in (1.5, 2.0, 5.0):
+        share = goodput(shape, load_factor=load_factor, seconds=_SECONDS, reuse=reuse)
+        rows.append(
+            Figure(f"{series}.goodput_at_{load_factor:g}x", share, "of capacity")
+        )
     for chunked in (True, False):
         for nodes in (1, 3, 8):
             ratio = flood_ratio(
--- a/fireflyward/bench/measures/load_sharing.py
+++ b/fireflyward/bench/measures/load_sharing.py
@@ -1,4 +1,4 @@
-"""What load sharing costs a node, and how old reports get."""
+"""Measures the traffic of load sharing per node and the age of load reports."""
 
 from fireflyward.bench._bench import Bench, Figure
 from fireflyward.bench._load_mesh import LoadMesh, MeshNode
@@ -21,25 +21,27 @@
 
 
 def _rows(series: str, mesh: LoadMesh) -> list[Figure]:
-    members = list(mesh.node_by_name.values())
+    nodes = list(mesh.node_by_name.values())
     oldest = max(mesh.oldest_entry_ms(name) for name in mesh.node_by_name)
     return [
-        Figure(f"{series}.sent", _mean(members, "sent_bytes"), "B/s"),
-        Figure(f"{series}.received", _mean(members, "received_bytes"), "B/s"),
-        Figure(f"{series}.most_sent", _most(members, "sent_bytes"), "B/s"),
-        Figure(f"{series}.most_received", _most(members, "received_bytes"), "B/s"),
+        Figure(f"{series}.sent", _mean_rate(nodes, "sent_bytes"), "B/s"),
+        Figure(f"{series}.received", _mean_rate(nodes, "received_bytes"), "B/s"),
+        Figure(f"{series}.most_sent", _highest_rate(nodes, "sent_bytes"), "B/s"),
+        Figure(
+            f"{series}.most_received", _highest_rate(nodes, "received_bytes"), "B/s"
+        ),
         Figure(f"{series}.oldest_report", oldest, "ms"),
     ]
 
 
-def _mean(members: list[MeshNode], what: str) -> float:
-    total = sum(getattr(node, what) for node in members)
-    return total * _MS_PER_SECOND / _MEASURED_MS / len(members)
+def _mean_rate(nodes: list[MeshNode], field_name: str) -> float:
+    total = sum(getattr(node, field_name) for node in nodes)
+    return total * _MS_PER_SECOND / _MEASURED_MS / len(nodes)
 
 
-def _most(members: list[MeshNode], what: str) -> float:
-    most = max(getattr(node, what) for node in members)
-    return most * _MS_PER_SECOND / _MEASURED_MS
+def _highest_rate(nodes: list[MeshNode], field_name: str) -> float:
+    highest = max(getattr(node, field_name) for node in nodes)
+    return highest * _MS_PER_SECOND / _MEASURED_MS
 
 
 BENCH = Bench("load_sharing", _figures, is_count=True)
--- a/fireflyward/bench/measures/load_sharing_cpu.py
+++ b/fireflyward/bench/measures/load_sharing_cpu.py
@@ -1,4 +1,4 @@
-"""Processor time of load sharing at a node, by the number of nodes and replicas."""
+"""Measures the processor time of load sharing at a node, by size."""
 
 from fireflyward.bench._bench import Bench, Figure
 from fireflyward.bench._load_mesh import LoadMesh
@@ -17,7 +17,7 @@
         mesh.run(_SETTLING_MS)
         mesh.reset_counts()
         mesh.run(_MEASURED_MS)
-        share = mesh.seconds_cpu * _MS_PER_SECOND / _MEASURED_MS / nodes
+        share = mesh.cpu_s * _MS_PER_SECOND / _MEASURED_MS / nodes
         name = f"load_sharing_cpu.nodes_{nodes}"
         figures.append(Figure(name, share * _PERCENT, "% of a core"))
     return figures
--- a/fireflyward/bench/measures/membership.py
+++ b/fireflyward/bench/measures/membership.py
@@ -1,4 +1,4 @@
-"""What membership costs a node, and how fast and how truthfully it tells."""
+"""Measures the traffic of membership, its detection times and false alarms."""
 
 import statistics
 from collections.abc import Callable
@@ -30,33 +30,37 @@
 def _measure() -> list[Figure]:
     figures: list[Figure] = []
     for nodes, (domains, per_domain) in _SIZES.items():
-        figures += _cost(nodes, domains, per_domain)
-    figures += _false_suspicions()
-    figures += _rejoin()
+        figures += _cost_figures(nodes, domains, per_domain)
+    figures += _false_suspicion_figures()
+    figures += _rejoin_figures()
     return figures
 
 
-def _cost(nodes: int, domains: int, per_domain: int) -> list[Figure]:
+def _cost_figures(nodes: int, domains: int, per_domain: int) -> list[Figure]:
     net = MembershipNet(seed=nodes)
     net.start_many(domains, per_domain)
     net.run_ms(2_000)
     net.sent.clear()
     net.run_ms(_QUIET_MS)
     per_second = 1_000 / _QUIET_MS / nodes
-    quiet = sum(_bytes(packet) for _, _, packet in net.sent) * per_second
-    packets = len(net.sent) * per_second
+    quiet_bytes_per_s = (
+        sum(_datagram_bytes(packet) for _, _, packet in net.sent) * per_second
+    )
+    packets_per_s = len(net.sent) * per_second
     name = f"membership.nodes_{nodes}"
     figures = [
-        Figure(f"{name}.bytes_per_node_s", quiet, "B/s"),
-        Figure(f"{name}.datagrams_per_node_s", packets, "1/s"),
+        Figure(f"{name}.bytes_per_node_s", quiet_bytes_per_s, "B/s"),
+        Figure(f"{name}.datagrams_per_node_s", packets_per_s, "1/s"),
     ]
     net.deliver("entry-0-0", BundleChanged(7))
-    bundle_ms = _until(net, "entry-0-0", lambda member: member.bundle_number == 7)
+    bundle_ms = _time_until_ms(
+        net, "entry-0-0", lambda member: member.bundle_number == 7
+    )
     net.deliver("entry-0-0", LeaveStarted())
-    leaving_ms = _until(net, "entry-0-0", _is_in(MemberState.LEAVING))
+    leaving_ms = _time_until_ms(net, "entry-0-0", _has_state(MemberState.LEAVING))
     killed_ms = net.now_ms
     net.kill("entry-1-0")
-    known_ms = _until(net, "entry-1-0", _is_in(MemberState.DEAD))
+    known_ms = _time_until_ms(net, "entry-1-0", _has_state(MemberState.DEAD))
     first_ms = min(at for at, _, alarm in net.alarms if alarm.name == "entry-1-0")
     figures += [
         Figure(f"{name}.bundle_number_known_ms", bundle_ms, "ms"),
@@ -67,28 +71,30 @@
     return figures
 
 
-def _is_in(state: MemberState) -> Callable[..., bool]:
+def _has_state(state: MemberState) -> Callable[..., bool]:
     return lambda member: member.state is state
 
 
-def _until(net: MembershipNet, name: str, holds: Callable[..., bool]) -> float:
-    """Return how long it takes until every node's view of a member holds."""
+def _time_until_ms(
+    net: MembershipNet, name: str, condition: Callable[..., bool]
+) -> float:
+    """Return the time until a member meets the condition in every node's list."""
     nodes = list(net.node_by_name.values())
 
-    def known() -> bool:
-        return all(_holds_at(node, name, holds) for node in nodes)
+    def holds_everywhere() -> bool:
+        return all(_holds_at_node(node, name, condition) for node in nodes)
 
-    took_ms = net.run_until(known, _LIMIT_MS)
+    took_ms = net.run_until(holds_everywhere, _LIMIT_MS)
     return float("inf") if took_ms is None else took_ms
 
 
-def _holds_at(node: Membership, name: str, holds: Callable[..., bool]) -> bool:
+def _holds_at_node(node: Membership, name: str, condition: Callable[..., bool]) -> bool:
     member = node.members.stored(name)
-    return member is not None and holds(member)
+    return member is not None and condition(member)
 
 
-def _false_suspicions() -> list[Figure]:
-    """Count what loss and a pause of one process bring about among 35 nodes."""
+def _false_suspicion_figures() -> list[Figure]:
+    """Count false alarms among 35 nodes after packet loss and a paused process."""
     lossy = MembershipNet(seed=2, loss=_LOSS)
     lossy.start_many(1, 35)
     lossy.run_ms(_LOSS_MS)
@@ -101,29 +107,29 @@
     return [
         Figure(
             "membership.loss_20.suspicions_per_node_min",
-            _alarms(lossy, AlarmKind.NODE_SUSPECTED) / 35 / (_LOSS_MS / 60_000),
+            _alarm_count(lossy, AlarmKind.NODE_SUSPECTED) / 35 / (_LOSS_MS / 60_000),
             "1/min",
         ),
         Figure(
             "membership.loss_20.false_deaths",
-            _alarms(lossy, AlarmKind.NODE_DEAD),
+            _alarm_count(lossy, AlarmKind.NODE_DEAD),
             "",
         ),
         Figure(
             "membership.pause_3s.false_deaths",
-            _alarms(paused, AlarmKind.NODE_DEAD),
+            _alarm_count(paused, AlarmKind.NODE_DEAD),
             "",
         ),
     ]
 
 
-def _rejoin() -> list[Figure]:
-    """Cut a failure domain off for a minute and count what its return costs."""
+def _rejoin_figures() -> list[Figure]:
+    """Partition a failure domain for a minute and measure its reconnection."""
     net = MembershipNet(seed=4)
     net.start_many(4, 9)
     net.is_blocked = lambda one, other: one.endswith("-0") != other.endswith("-0")
     net.run_ms(60_000)
-    alone = [
+    live_counts = [
         len(node.members.all_live())
         for name, node in net.node_by_name.items()
         if name.endswith("-0")
@@ -139,9 +145,11 @@
     )
     net.run_ms(_QUIET_MS - (took_ms or 0))
     return [
-        Figure("membership.cut_off.live_inside", statistics.mean(alone), ""),
+        Figure("membership.cut_off.live_inside", statistics.mean(live_counts), ""),
         Figure(
-            "membership.cut_off.false_deaths", _alarms(net, AlarmKind.NODE_DEAD), ""
+            "membership.cut_off.false_deaths",
+            _alarm_count(net, AlarmKind.NODE_DEAD),
+            "",
         ),
         Figure(
             "membership.rejoin.whole_ms",
@@ -152,11 +160,11 @@
     ]
 
 
-def _alarms(net: MembershipNet, kind: AlarmKind) -> float:
+def _alarm_count(net: MembershipNet, kind: AlarmKind) -> float:
     return sum(alarm.kind is kind for _, _, alarm in net.alarms)
 
 
-def _bytes(packet: Packet) -> int:
+def _datagram_bytes(packet: Packet) -> int:
     return len(encode(PeerCodec((_KEY,)), packet)) + _UDP_HEADER_BYTES
 
 
--- a/fireflyward/bench/measures/membership_cpu.py
+++ b/fireflyward/bench/measures/membership_cpu.py
@@ -1,4 +1,4 @@
-"""What a heartbeat costs in processor time, beside a plain JSON one."""
+"""Measures the processor time of membership datagrams compared with plain JSON."""
 
 import json
 import time
@@ -21,11 +21,13 @@
     packets = [packet for _, _, packet in net.sent][:50]
     codec = PeerCodec((b"k" * 16,))
     frames = [encode(codec, packet) for packet in packets]
-    encode_s = _time(lambda packet: encode(codec, packet), packets)
-    decode_s = _time(lambda frame: _decode(codec, frame), frames)
-    json_s = _time(lambda frame: json.loads(json.dumps(_plain(frame))), packets)
+    encode_s = _time_per_call_s(lambda packet: encode(codec, packet), packets)
+    decode_s = _time_per_call_s(lambda frame: _decode(codec, frame), frames)
+    json_s = _time_per_call_s(
+        lambda frame: json.loads(json.dumps(_plain_rows(frame))), packets
+    )
     share = (encode_s + decode_s) * _DATAGRAMS_PER_S
-    decisions_s = _decisions()
+    decisions_s = _decisions_share()
     return [
         Figure("membership_cpu.encode_us", encode_s * 1e6, "µs"),
         Figure("membership_cpu.decode_us", decode_s * 1e6, "µs"),
@@ -52,7 +54,7 @@
     return from_struct(unpack(PacketStruct, codec.open(frame).body))
 
 
-def _plain(packet: Packet) -> list[object]:
+def _plain_rows(packet: Packet) -> list[object]:
     rows = [packet.sender, *packet.rows]
     return [
         [row.name, row.address, row.failure_domain, row.incarnation, row.state]
@@ -60,15 +62,15 @@
     ]
 
 
-def _time(work: Callable[..., object], items: list[object]) -> float:
+def _time_per_call_s(work: Callable[..., object], items: list[object]) -> float:
     began = time.process_time()
     for index in range(_ROUNDS):
         work(items[index % len(items)])
     return (time.process_time() - began) / _ROUNDS
 
 
-def _decisions() -> float:
-    """Return the share of a core that one node's decisions take among 350."""
+def _decisions_share() -> float:
+    """Return the share of a core that one of 350 nodes uses for its decisions."""
     net = MembershipNet(seed=1)
     net.start_many(10, 35)
     net.run_ms(1_000)
--- a/fireflyward/bench/measures/replay_day.py
+++ b/fireflyward/bench/measures/replay_day.py
@@ -1,6 +1,7 @@
-"""The whole replay of both deployments: minutes, and the same counts every time.
+"""Measures the full replay of both deployments.
 
-It is no count of CI only because it takes minutes.
+The counts are the same in every run. CI does not check them because the replay takes
+minutes.
 """
 
 from fireflyward.bench import Bench, Figure
@@ -18,7 +19,7 @@
     prompts = load.prompts(_SEED)
     result = {row: replay(load, prompts, row, _SEED) for row in (*Policy, *Setting)}
     ours, least = result[Policy.OURS], result[Policy.LEAST_LOADED]
-    bound, without = result[Policy.BOUND], result[Setting.NO_STORE]
+    bound, no_store = result[Policy.BOUND], result[Setting.NO_STORE]
     prefix = f"replay_day.{name.replace('-', '_')}"
     figures = [
         Figure(
@@ -38,7 +39,7 @@
         ),
     ]
     for row in (Setting.DEAD_STORE, Setting.DEAD_STORES, Setting.SLOW_LINKS):
-        ratio = result[row].quantile_ms(95) / without.quantile_ms(95)
+        ratio = result[row].quantile_ms(95) / no_store.quantile_ms(95)
         figures.append(
             Figure(f"{prefix}.p95_to_no_store.{row.name.lower()}", ratio, "×")
         )
--- a/fireflyward/bench/measures/replay_small.py
+++ b/fireflyward/bench/measures/replay_small.py
@@ -1,4 +1,4 @@
-"""The small replay of both deployments, whose counts are the same every time."""
+"""Measures the small replay of both deployments; its counts never vary."""
 
 from fireflyward.bench import Bench, Figure
 from fireflyward.workloads import Policy, replay, workload
--- a/fireflyward/bench/measures/replay_sockets.py
+++ b/fireflyward/bench/measures/replay_sockets.py
@@ -1,7 +1,8 @@
-"""Returning documents over real sockets, with stores and without, in one run.
+"""Measures returning documents over real sockets, with and without stores.
 
-Nodes, engines and stores run in this process, on loopback and on the real clock,
-so the figures are ratios of one way to the other and not the same every time.
+Nodes, engines and stores run in this process, on loopback and on the real clock. The
+figures are ratios of the run with stores to the run without, and they vary from run
+to run.
 """
 
 import asyncio
@@ -29,43 +30,49 @@
 
 
 def _run() -> list[Figure]:
-    without = asyncio.run(_visit(0))
-    ours = asyncio.run(_visit(_STORES))
+    no_store = asyncio.run(_measure(0))
+    ours = asyncio.run(_measure(_STORES))
     return [
-        Figure("replay_sockets.recomputed_to_no_store", ours[0] / without[0], "×"),
-        Figure("replay_sockets.p50_to_no_store", ours[1] / without[1], "×"),
-        Figure("replay_sockets.p95_to_no_store", ours[2] / without[2], "×"),
+        Figure("replay_sockets.recomputed_to_no_store", ours[0] / no_store[0], "×"),
+        Figure("replay_sockets.p50_to_no_store", ours[1] / no_store[1], "×"),
+        Figure("replay_sockets.p95_to_no_store", ours[2] / no_store[2], "×"),
     ]
 
 
-async def _visit(stores: int) -> tuple[float, float, float]:
-    """Return the recomputed share and two percentiles of the first token."""
-    source = random.Random(_SEED)
-    clauses = _text(source, _CLAUSE_BYTES)
-    documents = [clauses + _text(source, _DOCUMENT_BYTES) for _ in range(_DOCUMENTS)]
-    waits: list[float] = []
+async def _measure(stores: int) -> tuple[float, float, float]:
+    """Return the recomputed share and the p50 and p95 of the time to first token."""
+    rng = random.Random(_SEED)
+    clauses = _text(rng, _CLAUSE_BYTES)
+    documents = [clauses + _text(rng, _DOCUMENT_BYTES) for _ in range(_DOCUMENTS)]
+    first_token_s: list[float] = []
     async with (
         DemoDeployment(stores=stores, costs=_COSTS) as deployment,
         aiohttp.ClientSession() as session,
     ):
         urls = itertools.cycle(deployment.urls)
         for visit in range(_VISITS):
-            source.shuffle(documents)
+            rng.shuffle(documents)
             for document in documents:
                 prompt = f"{document} question {visit}"
-                waits.append(await _ask(session, next(urls), prompt))
+                first_token_s.append(await _first_token_s(session, next(urls), prompt))
                 await asyncio.sleep(_BETWEEN_PROMPTS_S)
             await asyncio.sleep(_BETWEEN_VISITS_S)
         models = [server.model for server in deployment.engine_by_name.values()]
         computed = sum(model.computed_tokens for model in models)
         cached = sum(model.cached_tokens for model in models)
-    waits.sort()
+    first_token_s.sort()
     share = computed / (computed + cached)
-    return share, waits[len(waits) // 2], waits[len(waits) * 95 // 100]
+    return (
+        share,
+        first_token_s[len(first_token_s) // 2],
+        first_token_s[len(first_token_s) * 95 // 100],
+    )
 
 
-async def _ask(session: aiohttp.ClientSession, url: str, prompt: str) -> float:
-    """Ask one prompt and return the seconds to its first token."""
+async def _first_token_s(
+    session: aiohttp.ClientSession, url: str, prompt: str
+) -> float:
+    """Send one prompt and return the seconds until its first token."""
     body = {
         "model": "clauses",
         "prompt": prompt,
@@ -84,8 +91,8 @@
     return first
 
 
-def _text(source: random.Random, size: int) -> str:
-    return source.randbytes(size // 2).hex()
+def _text(rng: random.Random, size: int) -> str:
+    return rng.randbytes(size // 2).hex()
 
 
 BENCH = Bench("replay_sockets", _run, is_count=False)
--- a/fireflyward/bench/measures/rollout_swap.py
+++ b/fireflyward/bench/measures/rollout_swap.py
@@ -1,4 +1,4 @@
-"""What a weight swap costs in capacity, time and writes at both deployments."""
+"""Measures the lost capacity, time and writes of a weight swap."""
 
 import asyncio
 
@@ -20,13 +20,13 @@
 
 _MODEL = "clauses"
 _REPLICAS_BY_DEPLOYMENT = {"andinos": 6, "nota_birlik": 5}
-_TURN_MS = 50
+_STEP_MS = 50
 _LIMIT_MS = 120_000
 _MS_PER_SECOND = 1_000
 
 
 class _Swap:
-    """One rollout from v1 to v2, watched every ``_TURN_MS``."""
+    """One rollout from v1 to v2, sampled every ``_STEP_MS``."""
 
     def __init__(self, replicas: int, loads_at_once: int) -> None:
         self.clock = ManualClock()
@@ -46,8 +46,8 @@
             plan=lambda: self.plan,
             watch=HealthWatch(),
         )
-        self.lost_replica_ms = 0
-        self.least = replicas
+        self.lost_replica_time_ms = 0
+        self.min_serving = replicas
 
     def _plan(self, number: int, version: str) -> Plan:
         target = Target({_MODEL: version}, honours_fencing=True)
@@ -67,13 +67,15 @@
     async def _run_to(self, number: int) -> int:
         began_ms = self.clock.now_ms()
         while not self._is_done(number):
-            assert self.clock.now_ms() - began_ms < _LIMIT_MS, "rollout stands still"
+            assert self.clock.now_ms() - began_ms < _LIMIT_MS, (
+                "the rollout did not finish within the limit"
+            )
             await self.lease.step()
             await self.task.step()
-            await self.clock.advance_ms(_TURN_MS)
+            await self.clock.advance_ms(_STEP_MS)
             serving = self.fleet.serving(self.clock.now_ms(), _MODEL)
-            self.least = min(self.least, serving)
-            self.lost_replica_ms += (len(self.names) - serving) * _TURN_MS
+            self.min_serving = min(self.min_serving, serving)
+            self.lost_replica_time_ms += (len(self.names) - serving) * _STEP_MS
         return self.clock.now_ms() - began_ms
 
     async def run(self, name: str) -> list[Figure]:
@@ -81,19 +83,19 @@
         writes = self._row_version()
         self.plan = self._plan(2, "v2")
         duration_ms = await self._run_to(2)
-        lost = self.lost_replica_ms / (duration_ms * len(self.names))
+        lost_share = self.lost_replica_time_ms / (duration_ms * len(self.names))
         writes = self._row_version() - writes
         return [
             Figure(f"{name}.duration_s", duration_ms / _MS_PER_SECOND, "s"),
-            Figure(f"{name}.least_serving", self.least, "replicas"),
-            Figure(f"{name}.lost_capacity", lost, "share"),
-            Figure(f"{name}.lost_replica_s", self.lost_replica_ms / 1_000, "s"),
+            Figure(f"{name}.least_serving", self.min_serving, "replicas"),
+            Figure(f"{name}.lost_capacity", lost_share, "share"),
+            Figure(f"{name}.lost_replica_s", self.lost_replica_time_ms / 1_000, "s"),
             Figure(f"{name}.table_writes", writes, "writes"),
         ]
 
 
 def run() -> list[Figure]:
-    """Swap at both deployments, with one load and with two at once."""
+    """Swap weights at both deployments, with one and with two concurrent loads."""
     figures = []
     for deployment, replicas in _REPLICAS_BY_DEPLOYMENT.items():
         for loads in (1, 2):
--- a/fireflyward/bench/measures/routing_loads.py
+++ b/fireflyward/bench/measures/routing_loads.py
@@ -1,13 +1,13 @@
-"""The whole table of routing: both deployments, four loads, three balancers.
+"""Measures routing in all cases: both deployments, four loads, three balancers.
 
-The figures are the same in every run, but too many to make on every check.
+The figures are the same in every run, but they take too long for every CI run.
 """
 
 from fireflyward.bench import _balancing as balancing
 from fireflyward.bench._bench import Bench, Figure
 
 _REQUESTS = 2_000
-_SATURATING = 3.0
+_SATURATION_LOAD = 3.0
 _LOADS = (0.5, 0.8, 0.95, 1.5)
 _SEED = 3
 _MAKE_BY_NAME = {
@@ -23,28 +23,30 @@
         for reuse in (False, True):
             capacity = balancing.CAPACITY_BY_SHAPE[shape.name][reuse]
             for name in _MAKE_BY_NAME:
-                result = _play(shape, name, capacity * _SATURATING, reuse=reuse)
+                result = _simulate(
+                    shape, name, capacity * _SATURATION_LOAD, reuse=reuse
+                )
                 series = f"{_series(shape, name, reuse)}.saturated"
                 figures.append(Figure(series, result.per_second, "1/s"))
                 for load in _LOADS:
-                    result = _play(shape, name, capacity * load, reuse=reuse)
+                    result = _simulate(shape, name, capacity * load, reuse=reuse)
                     series = f"{_series(shape, name, reuse)}.load_{load:g}"
                     figures.extend(_rows(series, result))
     return figures
 
 
-def _series(shape: balancing.Shape, balancer: str, reuse: bool) -> str:
+def _series(shape: balancing.DeploymentShape, balancer: str, reuse: bool) -> str:
     kind = "returning" if reuse else "new"
     return f"routing_loads.{shape.name}.{kind}.{balancer}"
 
 
-def _play(
-    shape: balancing.Shape, balancer: str, per_second: float, *, reuse: bool
+def _simulate(
+    shape: balancing.DeploymentShape, balancer: str, per_second: float, *, reuse: bool
 ) -> balancing.Result:
     requests = balancing.make_requests(
         shape, count=_REQUESTS, per_second=per_second, reuse=reuse, seed=_SEED
     )
-    return balancing.Balancing(shape, _MAKE_BY_NAME[balancer]).run(requests)
+    return balancing.BalancingSimulation(shape, _MAKE_BY_NAME[balancer]).run(requests)
 
 
 def _rows(series: str, result: balancing.Result) -> list[Figure]:
--- a/fireflyward/bench/measures/run_detection.py
+++ b/fireflyward/bench/measures/run_detection.py
@@ -1,4 +1,4 @@
-"""How long a run takes to notice a lost upstream and to go on elsewhere."""
+"""Measures how long a run takes to detect a lost upstream and to resume on another."""
 
 import asyncio
 
@@ -10,9 +10,9 @@
 from fireflyward.upstreams import EngineCall
 
 _COSTS = EngineCosts(prefill_ms_per_token=10.0, decode_ms_per_token=10.0)
-_STRIKES_MS = 75
+_FAULT_AT_MS = 75
 _TOKENS = 20
-# Fault, and whether it strikes before the request leaves or in mid-stream.
+# The fault, and whether it begins before the request is sent or during the stream.
 _CASES = {
     "dead": ("unreachable", False),
     "paused": ("paused", False),
@@ -22,8 +22,8 @@
 }
 
 
-async def _play(fault: str, *, strikes_first: bool) -> int:
-    """Return the longest pause between two pieces, or before the first."""
+async def _longest_pause_ms(fault: str, *, fault_first: bool) -> int:
+    """Return the longest pause between two pieces or before the first piece."""
     clock = ManualClock()
     engine_by_name = {
         name: MemoryEngine(EngineModel({"m": "v1"}, _COSTS), clock) for name in "ab"
@@ -46,12 +46,12 @@
             if isinstance(result, Deliver):
                 times_ms.append(clock.now_ms())
 
-    if strikes_first:
+    if fault_first:
         setattr(engine_by_name["a"].faults, fault, 1)
     reader = asyncio.ensure_future(read())
-    await clock.advance_ms(_STRIKES_MS)
+    await clock.advance_ms(_FAULT_AT_MS)
     router.set_replicas([Candidate(x, "d", ("m",), {"m": "v1"}) for x in "ab"])
-    if not strikes_first:
+    if not fault_first:
         setattr(engine_by_name["a"].faults, fault, 1)
     await clock.advance_ms(20_000)
     await reader
@@ -64,10 +64,10 @@
     return [
         Figure(
             f"run_detection.{name}.longest_pause_ms",
-            asyncio.run(_play(fault, strikes_first=strikes_first)),
+            asyncio.run(_longest_pause_ms(fault, fault_first=fault_first)),
             "ms",
         )
-        for name, (fault, strikes_first) in _CASES.items()
+        for name, (fault, fault_first) in _CASES.items()
     ]
 
 
--- a/fireflyward/bench/measures/run_records.py
+++ b/fireflyward/bench/measures/run_records.py
@@ -1,4 +1,4 @@
-"""What the records of non-idempotent requests cost the table, by rate."""
+"""Measures the table writes for records of non-idempotent requests, by rate."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 _COMMIT_MS = 5
 _SECONDS = 2
 _MS_PER_SECOND = 1_000
-# Requests a second at one node: 1,200 at 350, at 35, at 9 and at 1 node.
+# Requests per second at one node when 350, 35, 9 and 1 nodes share 1,200 requests/s.
 _RATES = (4, 34, 134, 1_200)
 
 
@@ -33,7 +33,7 @@
         self.records = RunRecords(self.table, self.clock)
         self.claim_ms: list[int] = []
 
-    async def ask(self, number: int) -> None:
+    async def claim_and_settle(self, number: int) -> None:
         """Claim a record and settle it, as a request does."""
         record = RecordOfRun(
             self.records,
@@ -49,22 +49,22 @@
         await record.settle(Answered(), "pass")
 
 
-async def _play(rate: int) -> _Node:
+async def _run_requests(rate: int) -> _Node:
     node = _Node()
-    draw = random.Random(1)
-    asked = []
+    rng = random.Random(1)
+    tasks = []
     for number in range(rate * _SECONDS):
-        asked.append(asyncio.ensure_future(node.ask(number)))
-        await node.clock.advance_ms(draw.expovariate(rate / _MS_PER_SECOND))
+        tasks.append(asyncio.ensure_future(node.claim_and_settle(number)))
+        await node.clock.advance_ms(rng.expovariate(rate / _MS_PER_SECOND))
     await node.clock.advance_ms(_MS_PER_SECOND)
-    await asyncio.gather(*asked)
+    await asyncio.gather(*tasks)
     return node
 
 
 def _run() -> list[Figure]:
     figures = []
     for rate in _RATES:
-        node = asyncio.run(_play(rate))
+        node = asyncio.run(_run_requests(rate))
         requests = rate * _SECONDS
         waited_ms = sorted(node.claim_ms)
         prefix = f"run_records.rate_{rate}"
--- a/fireflyward/bench/measures/run_retries.py
+++ b/fireflyward/bench/measures/run_retries.py
@@ -1,4 +1,4 @@
-"""How much a node retries while a third of its replicas fail."""
+"""Measures how much a node retries while a third of its replicas fail."""
 
 import asyncio
 
@@ -11,17 +11,17 @@
 from fireflyward.upstreams import Broken, EngineCall
 
 _REPLICAS = 9
-_A_THIRD = 3
+_FAILING_REPLICAS = 3
 _REQUESTS = 300
-_GAP_MS = 20
-_FAILS_AFTER = 60
+_BETWEEN_REQUESTS_MS = 20
+_FAULT_AFTER_REQUESTS = 60
 _LOAD_POLL_MS = 250
 _COSTS = EngineCosts(prefill_ms_per_token=0.5, decode_ms_per_token=5.0)
 _FAULTS = ("unreachable", "paused", "cut_streams", "overloaded")
 
 
 class _Node:
-    """One node before nine replicas, three of which fail under way."""
+    """One node with nine replicas, some of which fail during the measurement."""
 
     def __init__(self, budget: RetryBudget) -> None:
         self.clock = ManualClock()
@@ -53,7 +53,7 @@
             else:
                 setattr(engine.faults, fault, True)
 
-    async def ask(self, number: int) -> None:
+    async def send_request(self, number: int) -> None:
         run_id = f"run-{number}"
         task = RunTask(
             clock=self.clock,
@@ -69,21 +69,21 @@
                 self.answered += isinstance(result.outcome, Answered)
 
 
-async def _play(
-    fault: str, budget: RetryBudget, *, failing: int = _A_THIRD
+async def _run_requests(
+    fault: str, budget: RetryBudget, *, failing: int = _FAILING_REPLICAS
 ) -> tuple[float, float]:
-    """Return dispatches by request and the share of requests answered."""
+    """Return the dispatches per request and the share of requests answered."""
     node = _Node(budget)
     poll = asyncio.ensure_future(node.poll())
     await node.clock.advance_ms(1)
-    asked = []
+    tasks = []
     for number in range(_REQUESTS):
-        if number == _FAILS_AFTER:
+        if number == _FAULT_AFTER_REQUESTS:
             node.fail(fault, failing)
-        asked.append(asyncio.ensure_future(node.ask(number)))
-        await node.clock.advance_ms(_GAP_MS)
+        tasks.append(asyncio.ensure_future(node.send_request(number)))
+        await node.clock.advance_ms(_BETWEEN_REQUESTS_MS)
     await node.clock.advance_ms(21_000)
-    await asyncio.gather(*asked)
+    await asyncio.gather(*tasks)
     poll.cancel()
     dispatches = sum(engine.dispatches for engine in node.engine_by_name.values())
     return dispatches / _REQUESTS, node.answered / _REQUESTS
@@ -92,17 +92,17 @@
 def _run() -> list[Figure]:
     figures = []
     for fault in _FAULTS:
-        played = asyncio.run(_play(fault, RetryBudget(seed=1)))
-        figures += _figures(f"a_third_{fault}", played)
+        result = asyncio.run(_run_requests(fault, RetryBudget(seed=1)))
+        figures += _figures(f"a_third_{fault}", result)
     budgets = {"all_overloaded": RetryBudget(seed=1), "no_budget": _unbounded()}
     for name, budget in budgets.items():
-        played = asyncio.run(_play("overloaded", budget, failing=_REPLICAS))
-        figures += _figures(name, played)
+        result = asyncio.run(_run_requests("overloaded", budget, failing=_REPLICAS))
+        figures += _figures(name, result)
     return figures
 
 
-def _figures(name: str, played: tuple[float, float]) -> list[Figure]:
-    amplification, answered = played
+def _figures(name: str, result: tuple[float, float]) -> list[Figure]:
+    amplification, answered = result
     return [
         Figure(f"run_retries.{name}.amplification", amplification, "×"),
         Figure(f"run_retries.{name}.answered", answered, "share"),
