--- a/fireflyward/bench/_balancing.py
+++ b/fireflyward/bench/_balancing.py
@@ -117,7 +117,7 @@
 
 
 class LeastConnections(RoundRobin):
-    """The second baseline: chooses the replica with the fewest runs of this node.
+    """The second baseline: chooses the replica on which this node has the fewest runs.
 
     Ties are broken at random.
     """
--- a/fireflyward/bench/measures/run_retries.py
+++ b/fireflyward/bench/measures/run_retries.py
@@ -1,4 +1,4 @@
-"""Measures how much a node retries while a third of its replicas fail."""
+"""Measures how much a node retries while a third or all of its replicas fail."""
 
 import asyncio
 
--- a/fireflyward/checker/_blocks.py
+++ b/fireflyward/checker/_blocks.py
@@ -36,7 +36,9 @@
     def _(self, observation: BlockRead) -> None:
         sealed = self._sealed_by_block.get(_block_id(observation))
         if sealed is None or sealed.checksum != observation.checksum:
-            self._add(Promise.WHOLE_BLOCKS, observation, "not whole when read")
+            self._add(
+                Promise.WHOLE_BLOCKS, observation, "was not sealed with these bytes"
+            )
             return
         freed_ms = self._freed_ms_by_block.get(_block_id(observation))
         if freed_ms is not None and freed_ms < observation.read_at_ms:
