--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,5 +1,5 @@
-"""Measurements over several real processes; ``make bench`` runs them.
+"""Measurements that run several real processes; ``make bench`` starts them.
 
-They stand outside the package because they start processes, which the product
-itself never does.
+They are outside the ``fireflyward`` package because they start processes, which the
+product itself never does.
 """
--- a/benchmarks/_bare_proxy.py
+++ b/benchmarks/_bare_proxy.py
@@ -1,4 +1,4 @@
-"""The floor: aiohttp in the middle and nothing else."""
+"""A minimal aiohttp proxy, the baseline for the cost of a node."""
 
 import sys
 
@@ -10,7 +10,7 @@
 )
 
 
-async def _open(app: web.Application):
+async def _open_session(app: web.Application):
     connector = aiohttp.TCPConnector(limit=2_000)
     app[_SESSION] = aiohttp.ClientSession(connector=connector)
     yield
@@ -18,7 +18,7 @@
 
 
 def build_app(target: str) -> web.Application:
-    """Return an application that passes every request on to ``target``."""
+    """Return an application that forwards every request to ``target``."""
 
     async def handle(request: web.Request) -> web.StreamResponse:
         body = await request.read()
@@ -31,7 +31,7 @@
             return response
 
     app = web.Application()
-    app.cleanup_ctx.append(_open)
+    app.cleanup_ctx.append(_open_session)
     app.router.add_post("/v1/completions", handle)
     return app
 
--- a/benchmarks/_caller.py
+++ b/benchmarks/_caller.py
@@ -1,4 +1,4 @@
-"""A caller that keeps a number of streams open; prints one JSON line."""
+"""Sends requests over a number of concurrent streams and prints one JSON line."""
 
 import asyncio
 import json
@@ -17,33 +17,36 @@
 }
 
 
-async def _work(session, url, headers, turns, waits) -> None:
-    while next(turns, None) is not None:
+async def _send_requests(session, url, headers, remaining, durations_s) -> None:
+    while next(remaining, None) is not None:
         began = time.perf_counter()
         async with session.post(url, json=BODY, headers=headers) as response:
             body = await response.read()
         assert response.status == 200, body
         assert b"[DONE]" in body or b'"done":true' in body, body
-        waits.append(time.perf_counter() - began)
+        durations_s.append(time.perf_counter() - began)
 
 
 async def measure(url: str, key: str, streams: int, requests: int) -> dict[str, float]:
-    """Send ``requests`` over ``streams`` at a time."""
+    """Send ``requests`` requests over ``streams`` concurrent streams."""
     headers = {"Authorization": f"Bearer {key}"}
-    turns = iter(range(requests))
-    waits: list[float] = []
+    remaining = iter(range(requests))
+    durations_s: list[float] = []
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         began = time.perf_counter()
         await asyncio.gather(
-            *(_work(session, url, headers, turns, waits) for _ in range(streams))
+            *(
+                _send_requests(session, url, headers, remaining, durations_s)
+                for _ in range(streams)
+            )
         )
-        took = time.perf_counter() - began
-    waits.sort()
+        elapsed_s = time.perf_counter() - began
+    durations_s.sort()
     return {
-        "per_s": len(waits) / took,
-        "p50_ms": waits[len(waits) // 2] * 1e3,
-        "p99_ms": waits[len(waits) * 99 // 100] * 1e3,
+        "per_s": len(durations_s) / elapsed_s,
+        "p50_ms": durations_s[len(durations_s) // 2] * 1e3,
+        "p99_ms": durations_s[len(durations_s) * 99 // 100] * 1e3,
     }
 
 
--- a/benchmarks/_entry_setup.py
+++ b/benchmarks/_entry_setup.py
@@ -1,4 +1,4 @@
-"""A real node in its own process, before an engine at a given URL."""
+"""Starts a real node in its own process in front of an engine at a given URL."""
 
 import asyncio
 import sys
@@ -9,8 +9,8 @@
 from ._processes import Process, free_port, wait_for_port
 
 
-def node_before(engine_url: str) -> tuple[Process, int, list[Process]]:
-    """Return the node's process, its port and the processes that it needs."""
+def start_node(engine_url: str) -> tuple[Process, int, list[Process]]:
+    """Start a node; return its process, its port and the processes that it needs."""
     platform = Process("-m", "benchmarks._entry_setup", engine_url)
     arguments = platform.read_line().split()
     port = free_port()
@@ -29,8 +29,8 @@
     return node, port, [platform]
 
 
-class _OneEngine(DemoDeployment):
-    """A platform whose bundle names one engine of somebody else's."""
+class _SingleEngineDeployment(DemoDeployment):
+    """A platform whose bundle names one engine that runs in another process."""
 
     def __init__(self, engine_url: str) -> None:
         self._engine_url = engine_url
@@ -50,7 +50,7 @@
 
 
 async def _serve(engine_url: str) -> None:
-    async with _OneEngine(engine_url) as deployment:
+    async with _SingleEngineDeployment(engine_url) as deployment:
         command = node_command(deployment).replace("\\\n", "")
         print(command.removeprefix("fireflyward "), flush=True)
         await asyncio.Event().wait()
--- a/benchmarks/_fast_engine.py
+++ b/benchmarks/_fast_engine.py
@@ -1,4 +1,4 @@
-"""An engine that costs nothing: 20 pieces at once, for measuring what is before it."""
+"""An engine that sends 20 fixed pieces, to measure the processes in front of it."""
 
 import asyncio
 import sys
@@ -38,7 +38,7 @@
 
 
 def build_app(gap_ms: float) -> web.Application:
-    """Return the engine's application; it waits ``gap_ms`` after each token."""
+    """Return the engine's application, which waits ``gap_ms`` after each token."""
     app = web.Application()
     app[GAP_MS] = gap_ms
     app.router.add_post("/v1/completions", _generate)
--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""docs/CAPACITY.md, worked out from slopes that are measured here."""
+"""Measures slopes of costs and writes docs/CAPACITY.md from them."""
--- a/benchmarks/capacity/_figures.py
+++ b/benchmarks/capacity/_figures.py
@@ -1,8 +1,8 @@
-"""Figures of ``fireflyward bench``, measured once for the page."""
+"""Figures of ``fireflyward bench``, measured once for docs/CAPACITY.md."""
 
 from fireflyward.bench import find_benches
 
-_USED = (
+_BENCH_NAMES = (
     "account_shares",
     "bundle_bytes",
     "bundle_cost",
@@ -23,7 +23,7 @@
 
 
 class Figures:
-    """Values by figure name; asking for one that nobody measured is an error."""
+    """Values by figure name; a name without a measured value raises KeyError."""
 
     __slots__ = ("_value_by_name",)
 
@@ -31,7 +31,7 @@
         bench_by_name = find_benches()
         self._value_by_name = {
             figure.name: figure.value
-            for name in _USED
+            for name in _BENCH_NAMES
             if name in bench_by_name
             for figure in bench_by_name[name].run()
         }
--- a/benchmarks/capacity/_page.py
+++ b/benchmarks/capacity/_page.py
@@ -1,25 +1,25 @@
-"""Puts what was measured into the words and tables of docs/CAPACITY.md."""
+"""Fills the measurements into the text and tables of docs/CAPACITY.md."""
 
 from dataclasses import dataclass
 
 from ._size import PLANNED, TODAY, Size
-from ._text import words
-from ._work import Measured
+from ._text import read_section
+from ._work import Measurements
 
 _MB = 1e6
 _CORE_US = 1e6
-_BLOCKS_IN_PROMPT = 32
-_ONCE_SHARE = 0.1
-_GUARDED_WRITES_A_NODE = 0.7
+_BLOCKS_PER_PROMPT = 32
+_NON_IDEMPOTENT_SHARE = 0.1
+_WRITE_BUDGET_PER_NODE_S = 0.7
 _SWAPPED_REPLICAS = 6
-_MEMORY_MB = 64.0
-_CORE_PERCENT = 2.8
-_BYTES_A_SECOND = 4_000.0
+_MEMORY_BUDGET_MB = 64.0
+_CPU_BUDGET_PERCENT = 2.8
+_TRAFFIC_BUDGET_BYTES_PER_S = 4_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What one role costs a node at one size; None where it has no such cost."""
+    """The cost of one role at a node of one size; None if the role has no such cost."""
 
     role: str
     state_mb: float | None = None
@@ -28,60 +28,73 @@
     table_per_s: float | None = None
 
 
-def write_page(measured: Measured) -> str:
-    """Return the page."""
-    parts = [words("head")]
+def write_page(measurements: Measurements) -> str:
+    """Return the page as Markdown."""
+    parts = [read_section("head")]
     for size in (TODAY, PLANNED):
-        parts += [_table(size, _rows(measured, size)), ""]
-    parts += [words("budget_note"), _slopes(measured), "", words("role_notes")]
-    parts += [_not_carried(measured), words("bad_days")]
+        parts += [_table(size, _rows(measurements, size)), ""]
+    parts += [
+        read_section("budget_note"),
+        _slopes(measurements),
+        "",
+        read_section("role_notes"),
+    ]
+    parts += [_unsupported_section(measurements), read_section("bad_days")]
     return "\n".join(parts)
 
 
-def _rows(measured: Measured, size: Size) -> list[Row]:
-    figures = measured.figures
+def _rows(measurements: Measurements, size: Size) -> list[Row]:
+    figures = measurements.figures
     is_planned = size is PLANNED
     nodes = 350 if is_planned else 9
-    in_domain = 35 if is_planned else 3
+    nodes_in_domain = 35 if is_planned else 3
     accounts = 19_000 if is_planned else 100
     changes = figures[f"bundle_bytes.accounts_{accounts}.changes_per_node_s"]
     verify_ms = figures[f"bundle_cost.accounts_{accounts}.verify_change_ms"]
     account_bytes = figures[f"bundle_cost.accounts_{accounts}.memory_per_account"]
-    choice_us = measured.choice_us.at(size.replicas / size.models)
-    once_per_s = size.requests_per_s * _ONCE_SHARE
-    prompts_here = size.prompts / size.failure_domains / size.nodes_a_domain * 2
+    choice_us = measurements.choice_us.at(size.replicas / size.models)
+    non_idempotent_per_s = size.requests_per_s * _NON_IDEMPOTENT_SHARE
+    prompts_per_node = size.prompts / size.failure_domains / size.nodes_per_domain * 2
     return [
-        Row("process, idle", measured.idle_mb, None, measured.idle_core_percent),
+        Row(
+            "process, idle", measurements.idle_mb, None, measurements.idle_core_percent
+        ),
         Row(
             "routing state",
-            (measured.router_bytes.at(size.replicas) + measured.prefix_record_bytes)
+            (
+                measurements.router_bytes.at(size.replicas)
+                + measurements.prefix_record_bytes
+            )
             / _MB,
             None,
-            choice_us * size.requests_a_node / _CORE_US * 100,
+            choice_us * size.requests_per_node / _CORE_US * 100,
         ),
         Row(
             "load sharing",
             None,
-            figures[f"load_sharing.nodes_{in_domain}.sent"],
-            figures[f"load_sharing_cpu.nodes_{in_domain}"],
+            figures[f"load_sharing.nodes_{nodes_in_domain}.sent"],
+            figures[f"load_sharing_cpu.nodes_{nodes_in_domain}"],
         ),
         Row(
             "membership",
-            max(0.0, measured.members_bytes.at(size.nodes)) / _MB,
+            max(0.0, measurements.members_bytes.at(size.nodes)) / _MB,
             figures[f"membership.nodes_{nodes}.bytes_per_node_s"],
             figures["membership_cpu.codec_core_share"]
             + figures["membership_cpu.decisions_core_share"],
         ),
         Row(
             "limits",
-            measured.admission_bytes.at(min(size.client_accounts, 400)) / _MB,
-            figures[f"account_shares.nodes_{in_domain}.sent"],
+            measurements.admission_bytes.at(min(size.client_accounts, 400)) / _MB,
+            figures[f"account_shares.nodes_{nodes_in_domain}.sent"],
+        ),
+        Row(
+            "run records",
+            table_per_s=min(non_idempotent_per_s * 1.125, non_idempotent_per_s * 2),
         ),
-        Row("run records", table_per_s=min(once_per_s * 1.125, once_per_s * 2)),
         Row(
             "block index",
-            prompts_here * figures["kept_index.bytes_per_prompt"] / _MB,
-            _events_bytes(measured, size),
+            prompts_per_node * figures["kept_index.bytes_per_prompt"] / _MB,
+            _events_bytes(measurements, size),
         ),
         Row(
             "bundle distribution",
@@ -98,15 +111,16 @@
     ]
 
 
-def _events_bytes(measured: Measured, size: Size) -> float:
-    """Return the bytes a second of cache events that a node reads.
+def _events_bytes(measurements: Measurements, size: Size) -> float:
+    """Return the bytes of cache events that a node reads per second.
 
-    A node follows all replicas up to 32, above that those of its failure domain.
+    A node follows all replicas of a deployment of at most 32 replicas; in a larger
+    deployment it follows those of its failure domain.
     """
-    followed = size.replicas if size.replicas <= 32 else size.replicas_a_domain
-    blocks_per_s = size.requests_per_s * _BLOCKS_IN_PROMPT / size.replicas
-    each = measured.figures["kept_wire.events_bytes_per_block"]
-    return followed * blocks_per_s * each
+    followed = size.replicas if size.replicas <= 32 else size.replicas_per_domain
+    blocks_per_s = size.requests_per_s * _BLOCKS_PER_PROMPT / size.replicas
+    bytes_per_block = measurements.figures["kept_wire.events_bytes_per_block"]
+    return followed * blocks_per_s * bytes_per_block
 
 
 def _table(size: Size, rows: list[Row]) -> str:
@@ -125,19 +139,21 @@
         f"| {_cell(row.core_percent)} | {_cell(row.table_per_s)} |"
         for row in rows
     ]
-    memory, wire, core, table = (
+    memory_mb, bytes_per_s, core_percent, table_per_s = (
         sum(getattr(row, name) or 0.0 for row in rows)
         for name in ("state_mb", "bytes_per_s", "core_percent", "table_per_s")
     )
     lines.append(
-        f"| **total** | **{memory:.1f}** ({_fits(memory, _MEMORY_MB)}) "
-        f"| **{wire:,.0f}** ({_fits(wire, _BYTES_A_SECOND)}) "
-        f"| **{core:.2f}** ({_fits(core, _CORE_PERCENT)}) | **{table:.1f}** |"
+        f"| **total** | **{memory_mb:.1f}** ({_verdict(memory_mb, _MEMORY_BUDGET_MB)}) "
+        f"| **{bytes_per_s:,.0f}** "
+        f"({_verdict(bytes_per_s, _TRAFFIC_BUDGET_BYTES_PER_S)}) "
+        f"| **{core_percent:.2f}** ({_verdict(core_percent, _CPU_BUDGET_PERCENT)}) "
+        f"| **{table_per_s:.1f}** |"
     )
     return "\n".join(lines)
 
 
-def _fits(value: float, allowed: float) -> str:
+def _verdict(value: float, allowed: float) -> str:
     return f"fits {allowed:g}" if value <= allowed else f"does not fit {allowed:g}"
 
 
@@ -147,12 +163,12 @@
     return f"{value:,.0f}" if value >= 100 else f"{value:.3g}"
 
 
-def _slopes(measured: Measured) -> str:
-    named = {
-        "router, bytes by replicas": measured.router_bytes,
-        "one choice, µs by replicas of the model": measured.choice_us,
-        "member list, bytes by nodes": measured.members_bytes,
-        "admission, bytes by accounts with a request": measured.admission_bytes,
+def _slopes(measurements: Measurements) -> str:
+    slope_by_name = {
+        "router, bytes by replicas": measurements.router_bytes,
+        "one choice, µs by replicas of the model": measurements.choice_us,
+        "member list, bytes by nodes": measurements.members_bytes,
+        "admission, bytes by accounts with a request": measurements.admission_bytes,
     }
     lines = [
         "## Slopes behind the tables",
@@ -160,41 +176,46 @@
         "| What | Sizes | Measured | Base | Each more | Worst miss of the line |",
         "| --- | --- | --- | ---: | ---: | ---: |",
     ]
-    for name, slope in named.items():
+    for name, slope in slope_by_name.items():
         sizes = ", ".join(f"{size:g}" for size in slope.sizes)
         values = ", ".join(f"{value:,.0f}" for value in slope.values)
         lines.append(
-            f"| {name} | {sizes} | {values} | {slope.base:,.0f} | {slope.each:,.1f} "
-            f"| {slope.worst_miss:.0%} |"
+            f"| {name} | {sizes} | {values} | {slope.base:,.0f} "
+            f"| {slope.per_unit:,.1f} | {slope.worst_relative_error:.0%} |"
         )
-    lines += ["", _entry_words(measured)]
+    lines += ["", _entry_text(measurements)]
     return "\n".join(lines)
 
 
-def _entry_words(measured: Measured) -> str:
+def _entry_text(measurements: Measurements) -> str:
     tokens = PLANNED.tokens_per_s / PLANNED.nodes
-    used_us = measured.request_us * PLANNED.requests_a_node + measured.token_us * tokens
+    used_us = (
+        measurements.request_us * PLANNED.requests_per_node
+        + measurements.token_us * tokens
+    )
     return (
         "Entry work, which is serving and not control: "
-        f"{measured.request_us:,.0f} µs of CPU a request of 20 tokens that come at "
-        f"once, and {measured.token_us:,.0f} µs for each token that comes alone. At "
-        f"the planned peak a node has {PLANNED.requests_a_node:.2f} requests/s and "
+        f"{measurements.request_us:,.0f} µs of CPU a request of 20 tokens that come at "
+        f"once, and {measurements.token_us:,.0f} µs for each token that comes alone. "
+        "At the planned peak a node has "
+        f"{PLANNED.requests_per_node:.2f} requests/s and "
         f"{tokens:,.0f} tokens/s, which is {used_us / _CORE_US * 100:.1f}% of a core. "
         "The other figures are those of `fireflyward bench`. The idle process holds "
-        f"{measured.idle_private_mb:.1f} MB of its own; the rest is mapped from files."
+        f"{measurements.idle_private_mb:.1f} MB of its own; the rest is mapped from "
+        "files."
     )
 
 
-def _not_carried(measured: Measured) -> str:
-    events = _events_bytes(measured, PLANNED)
-    once = PLANNED.requests_per_s
-    commits = PLANNED.nodes * measured.figures["run_records.rate_4.commits_per_s"]
-    allowed = _GUARDED_WRITES_A_NODE * PLANNED.nodes
-    swap_s = measured.figures["rollout_swap.andinos.loads_2.duration_s"]
-    return words(
+def _unsupported_section(measurements: Measurements) -> str:
+    events = _events_bytes(measurements, PLANNED)
+    requests_per_s = PLANNED.requests_per_s
+    commits = PLANNED.nodes * measurements.figures["run_records.rate_4.commits_per_s"]
+    allowed = _WRITE_BUDGET_PER_NODE_S * PLANNED.nodes
+    swap_s = measurements.figures["rollout_swap.andinos.loads_2.duration_s"]
+    return read_section(
         "not_carried",
         events=events,
-        once=once,
+        requests_per_s=requests_per_s,
         commits=commits,
         allowed=allowed,
         share=allowed / commits,
--- a/benchmarks/capacity/_size.py
+++ b/benchmarks/capacity/_size.py
@@ -1,13 +1,13 @@
-"""The sizes that the page is worked out for."""
+"""The deployment sizes for which docs/CAPACITY.md gives figures."""
 
 from dataclasses import dataclass
 
-SECONDS_A_DAY = 86_400
+SECONDS_PER_DAY = 86_400
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A deployment's size and load; rates are at the peak and of all nodes."""
+    """The size and load of a deployment; rates are peak rates of all nodes together."""
 
     name: str
     nodes: int
@@ -18,28 +18,28 @@
     prompts: int
     requests_per_s: float
     tokens_per_s: float
-    changes_a_day: float
+    changes_per_day: float
 
     @property
-    def nodes_a_domain(self) -> float:
+    def nodes_per_domain(self) -> float:
         return self.nodes / self.failure_domains
 
     @property
-    def replicas_a_domain(self) -> float:
+    def replicas_per_domain(self) -> float:
         return self.replicas / self.failure_domains
 
     @property
-    def requests_a_node(self) -> float:
+    def requests_per_node(self) -> float:
         return self.requests_per_s / self.nodes
 
     @property
     def changes_per_s(self) -> float:
-        return self.changes_a_day / SECONDS_A_DAY
+        return self.changes_per_day / SECONDS_PER_DAY
 
 
 PLANNED = Size(
     "in two years", 350, 1_200, 10, 19_000, 17, 320_000, 1_200, 280_000, 1_200
 )
-# The brief gives replicas, failure domains and accounts of today; the load of
-# today is not given and is taken in proportion to the replicas.
+# The requirements state the replicas, failure domains and accounts of today but not
+# the load of today, which is assumed to be proportional to the replicas.
 TODAY = Size("Andinos today", 9, 9, 3, 10, 2, 2_400, 9, 2_100, 9)
--- a/benchmarks/capacity/_slopes.py
+++ b/benchmarks/capacity/_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes: a cost measured at three or more sizes, and the line through them."""
+"""Fits a line to a cost that is measured at three or more sizes."""
 
 import gc
 import time
@@ -13,41 +13,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """``value = base + each * size`` fitted to what was measured.
+    """The line ``value = base + per_unit * size``, fitted to measured values.
 
-    ``worst_miss`` is the largest relative distance of a measured value from the
-    line; a large one says that the line should not be trusted beyond the sizes.
+    ``worst_relative_error`` is the largest relative distance of a measured value
+    from the line. If it is large, the line is not reliable beyond the measured sizes.
     """
 
     base: float
-    each: float
+    per_unit: float
     sizes: tuple[float, ...]
     values: tuple[float, ...]
 
     @property
-    def worst_miss(self) -> float:
-        misses = [
+    def worst_relative_error(self) -> float:
+        relative_errors = [
             abs(self.at(size) - value) / max(value, 1e-12)
             for size, value in zip(self.sizes, self.values, strict=True)
         ]
-        return max(misses)
+        return max(relative_errors)
 
     def at(self, size: float) -> float:
         """Return the value that the line gives at ``size``."""
-        return self.base + self.each * size
+        return self.base + self.per_unit * size
 
 
 def fit(sizes: tuple[float, ...], measure: Callable[[float], float]) -> Slope:
-    """Measure at each size and fit the line of least squares."""
+    """Measure at each size and fit a line by least squares."""
     if len(sizes) < 3:
-        raise ValueError("a slope needs three sizes")
+        raise ValueError("a slope needs at least three sizes")
     values = tuple(measure(size) for size in sizes)
-    each, base = numpy.polyfit(sizes, values, 1)
-    return Slope(float(base), float(each), tuple(sizes), values)
+    per_unit, base = numpy.polyfit(sizes, values, 1)
+    return Slope(float(base), float(per_unit), tuple(sizes), values)
 
 
-def bytes_of(build: Callable[[], object]) -> float:
-    """Return the bytes that Python holds for what ``build`` returns."""
+def allocated_bytes(build: Callable[[], object]) -> float:
+    """Return the bytes that Python allocates for the object that ``build`` returns."""
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
@@ -59,12 +59,12 @@
     return after - before
 
 
-def microseconds_of(act: Callable[[], object], *, rounds: int) -> float:
-    """Return the least time of one call among several series, in microseconds."""
+def call_duration_us(function: Callable[[], object], *, rounds: int) -> float:
+    """Return the microseconds of one call, as the mean of the fastest series."""
     best = float("inf")
     for _ in range(_REPEATS):
         began = time.perf_counter()
         for _ in range(rounds):
-            act()
+            function()
         best = min(best, time.perf_counter() - began)
     return best / rounds * 1e6
--- a/benchmarks/capacity/_states.py
+++ b/benchmarks/capacity/_states.py
@@ -1,4 +1,4 @@
-"""Bytes and processor time of each role's state, measured at several sizes."""
+"""Measures bytes and processor time of the state of each role at several sizes."""
 
 from fireflyward.clock import Clock
 from fireflyward.limits import AdmissionRequest
@@ -8,7 +8,7 @@
 from fireflyward.routing._affinity import PrefixRecord
 from fireflyward.upstreams import LoadReport
 
-from ._slopes import Slope, bytes_of, fit, microseconds_of
+from ._slopes import Slope, allocated_bytes, call_duration_us, fit
 
 _REPLICAS = (30, 120, 400, 1_200)
 _NODES = (9, 35, 100, 350)
@@ -19,28 +19,28 @@
 
 
 def router_bytes() -> Slope:
-    """Return the bytes of a router by the replicas that it knows."""
-    return fit(_REPLICAS, lambda count: bytes_of(lambda: _router(int(count))))
+    """Return the bytes of a router by the number of its replicas."""
+    return fit(_REPLICAS, lambda count: allocated_bytes(lambda: _router(int(count))))
 
 
 def choice_us() -> Slope:
-    """Return the microseconds of one choice by the replicas of one model."""
+    """Return the microseconds of one choice by the number of replicas of a model."""
     return fit(_REPLICAS, _choice_us)
 
 
 def members_bytes() -> Slope:
-    """Return the bytes of the member list by its nodes."""
-    return fit(_NODES, lambda count: bytes_of(lambda: _members(int(count))))
+    """Return the bytes of the member list by the number of its nodes."""
+    return fit(_NODES, lambda count: allocated_bytes(lambda: _members(int(count))))
 
 
 def admission_bytes() -> Slope:
-    """Return the bytes of admission by the accounts with a request in flight."""
-    return fit(_ACCOUNTS, lambda count: bytes_of(lambda: _admission(int(count))))
+    """Return the bytes of admission by the number of accounts with a request."""
+    return fit(_ACCOUNTS, lambda count: allocated_bytes(lambda: _admission(int(count))))
 
 
 def prefix_record_bytes() -> float:
-    """Return the bytes of the routing record of prefixes when it is full."""
-    return bytes_of(_full_record)
+    """Return the bytes of the router's prefix record when it is full."""
+    return allocated_bytes(_full_record)
 
 
 def _router(replicas: int, *, models: int = _MODELS) -> Router:
@@ -63,7 +63,7 @@
     router = _router(int(replicas), models=1)
     keys = tuple(f"{number:032x}" for number in range(32))
     shape = RunShape("account", "model-0", "v1", 2_048, keys, "run")
-    return microseconds_of(lambda: router.choose(1_050, shape), rounds=_ROUNDS)
+    return call_duration_us(lambda: router.choose(1_050, shape), rounds=_ROUNDS)
 
 
 def _members(nodes: int) -> Members:
@@ -91,11 +91,11 @@
 
 
 def _full_record() -> PrefixRecord:
-    """Return a record at the moment at which it holds the most."""
+    """Return a record that has the most entries that it can have."""
     record = PrefixRecord()
-    most = index = 0
-    while len(record) >= most:
-        most = len(record)
+    highest = index = 0
+    while len(record) >= highest:
+        highest = len(record)
         for _ in range(1_000):
             record.add(f"engine-{index % 120}", (f"{index:032x}",))
             index += 1
--- a/benchmarks/capacity/_text.py
+++ b/benchmarks/capacity/_text.py
@@ -1,11 +1,11 @@
-"""The words of docs/CAPACITY.md around its measured tables, from ``words/``."""
+"""Reads the text of docs/CAPACITY.md around its tables from ``words/``."""
 
 from pathlib import Path
 
-_WORDS = Path(__file__).parent / "words"
+_SECTIONS = Path(__file__).parent / "words"
 
 
-def words(name: str, **figures: float) -> str:
-    """Return one part of the page with its figures filled in."""
-    text = (_WORDS / f"{name}.md").read_text()
+def read_section(name: str, **figures: float) -> str:
+    """Return one section of the page with its figures filled in."""
+    text = (_SECTIONS / f"{name}.md").read_text()
     return text.format(**figures) if figures else text
--- a/benchmarks/capacity/_work.py
+++ b/benchmarks/capacity/_work.py
@@ -1,11 +1,11 @@
-"""Everything that the page is worked out from, measured in one run."""
+"""Measures in one run all values from which docs/CAPACITY.md is calculated."""
 
 import json
 import subprocess
 import sys
 from dataclasses import dataclass
 
-from benchmarks._entry_setup import node_before
+from benchmarks._entry_setup import start_node
 from benchmarks._processes import Process, free_port, wait_for_port
 
 from . import _states
@@ -13,12 +13,12 @@
 from ._slopes import Slope
 
 _IDLE_S = 10.0
-_ENTRY_REQUESTS = 1_500
+_ENTRY_COST_REQUESTS = 1_500
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
-    """Slopes of state and time, figures of the benches, and a real idle node."""
+class Measurements:
+    """Slopes of state and time, bench figures and the costs of a real node."""
 
     figures: Figures
     router_bytes: Slope
@@ -33,11 +33,11 @@
     token_us: float
 
 
-def measure_all() -> Measured:
-    """Measure; takes a few minutes."""
+def measure_all() -> Measurements:
+    """Measure all values, which takes a few minutes."""
     idle_mb, idle_private_mb, idle_core_percent = _idle_node()
     request_us, token_us = _entry_cost()
-    return Measured(
+    return Measurements(
         Figures(),
         _states.router_bytes(),
         _states.choice_us(),
@@ -53,31 +53,31 @@
 
 
 def _idle_node() -> tuple[float, float, float]:
-    """Return memory in MB, the private part of it, and the share of a core."""
+    """Return the resident MB, the private MB and the percent of a core in use."""
     import time
 
     port = free_port()
     engine = Process("-m", "benchmarks._fast_engine", str(port))
     wait_for_port(port)
-    node, _, others = node_before(f"http://127.0.0.1:{port}")
+    node, _, other_processes = start_node(f"http://127.0.0.1:{port}")
     time.sleep(2.0)
     before_s = node.cpu_s()
     time.sleep(_IDLE_S)
     used_s = node.cpu_s() - before_s
     figures = node.resident_mb(), node.private_mb(), used_s / _IDLE_S * 100
-    for process in (node, engine, *others):
-        process.end()
+    for process in (node, engine, *other_processes):
+        process.stop()
     return figures
 
 
 def _entry_cost() -> tuple[float, float]:
     """Return the CPU of a request and of a streamed token, in microseconds.
 
-    Two kinds of answer, of 20 tokens that come at once and of 20 that come one by
-    one, give two equations for the two costs.
+    The engine sends 20 tokens at once in one measurement and one by one in another,
+    which gives two equations for the two costs.
     """
     command = [sys.executable, "-m", "benchmarks.entry_cost", "--json"]
-    command += ["--requests", str(_ENTRY_REQUESTS), "--streams", "16"]
+    command += ["--requests", str(_ENTRY_COST_REQUESTS), "--streams", "16"]
     at_once = _node_row(command)
     one_by_one = _node_row([*command, "--gap-ms", "2"])
     token_us = (one_by_one - at_once) / 20
@@ -85,6 +85,6 @@
 
 
 def _node_row(command: list[str]) -> float:
-    done = subprocess.run(command, capture_output=True, text=True, check=True)
-    rows = json.loads(done.stdout.splitlines()[-1])
+    completed = subprocess.run(command, capture_output=True, text=True, check=True)
+    rows = json.loads(completed.stdout.splitlines()[-1])
     return next(row["cpu_us_per_request"] for row in rows if row["way"] == "node")
--- a/benchmarks/entry_cost.py
+++ b/benchmarks/entry_cost.py
@@ -1,15 +1,15 @@
-"""What a node itself costs: direct, through a bare proxy, and through a node.
+"""Measures the cost of a node: direct, through a bare proxy, and through a node.
 
     python -m benchmarks.entry_cost [--requests 2000] [--json]
 
-All three stand before the same engine in the same run, each in its own process.
+All three use the same engine in the same run, and each runs in its own process.
 """
 
 import argparse
 import json
 import sys
 
-from ._entry_setup import node_before
+from ._entry_setup import start_node
 from ._fast_engine import TOKENS
 from ._processes import Process, free_port, wait_for_port
 
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Measure and print one line for each way and number of streams."""
+    """Measure and print one line for each path and number of streams."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=2_000)
     parser.add_argument("--json", action="store_true")
@@ -32,35 +32,35 @@
         "-m", "benchmarks._fast_engine", str(engine_port), str(options.gap_ms)
     )
     wait_for_port(engine_port)
-    bare = Process(
+    bare_proxy = Process(
         "-m", "benchmarks._bare_proxy", str(bare_port), f"{engine_url}/v1/completions"
     )
     wait_for_port(bare_port)
-    node, node_port, others = node_before(engine_url)
-    middle_by_way = {"direct": engine, "bare": bare, "node": node}
+    node, node_port, other_processes = start_node(engine_url)
+    process_by_way = {"direct": engine, "bare": bare_proxy, "node": node}
     port_by_way = {"direct": engine_port, "bare": bare_port, "node": node_port}
     rows = []
     try:
         for streams in options.streams:
             for way, port in port_by_way.items():
-                row = _measure(way, middle_by_way[way], port, streams, options)
+                row = _measure(way, process_by_way[way], port, streams, options)
                 rows.append(row)
                 if not options.json:
-                    print(_line(row), flush=True)
+                    print(_format_row(row), flush=True)
         if not options.json:
-            rows.append(_memory(node, node_port, options))
+            rows.append(_measure_memory(node, node_port, options))
     finally:
-        for process in (node, bare, engine, *others):
-            process.end()
+        for process in (node, bare_proxy, engine, *other_processes):
+            process.stop()
     print(json.dumps(rows) if options.json else _summary(rows))
     return 0
 
 
-def _measure(way, middle, port, streams, options) -> dict:
-    """Run several callers at once, so that they are not what is measured."""
+def _measure(way, process, port, streams, options) -> dict:
+    """Measure with several caller processes, so that no caller is the bottleneck."""
     url = f"http://127.0.0.1:{port}/v1/completions"
     count = min(options.callers, streams)
-    cpu_before = middle.cpu_s()
+    cpu_before = process.cpu_s()
     callers = [
         Process(
             "-m",
@@ -74,8 +74,8 @@
     ]
     results = [json.loads(caller.read_line() or "{}") for caller in callers]
     for caller in callers:
-        caller.end()
-    cpu_s = middle.cpu_s() - cpu_before
+        caller.stop()
+    cpu_s = process.cpu_s() - cpu_before
     sent = options.requests // count * count
     return {
         "way": way,
@@ -85,19 +85,19 @@
         "p99_ms": max(result["p99_ms"] for result in results),
         "cpu_us_per_request": cpu_s / sent * 1e6,
         "cpu_us_per_token": cpu_s / sent / TOKENS * 1e6,
-        "resident_mb": middle.resident_mb(),
+        "resident_mb": process.resident_mb(),
     }
 
 
-def _memory(node, port, options) -> dict:
-    """Send 10,000 requests and tell how far the node's memory rose."""
+def _measure_memory(node, port, options) -> dict:
+    """Send 10,000 requests and return the node's memory before and after."""
     before = node.resident_mb()
     options.requests = 10_000
     _measure("node", node, port, 100, options)
     return {"way": "memory", "before_mb": before, "after_mb": node.resident_mb()}
 
 
-def _line(row: dict) -> str:
+def _format_row(row: dict) -> str:
     return (
         f"{row['way']:<7} {row['streams']:>4} streams {row['per_s']:>8.0f}/s "
         f"p50 {row['p50_ms']:>7.2f} ms  p99 {row['p99_ms']:>7.2f} ms  "
