--- a/benchmarks/capacity/_page.py
+++ b/benchmarks/capacity/_page.py
@@ -10,7 +10,7 @@
 _CORE_US = 1e6
 _BLOCKS_PER_PROMPT = 32
 _NON_IDEMPOTENT_SHARE = 0.1
-_WRITE_BUDGET_PER_NODE_S = 0.7
+_WRITES_PER_S_PER_NODE = 0.7
 _SWAPPED_REPLICAS = 6
 _MEMORY_BUDGET_MB = 64.0
 _CPU_BUDGET_PERCENT = 2.8
@@ -210,7 +210,7 @@
     events = _events_bytes(measurements, PLANNED)
     requests_per_s = PLANNED.requests_per_s
     commits = PLANNED.nodes * measurements.figures["run_records.rate_4.commits_per_s"]
-    allowed = _WRITE_BUDGET_PER_NODE_S * PLANNED.nodes
+    allowed = _WRITES_PER_S_PER_NODE * PLANNED.nodes
     swap_s = measurements.figures["rollout_swap.andinos.loads_2.duration_s"]
     return read_section(
         "not_carried",
