--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -10,9 +10,9 @@
     Exported,
     Exporter,
     ExportPlan,
-    ImportAsk,
     Imported,
     Importer,
+    ImportRequest,
     ShardLookUp,
     StoreClient,
     Wanted,
@@ -219,7 +219,7 @@
         # run starts; the engine reads nothing of what it has.
         first = self.prefixes.start_of(shape, plan)
         keys = shape.block_keys[first : plan.first + plan.blocks]
-        ask = ImportAsk(
+        ask = ImportRequest(
             call.run_id,
             call.model,
             call.version,
--- a/fireflyward/kept/__init__.py
+++ b/fireflyward/kept/__init__.py
@@ -3,7 +3,7 @@
 from fireflyward.upstreams import BlockRef
 
 from ._export import Exported, Exporter, ExportPlan, ExportStep, NotExported
-from ._import import ImportAsk, Imported, Importer, ImportLimit, ImportStep
+from ._import import Imported, Importer, ImportLimit, ImportRequest, ImportStep
 from ._index import INDEX_STRIDE, HeldRun, PrefixIndex
 from ._keys import BlockNames
 from ._look_up import ShardLookUp
@@ -49,7 +49,7 @@
     "HeldLease",
     "HeldRun",
     "HttpStore",
-    "ImportAsk",
+    "ImportRequest",
     "ImportLimit",
     "ImportStep",
     "Imported",
--- a/fireflyward/kept/_import.py
+++ b/fireflyward/kept/_import.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ImportAsk:
+class ImportRequest:
     """Consecutive blocks of one prompt, and the version that the prompt is for.
 
     ``block_ms`` is what computing one block takes; each that is loaded gives the
@@ -89,7 +89,11 @@
         self.misses: Counter[MissReason] = Counter()
 
     async def load(
-        self, ask: ImportAsk, engine: KvEngine, store: StoreClient, limit: ImportLimit
+        self,
+        ask: ImportRequest,
+        engine: KvEngine,
+        store: StoreClient,
+        limit: ImportLimit,
     ) -> Imported:
         """Load what can be loaded in time."""
         self._observe(ImportStep.CHOSEN)
@@ -114,7 +118,7 @@
         return Imported(blocks, bytes_read)
 
     async def _describe(
-        self, ask: ImportAsk, store: StoreClient, limit: ImportLimit
+        self, ask: ImportRequest, store: StoreClient, limit: ImportLimit
     ) -> tuple[BlockRef, ...] | MissReason:
         work = store.describe(ask.block_keys)
         found = await within_ms(self._clock, self._left_ms(limit), work)
@@ -126,7 +130,7 @@
 
     async def _load_chunk(
         self,
-        ask: ImportAsk,
+        ask: ImportRequest,
         engine: KvEngine,
         store_name: str,
         refs: tuple[BlockRef, ...],
--- a/tests/daemon/test_kept_duty.py
+++ b/tests/daemon/test_kept_duty.py
@@ -8,7 +8,7 @@
 from fireflyward.bundles import Upstream
 from fireflyward.clock import Clock
 from fireflyward.demo import KEPT_KEY, DemoDeployment
-from fireflyward.kept import BlockNames, ImportAsk, Importer, Wanted
+from fireflyward.kept import BlockNames, Importer, ImportRequest, Wanted
 from fireflyward.routing import RunShape
 from fireflyward.standins import EngineCosts, StoreCosts, StoreModel, StoreServer
 from tests.kept.kv_fixtures import Until
@@ -113,6 +113,6 @@
         store = node.kept.store_by_name["store-1"]
         limit = Until(node.clock.now_ms() + 30_000)
         for name, engine in node.kept.kv_by_replica.items():
-            ask = ImportAsk(name, "clauses", "v1", self.keys()[:96])
+            ask = ImportRequest(name, "clauses", "v1", self.keys()[:96])
             result = await importer.load(ask, engine, store, limit)
             self.assertEqual((result.blocks, result.reason), (96, None))
--- a/tests/kept/test_import.py
+++ b/tests/kept/test_import.py
@@ -4,8 +4,8 @@
 from fireflyward.kept import (
     Exporter,
     ExportPlan,
-    ImportAsk,
     Importer,
+    ImportRequest,
     ImportStep,
     SlotState,
     Wanted,
@@ -21,7 +21,7 @@
     die_at,
 )
 
-ASK = ImportAsk("o2", MODEL, VERSION, KEYS)
+ASK = ImportRequest("o2", MODEL, VERSION, KEYS)
 
 
 class ImporterTests(unittest.IsolatedAsyncioTestCase):
