--- a/fireflyward/bench/measures/run_records.py
+++ b/fireflyward/bench/measures/run_records.py
@@ -6,7 +6,7 @@
 from fireflyward.bench import Bench, Figure
 from fireflyward.clock import ManualClock
 from fireflyward.outcomes import Answered
-from fireflyward.runs import Permit, RecordOfRun, RunRecords
+from fireflyward.runs import Permit, RequestRecord, RunRecords
 from fireflyward.standins import MemoryTable
 
 _COMMIT_MS = 5
@@ -35,7 +35,7 @@
 
     async def ask(self, number: int) -> None:
         """Claim a record and settle it, as a request does."""
-        record = RecordOfRun(
+        record = RequestRecord(
             self.records,
             account="account",
             request_key=f"key-{number}",
--- a/fireflyward/entry/_asked.py
+++ b/fireflyward/entry/_asked.py
@@ -7,7 +7,7 @@
 
 from fireflyward.outcomes import NotRun, Reason
 from fireflyward.routing import RunShape
-from fireflyward.runs import Mark, RecordOfRun, RunTask
+from fireflyward.runs import Mark, RequestRecord, RunTask
 from fireflyward.upstreams import EngineCall, count_tokens
 
 from ._identity import Identity
@@ -149,12 +149,12 @@
     )
 
 
-def _record(parts: EntryParts, asked: Asked) -> RecordOfRun | None:
+def _record(parts: EntryParts, asked: Asked) -> RequestRecord | None:
     """Return the record of a non-idempotent request."""
     identity = asked.identity
     if not identity.is_non_idempotent:
         return None
-    return RecordOfRun(
+    return RequestRecord(
         parts.records,
         account=identity.account_name,
         request_key=identity.idempotency_key,
--- a/fireflyward/entry/_services.py
+++ b/fireflyward/entry/_services.py
@@ -7,7 +7,7 @@
 
 from fireflyward.bundles import Bundle
 from fireflyward.outcomes import NotRun, Reason
-from fireflyward.runs import RecordOfRun, ServiceTask
+from fireflyward.runs import RequestRecord, ServiceTask
 from fireflyward.upstreams import ServiceCall, ServiceReply
 
 from ._body import read_body
@@ -95,9 +95,9 @@
 
 def _record(
     parts: EntryParts, identity: Identity, call: ServiceCall, name: str
-) -> RecordOfRun:
+) -> RequestRecord:
     described = f"{name} {call.method} {call.path}\n".encode() + call.body
-    return RecordOfRun(
+    return RequestRecord(
         parts.records,
         account=identity.account_name,
         request_key=identity.idempotency_key,
@@ -115,7 +115,7 @@
     identity: Identity,
     call: ServiceCall,
     name: str,
-    record: RecordOfRun | None,
+    record: RequestRecord | None,
 ) -> ServiceTask:
     replicas = [
         upstream_name
--- a/fireflyward/runs/__init__.py
+++ b/fireflyward/runs/__init__.py
@@ -26,7 +26,7 @@
     Waited,
 )
 from ._once import ClaimResult, EarlierAnswer, EarlierRun, Once, Permit
-from ._record_of_run import RecordOfRun
+from ._record_of_run import RequestRecord
 from ._records import RunRecords
 from ._run import Run
 from ._service_task import ServiceTask
@@ -57,7 +57,7 @@
     "Placed",
     "Prepare",
     "PromptStep",
-    "RecordOfRun",
+    "RequestRecord",
     "Resume",
     "RetryBudget",
     "Run",
--- a/fireflyward/runs/_record_of_run.py
+++ b/fireflyward/runs/_record_of_run.py
@@ -8,7 +8,7 @@
 from ._records import Record, RunRecords, fill, record_key
 
 
-class RecordOfRun:
+class RequestRecord:
     """The record of one arrival of a non-idempotent request (a ``Once``)."""
 
     __slots__ = ("_claim", "_key", "_record", "_records")
--- a/fireflyward/runs/_service_task.py
+++ b/fireflyward/runs/_service_task.py
@@ -20,7 +20,7 @@
 from ._budget import RetryBudget
 from ._detached import detach
 from ._once import EarlierAnswer, EarlierRun, Permit
-from ._record_of_run import RecordOfRun
+from ._record_of_run import RequestRecord
 from ._steps import OnceStep
 
 _MAX_REPLICAS = 3
@@ -50,7 +50,7 @@
         replicas: Sequence[str],
         call: ServiceCall,
         deadline_ms: int,
-        record: RecordOfRun | None = None,
+        record: RequestRecord | None = None,
         budget: RetryBudget | None = None,
         reply_limit_ms: int = _REPLY_LIMIT_MS,
         observe: StepObserver = ignore_step,
@@ -81,7 +81,7 @@
         detail = "no reply yet; its outcome is kept under its key when it comes"
         return Unknown(Reason.DEADLINE, detail, _RETRY_AFTER_MS)
 
-    async def _once(self, record: RecordOfRun) -> ServiceOutcome:
+    async def _once(self, record: RequestRecord) -> ServiceOutcome:
         """Claim, call and settle, to the end even if the caller has gone."""
         self._observe(OnceStep.CLAIMING)
         claimed = await record.claim("")
@@ -96,7 +96,7 @@
         detach(self._settle(record, outcome))
         return outcome
 
-    async def _settle(self, record: RecordOfRun, outcome: ServiceOutcome) -> None:
+    async def _settle(self, record: RequestRecord, outcome: ServiceOutcome) -> None:
         self._observe(OnceStep.SETTLING)
         if isinstance(outcome, ServiceReply):
             await record.settle(
--- a/tests/runs/test_once.py
+++ b/tests/runs/test_once.py
@@ -10,7 +10,7 @@
     Deliver,
     End,
     OnceStep,
-    RecordOfRun,
+    RequestRecord,
     RunRecords,
     RunTask,
     ServiceTask,
@@ -70,7 +70,7 @@
 
     def record(self, node=None):
         self.arrivals += 1
-        return RecordOfRun(
+        return RequestRecord(
             node or self.node,
             account="acc",
             request_key="k",
--- a/tests/runs/test_properties.py
+++ b/tests/runs/test_properties.py
@@ -14,7 +14,7 @@
 from fireflyward.runs import (
     Deliver,
     End,
-    RecordOfRun,
+    RequestRecord,
     RetryBudget,
     RunRecords,
     RunTask,
@@ -116,7 +116,7 @@
         )
         once = None
         if self.is_once:
-            once = RecordOfRun(
+            once = RequestRecord(
                 self.records[node],
                 account="acc",
                 request_key="k",
--- a/tests/runs/test_records.py
+++ b/tests/runs/test_records.py
@@ -6,7 +6,13 @@
 from fireflyward.backing import Uncertain
 from fireflyward.clock import ManualClock
 from fireflyward.outcomes import Answered, NotRun, Reason, Unknown, Usage
-from fireflyward.runs import EarlierAnswer, EarlierRun, Permit, RecordOfRun, RunRecords
+from fireflyward.runs import (
+    EarlierAnswer,
+    EarlierRun,
+    Permit,
+    RequestRecord,
+    RunRecords,
+)
 from fireflyward.standins import MemoryTable
 
 
@@ -42,7 +48,7 @@
 
     def record(self, node=0, *, key="k", body="f", account="a", owner=""):
         owner = owner or f"owner-{node}-{id(object())}"
-        return RecordOfRun(
+        return RequestRecord(
             self.nodes[node],
             account=account,
             request_key=key,
--- a/tests/runs/test_sweep.py
+++ b/tests/runs/test_sweep.py
@@ -9,7 +9,7 @@
 from fireflyward.runs import (
     EarlierRun,
     Permit,
-    RecordOfRun,
+    RequestRecord,
     RunRecords,
     Sweeper,
     _periods,
@@ -44,7 +44,7 @@
 
     def record(self, key="k"):
         self.arrivals += 1
-        return RecordOfRun(
+        return RequestRecord(
             self.records,
             account="a",
             request_key=key,
