--- a/fireflyward/runs/__init__.py
+++ b/fireflyward/runs/__init__.py
@@ -31,7 +31,7 @@
 from ._run import Run
 from ._service_task import ServiceTask
 from ._steps import OnceStep, PromptStep, StreamStep
-from ._sweep import LOOK_MS, Sweeper, SweepStep
+from ._sweep import SWEEP_INTERVAL_MS, Sweeper, SweepStep
 from ._task import RunTask
 
 __all__ = [
@@ -49,7 +49,7 @@
     "EarlierAnswer",
     "EarlierRun",
     "End",
-    "LOOK_MS",
+    "SWEEP_INTERVAL_MS",
     "Mark",
     "Once",
     "OnceStep",
--- a/fireflyward/runs/_sweep.py
+++ b/fireflyward/runs/_sweep.py
@@ -22,7 +22,7 @@
 
 PERIOD_MS = 3_600_000
 KEPT_PERIODS = 24
-LOOK_MS = 60_000
+SWEEP_INTERVAL_MS = 60_000
 _PACE_MS = 50
 _CURSOR_KEY = "runs/swept"
 
