--- a/fireflyward/daemon/_sweep_duty.py
+++ b/fireflyward/daemon/_sweep_duty.py
@@ -13,4 +13,4 @@
         await clock.sleep_ms(
             draw.randint(SWEEP_INTERVAL_MS // 2, SWEEP_INTERVAL_MS * 3 // 2)
         )
-        await sweeper.look()
+        await sweeper.poll()
--- a/fireflyward/runs/_sweep.py
+++ b/fireflyward/runs/_sweep.py
@@ -104,7 +104,7 @@
         self._observe = observe
         self._watch = PeriodWatch(period_ms)
 
-    async def look(self) -> int:
+    async def poll(self) -> int:
         """Look once and do what is due; return how many batches were deleted."""
         row = await self._table.get(PERIOD_KEY)
         if isinstance(row, Unavailable):
--- a/tests/runs/test_sweep.py
+++ b/tests/runs/test_sweep.py
@@ -54,9 +54,9 @@
 
     async def pass_periods(self, count, sweeper=None):
         for _ in range(count):
-            await self.soon((sweeper or self.sweeper).look())
+            await self.soon((sweeper or self.sweeper).poll())
             await self.clock.advance_ms(PERIOD_MS)
-        await self.soon((sweeper or self.sweeper).look())
+        await self.soon((sweeper or self.sweeper).poll())
 
     def rows(self):
         keys = self.table.row_by_key
@@ -76,8 +76,8 @@
         it."""
         await self.soon(self.record().claim("r"))
         self.clock.jump_wall_ms(86_400_000)
-        await self.soon(self.sweeper.look())
-        await self.soon(self.sweeper.look())
+        await self.soon(self.sweeper.poll())
+        await self.soon(self.sweeper.poll())
         self.assertIsInstance(await self.soon(self.record().claim("s")), EarlierRun)
 
     async def test_record_claimed_again_is_not_swept_with_its_first_batch(self):
@@ -98,7 +98,7 @@
         await self.soon(self.record("before").claim("r"))
         await self.pass_periods(KEPT + 2)
         await self.soon(self.record().claim("r"))
-        await self.soon(self.make_sweeper().look())
+        await self.soon(self.make_sweeper().poll())
         self.assertIsInstance(await self.soon(self.record().claim("s")), EarlierRun)
         await self.pass_periods(KEPT + 2)
         self.assertEqual(self.rows(), [])
@@ -109,14 +109,14 @@
         other = self.make_sweeper()
         for _ in range(3 * (KEPT + 2)):
             self.table.lose_answers = 1
-            await self.soon(asyncio.gather(self.sweeper.look(), other.look()))
+            await self.soon(asyncio.gather(self.sweeper.poll(), other.poll()))
             await self.clock.advance_ms(PERIOD_MS)
-        await self.soon(self.sweeper.look())
-        await self.soon(self.sweeper.look())
-        await self.soon(other.look())
+        await self.soon(self.sweeper.poll())
+        await self.soon(self.sweeper.poll())
+        await self.soon(other.poll())
         self.assertEqual(self.rows(), [])
 
     async def test_table_away_deletes_nothing_and_raises_nothing(self):
         await self.soon(self.record().claim("r"))
         self.table.away = True
-        self.assertEqual(await self.soon(self.sweeper.look()), 0)
+        self.assertEqual(await self.soon(self.sweeper.poll()), 0)
