--- a/fireflyward/bench/measures/run_retries.py
+++ b/fireflyward/bench/measures/run_retries.py
@@ -110,7 +110,7 @@
 
 
 def _unbounded() -> RetryBudget:
-    return RetryBudget(share=1_000.0, most_saved=1e9, seed=1)
+    return RetryBudget(share=1_000.0, capacity=1e9, seed=1)
 
 
 BENCH = Bench("run_retries", _run, is_count=True)
--- a/fireflyward/runs/_budget.py
+++ b/fireflyward/runs/_budget.py
@@ -14,9 +14,9 @@
     When many replicas fail, retries without a bound multiply the load on those
     that are left until they fail too. Every request adds ``share`` of a token
     and every retry takes a whole one, so that retries stay under that share of
-    the traffic whatever fails; ``most_saved`` lets a quiet node retry at all.
+    the traffic whatever fails; ``capacity`` lets a quiet node retry at all.
 
-    >>> budget = RetryBudget(most_saved=1)
+    >>> budget = RetryBudget(capacity=1)
     >>> budget.take(), budget.take()
     (True, False)
     """
@@ -27,12 +27,12 @@
         self,
         *,
         share: float = _SHARE,
-        most_saved: float = _MOST_SAVED,
+        capacity: float = _MOST_SAVED,
         seed: int | None = None,
     ) -> None:
         self._share = share
-        self._most_saved = most_saved
-        self._saved = most_saved
+        self._most_saved = capacity
+        self._saved = capacity
         self._random = random.Random(seed)
 
     def __repr__(self) -> str:
--- a/tests/runs/test_run.py
+++ b/tests/runs/test_run.py
@@ -242,7 +242,7 @@
         self.assertEqual(end.outcome.reason, Reason.DEADLINE)
 
     def test_spent_budget_ends_the_run_at_once_and_says_when_to_come_back(self):
-        budget = RetryBudget(most_saved=0.5)
+        budget = RetryBudget(capacity=0.5)
         self.begin(budget=budget)
         overloaded = Refused(Reason.OVERLOADED, "queue full", 700)
         (end,) = self.event(self.place("a"), overloaded)
@@ -251,7 +251,7 @@
         self.assertEqual(end.outcome.retry_after_ms, 700)
 
     def test_dispatch_that_never_arrived_is_free(self):
-        self.begin(budget=RetryBudget(most_saved=0.5))
+        self.begin(budget=RetryBudget(capacity=0.5))
         (wait,) = self.event(self.place("a"), Broken(False, "refused"))
         self.assertIsInstance(wait, Wait)
 
