--- a/fireflyward/entry/_asked.py
+++ b/fireflyward/entry/_asked.py
@@ -140,7 +140,7 @@
         shape=shape,
         deadline_ms=identity.deadline_ms,
         prepare=parts.prepare,
-        once=_record(parts, asked),
+        record=_record(parts, asked),
         budget=parts.budget,
         mark=asked.mark,
         is_streamed=prompt.stream,
--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -50,7 +50,7 @@
         inbox: "asyncio.Queue[Message | Exception]",
         on_dispatch: Callable[[int], None],
         prepare: Prepare | None,
-        once: Once | None,
+        record: Once | None,
         limits: SilenceLimits,
         observe: StepObserver,
     ) -> None:
@@ -61,7 +61,7 @@
         self._inbox = inbox
         self._on_dispatch = on_dispatch
         self._prepare = prepare
-        self._once = once
+        self._once = record
         self._limits = limits
         self._observe = observe
         self._permit: Permit | None = None
--- a/fireflyward/runs/_task.py
+++ b/fireflyward/runs/_task.py
@@ -55,7 +55,7 @@
     ``_SLOW_CALLER_MS`` counts as gone.
 
     ``prepare(replica, call, shape)`` is awaited between choosing and starting, for
-    at most its own limit; ``once`` is the record of a non-idempotent request;
+    at most its own limit; ``record`` is the record of a non-idempotent request;
     ``mark`` is where a caller that comes back stands in its answer.
     """
 
@@ -69,7 +69,7 @@
         shape: RunShape,
         deadline_ms: int,
         prepare: Prepare | None = None,
-        once: Once | None = None,
+        record: Once | None = None,
         budget: RetryBudget | None = None,
         mark: Mark | None = None,
         is_streamed: bool = True,
@@ -82,12 +82,12 @@
         self._call = call
         self._shape = shape
         self._deadline_ms = deadline_ms
-        self._once = once
+        self._once = record
         self._observe = observe
         self._run = Run(
             deadline_ms,
             version=call.version,
-            is_once=once is not None,
+            is_once=record is not None,
             is_streamed=is_streamed,
             budget=budget,
             mark=mark,
@@ -101,7 +101,7 @@
             inbox=self._inbox,
             on_dispatch=self._on_dispatch,
             prepare=prepare,
-            once=once,
+            record=record,
             limits=limits or SilenceLimits(),
             observe=observe,
         )
@@ -208,9 +208,9 @@
         else:
             self._inbox.put_nowait(message)
 
-    async def _settle(self, once: Once, outcome: Outcome) -> None:
+    async def _settle(self, record: Once, outcome: Outcome) -> None:
         self._observe(OnceStep.SETTLING)
-        await once.settle(outcome, "".join(self._texts))
+        await record.settle(outcome, "".join(self._texts))
         self._observe(OnceStep.SETTLED)
 
 
--- a/tests/runs/test_once.py
+++ b/tests/runs/test_once.py
@@ -101,7 +101,7 @@
             call=EngineCall("r1", "m", "v1", "verdict?", TOKENS),
             shape=RunShape("acc", "m", "v1", 2),
             deadline_ms=self.clock.now_ms() + 60_000,
-            once=self.record(node),
+            record=self.record(node),
             **options,
         )
 
--- a/tests/runs/test_properties.py
+++ b/tests/runs/test_properties.py
@@ -114,9 +114,9 @@
         router.set_replicas(
             [Candidate(name, "d", ("m",), {"m": "v1"}) for name in REPLICAS]
         )
-        once = None
+        record = None
         if self.is_once:
-            once = RequestRecord(
+            record = RequestRecord(
                 self.records[node],
                 account="acc",
                 request_key="k",
@@ -130,7 +130,7 @@
             call=EngineCall("r1", "m", "v1", PROMPT, TOKENS),
             shape=RunShape("acc", "m", "v1", 4),
             deadline_ms=self.clock.now_ms() + 60_000,
-            once=once,
+            record=record,
             mark=mark,
             budget=RetryBudget(seed=len(self.asked)),
         )
