--- a/fireflyward/runs/__init__.py
+++ b/fireflyward/runs/__init__.py
@@ -26,8 +26,8 @@
     Waited,
 )
 from ._once import ClaimResult, EarlierAnswer, EarlierRun, Once, Permit
-from ._record_of_run import RequestRecord
 from ._records import RunRecords
+from ._request_record import RequestRecord
 from ._run import Run
 from ._service_task import ServiceTask
 from ._steps import OnceStep, PromptStep, StreamStep
--- a/fireflyward/runs/_service_task.py
+++ b/fireflyward/runs/_service_task.py
@@ -20,7 +20,7 @@
 from ._budget import RetryBudget
 from ._detached import detach
 from ._once import EarlierAnswer, EarlierRun, Permit
-from ._record_of_run import RequestRecord
+from ._request_record import RequestRecord
 from ._steps import OnceStep
 
 _MAX_REPLICAS = 3
