--- a/fireflyward/runs/_run.py
+++ b/fireflyward/runs/_run.py
@@ -14,7 +14,7 @@
 )
 
 from ._budget import RetryBudget
-from ._delivered import Delivered, Diverged, Gap
+from ._delivery_cursor import Delivered, Diverged, Gap
 from ._messages import (
     Action,
     AttemptEvent,
