--- a/fireflyward/runs/__init__.py
+++ b/fireflyward/runs/__init__.py
@@ -3,6 +3,7 @@
 from ._attempt import Prepare
 from ._budget import RetryBudget
 from ._detached import finish_detached
+from ._idempotency_record import ClaimResult, EarlierAnswer, EarlierRun, Once, Permit
 from ._ids import RunIds
 from ._messages import (
     AttemptEvent,
@@ -25,7 +26,6 @@
     Wait,
     Waited,
 )
-from ._once import ClaimResult, EarlierAnswer, EarlierRun, Once, Permit
 from ._records import RunRecords
 from ._request_record import RequestRecord
 from ._run import Run
--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -21,6 +21,7 @@
     Refused,
 )
 
+from ._idempotency_record import ClaimResult, EarlierAnswer, EarlierRun, Once, Permit
 from ._messages import (
     AttemptEvent,
     Denied,
@@ -28,7 +29,6 @@
     RunsElsewhere,
     Stored,
 )
-from ._once import ClaimResult, EarlierAnswer, EarlierRun, Once, Permit
 from ._steps import OnceStep, PromptStep, StreamStep
 
 _PREPARE_LIMIT_MS = 2_000
--- a/fireflyward/runs/_records.py
+++ b/fireflyward/runs/_records.py
@@ -17,7 +17,7 @@
 )
 
 from ._group_commit import GroupCommit, MayLand, NotWritten, RowMoved, Written
-from ._once import ClaimResult, EarlierAnswer, EarlierRun, Permit
+from ._idempotency_record import ClaimResult, EarlierAnswer, EarlierRun, Permit
 
 _RETRY_AFTER_MS = 1_000
 _PERMIT_MS = 10_000
--- a/fireflyward/runs/_request_record.py
+++ b/fireflyward/runs/_request_record.py
@@ -4,7 +4,7 @@
 
 from fireflyward.outcomes import NotRun, Outcome, Unknown
 
-from ._once import ClaimResult, Permit
+from ._idempotency_record import ClaimResult, Permit
 from ._records import Record, RunRecords, fill, record_key
 
 
--- a/fireflyward/runs/_service_task.py
+++ b/fireflyward/runs/_service_task.py
@@ -19,7 +19,7 @@
 
 from ._budget import RetryBudget
 from ._detached import detach
-from ._once import EarlierAnswer, EarlierRun, Permit
+from ._idempotency_record import EarlierAnswer, EarlierRun, Permit
 from ._request_record import RequestRecord
 from ._steps import OnceStep
 
--- a/fireflyward/runs/_task.py
+++ b/fireflyward/runs/_task.py
@@ -15,6 +15,7 @@
 from ._attempt import Attempt, Prepare
 from ._budget import RetryBudget
 from ._detached import detach, keep
+from ._idempotency_record import Once
 from ._messages import (
     Action,
     Begin,
@@ -34,7 +35,6 @@
     Wait,
     Waited,
 )
-from ._once import Once
 from ._run import Run
 from ._steps import OnceStep, PromptStep, StreamStep
 
