--- a/fireflyward/runs/__init__.py
+++ b/fireflyward/runs/__init__.py
@@ -3,7 +3,13 @@
 from ._attempt import Prepare
 from ._budget import RetryBudget
 from ._detached import finish_detached
-from ._idempotency_record import ClaimResult, EarlierAnswer, EarlierRun, Once, Permit
+from ._idempotency_record import (
+    ClaimResult,
+    EarlierAnswer,
+    EarlierRun,
+    IdempotencyRecord,
+    Permit,
+)
 from ._ids import RunIds
 from ._messages import (
     AttemptEvent,
@@ -51,7 +57,7 @@
     "End",
     "SWEEP_INTERVAL_MS",
     "Mark",
-    "Once",
+    "IdempotencyRecord",
     "OnceStep",
     "Permit",
     "Placed",
--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -21,7 +21,13 @@
     Refused,
 )
 
-from ._idempotency_record import ClaimResult, EarlierAnswer, EarlierRun, Once, Permit
+from ._idempotency_record import (
+    ClaimResult,
+    EarlierAnswer,
+    EarlierRun,
+    IdempotencyRecord,
+    Permit,
+)
 from ._messages import (
     AttemptEvent,
     Denied,
@@ -31,7 +37,7 @@
 )
 from ._steps import OnceStep, PromptStep, StreamStep
 
-_PREPARE_LIMIT_MS = 2_000
+_PREPARE_TIMEOUT_MS = 2_000
 _RETRY_AFTER_MS = 1_000
 
 Prepare = Callable[[str, EngineCall, RunShape], Awaitable[None]]
@@ -50,7 +56,7 @@
         inbox: "asyncio.Queue[Message | Exception]",
         on_dispatch: Callable[[int], None],
         prepare: Prepare | None,
-        record: Once | None,
+        record: IdempotencyRecord | None,
         limits: SilenceLimits,
         observe: StepObserver,
     ) -> None:
@@ -61,7 +67,7 @@
         self._inbox = inbox
         self._on_dispatch = on_dispatch
         self._prepare = prepare
-        self._once = record
+        self._record = record
         self._limits = limits
         self._observe = observe
         self._permit: Permit | None = None
@@ -69,24 +75,24 @@
 
     def start(self, number: int, replica: str, engine: Engine) -> None:
         """Prepare the replica, claim the record if there is one, and dispatch."""
-        self._become(self._start(number, replica, engine))
+        self._replace_task(self._start(number, replica, engine))
 
     def resume(
         self, number: int, replica: str, engine: Engine | None, offset: int
     ) -> None:
         """Read the run from ``offset``; without an engine it is lost at once."""
-        self._become(self._resume(number, replica, engine, offset))
+        self._replace_task(self._resume(number, replica, engine, offset))
 
     def stop(self) -> None:
         """Stop reading."""
         if self._task and not self._task.done():
             self._task.cancel()
 
-    def _become(self, work: Coroutine[None, None, None]) -> None:
+    def _replace_task(self, work: Coroutine[None, None, None]) -> None:
         self.stop()
-        self._task = asyncio.ensure_future(self._report(work))
+        self._task = asyncio.ensure_future(self._forward_error(work))
 
-    async def _report(self, work: Coroutine[None, None, None]) -> None:
+    async def _forward_error(self, work: Coroutine[None, None, None]) -> None:
         """Hand an exception to the run's task, which ends by it."""
         try:
             await work
@@ -97,7 +103,7 @@
         if self._prepare:
             await self._prepare_replica(replica)
         self._observe(PromptStep.PREPARED)
-        if self._once and not await self._is_permitted(number, replica):
+        if self._record and not await self._is_permitted(number, replica):
             return
         self._observe(PromptStep.DISPATCHING)
         self._on_dispatch(number)
@@ -108,33 +114,37 @@
             if trace_parent:
                 call = replace(call, trace_parent=trace_parent)
             events = engine.generate(call)
-            await self._watch(number, replica, events, self._limits.silence_ms)
+            await self._read_until_silent(
+                number, replica, events, self._limits.silence_ms
+            )
 
     async def _resume(
         self, number: int, replica: str, engine: Engine | None, offset: int
     ) -> None:
         if engine is None:
-            gone = Broken(True, f"replica {replica} is not served any more")
-            await self._inbox.put(AttemptEvent(number, gone))
+            lost = Broken(True, f"replica {replica} is not served any more")
+            await self._inbox.put(AttemptEvent(number, lost))
             return
         with hop("resume", upstream=replica):
             events = engine.resume(self._call.run_id, offset)
-            await self._watch(number, replica, events, self._limits.probe_ms)
+            await self._read_until_silent(
+                number, replica, events, self._limits.probe_ms
+            )
 
     async def _prepare_replica(self, replica: str) -> None:
         """Prepare in bounded time; a run without it is slower and not wrong."""
         work = self._prepare(replica, self._call, self._shape)
-        until_ms = self._clock.now_ms() + _PREPARE_LIMIT_MS
+        until_ms = self._clock.now_ms() + _PREPARE_TIMEOUT_MS
         with suppress(TimeoutError):
             await ran_out(self._clock, lambda: until_ms - self._clock.now_ms(), work)
 
     async def _is_permitted(self, number: int, replica: str) -> bool:
         if self._permit is None:
             self._observe(OnceStep.CLAIMING)
-            result = await self._once.claim(replica)
+            result = await self._record.claim(replica)
             self._observe(OnceStep.CLAIMED)
             if not isinstance(result, Permit):
-                await self._inbox.put(_told(result, number))
+                await self._inbox.put(_message_for(result, number))
                 return False
             self._permit = result
         self._observe(OnceStep.DISPATCHING)
@@ -151,7 +161,7 @@
     def _is_permit_valid(self) -> bool:
         return self._clock.now_ms() < self._permit.valid_until_ms
 
-    async def _watch(
+    async def _read_until_silent(
         self,
         number: int,
         replica: str,
@@ -159,12 +169,12 @@
         first_limit_ms: int,
     ) -> None:
         heard = Heard(self._clock, first_limit_ms)
-        work = self._pump(number, replica, events, heard)
+        work = self._forward_events(number, replica, events, heard)
         if await was_silent(self._clock, work, heard):
             self._observe(StreamStep.SILENT)
             await self._inbox.put(AttemptEvent(number, Broken(True, "silent")))
 
-    async def _pump(
+    async def _forward_events(
         self,
         number: int,
         replica: str,
@@ -190,7 +200,7 @@
             self._router.on_end(self._clock.now_ms(), replica, failed=failed)
 
 
-def _told(result: ClaimResult, number: int) -> Message:
+def _message_for(result: ClaimResult, number: int) -> Message:
     """Return what the run is told when the record is not its own."""
     if isinstance(result, EarlierAnswer):
         return Stored(number, result.body, result.usage)
--- a/fireflyward/runs/_budget.py
+++ b/fireflyward/runs/_budget.py
@@ -2,10 +2,10 @@
 
 import random
 
-_SHARE = 0.1
-_MOST_SAVED = 10.0
-_FIRST_PAUSE_MS = 20
-_LONGEST_PAUSE_MS = 1_000
+_TOKENS_PER_REQUEST = 0.1
+_CAPACITY_TOKENS = 10.0
+_FIRST_BACKOFF_MS = 20
+_MAX_BACKOFF_MS = 1_000
 
 
 class RetryBudget:
@@ -17,43 +17,43 @@
     the traffic whatever fails; ``capacity`` lets a quiet node retry at all.
 
     >>> budget = RetryBudget(capacity=1)
-    >>> budget.take(), budget.take()
+    >>> budget.try_acquire(), budget.try_acquire()
     (True, False)
     """
 
-    __slots__ = ("_most_saved", "_random", "_saved", "_share")
+    __slots__ = ("_most_saved", "_random", "_tokens", "_share")
 
     def __init__(
         self,
         *,
-        share: float = _SHARE,
-        capacity: float = _MOST_SAVED,
+        share: float = _TOKENS_PER_REQUEST,
+        capacity: float = _CAPACITY_TOKENS,
         seed: int | None = None,
     ) -> None:
         self._share = share
         self._most_saved = capacity
-        self._saved = capacity
+        self._tokens = capacity
         self._random = random.Random(seed)
 
     def __repr__(self) -> str:
-        return f"RetryBudget(saved={self._saved:.1f})"
+        return f"RetryBudget(saved={self._tokens:.1f})"
 
     def on_request(self) -> None:
         """Count a request that is no retry."""
-        self._saved = min(self._most_saved, self._saved + self._share)
+        self._tokens = min(self._most_saved, self._tokens + self._share)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take a token for a retry, if there is one."""
-        if self._saved < 1:
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
 
-    def pause_ms(self, retries: int) -> int:
+    def backoff_ms(self, retries: int) -> int:
         """Return the pause before retry number ``retries``, with full jitter.
 
         Pauses that were all equal would bring the retries of one failure back
         together, as a second peak.
         """
-        longest_ms = min(_LONGEST_PAUSE_MS, _FIRST_PAUSE_MS << (retries - 1))
-        return self._random.randint(0, longest_ms)
+        max_ms = min(_MAX_BACKOFF_MS, _FIRST_BACKOFF_MS << (retries - 1))
+        return self._random.randint(0, max_ms)
--- a/fireflyward/runs/_group_commit.py
+++ b/fireflyward/runs/_group_commit.py
@@ -15,10 +15,10 @@
 from ._periods import PERIOD_KEY, Period, marker_key, period_of
 
 _MAX_WRITES = 128
-_GAP_MS = 30
-_LAZY_MS = 500
-_CALL_LIMIT_MS = 2_500
-_GIVE_UP_MS = 4_000
+_MIN_INTERVAL_MS = 30
+_MAX_LAZY_DELAY_MS = 500
+_COMMIT_TIMEOUT_MS = 2_500
+_MAX_RETRY_MS = 4_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RowMoved:
+class VersionMismatch:
     """Nothing was written: the row has another version than was expected."""
 
 
@@ -41,14 +41,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MayLand:
+class MaybeWritten:
     """The answer was lost; the write may have taken effect, or may do so later."""
 
     detail: str
 
 
 Encode = Callable[[int], bytes]
-WriteResult = Written | RowMoved | NotWritten | MayLand
+WriteResult = Written | VersionMismatch | NotWritten | MaybeWritten
 
 
 @dataclass(eq=False, slots=True)
@@ -77,51 +77,57 @@
 
     marker: str
     writes: list[Write]
-    began_ms: int
-    may_have_landed: bool = False
+    started_ms: int
+    may_have_committed: bool = False
 
 
 class WriteQueue:
     """Decides which writes go together and when.
 
-    One transaction is under way at a time and ``gap_ms`` lies between the starts
+    One transaction is under way at a time and ``min_interval_ms`` lies between the starts
     of two, so that a node's share of the table's writes is bounded whatever its
     traffic; a write that comes alone after a pause goes at once.
     """
 
-    __slots__ = ("_gap_ms", "_last_ms", "_max_writes", "_waiting")
+    __slots__ = ("_min_interval_ms", "_last_start_ms", "_max_writes", "_queued")
 
-    def __init__(self, *, gap_ms: int = _GAP_MS, max_writes: int = _MAX_WRITES) -> None:
-        self._gap_ms = gap_ms
-        self._last_ms = -gap_ms
+    def __init__(
+        self, *, min_interval_ms: int = _MIN_INTERVAL_MS, max_writes: int = _MAX_WRITES
+    ) -> None:
+        self._min_interval_ms = min_interval_ms
+        self._last_start_ms = -min_interval_ms
         self._max_writes = max_writes
-        self._waiting: deque[Write] = deque()
+        self._queued: deque[Write] = deque()
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queued)
 
     def add(self, write: Write) -> None:
         """Queue a write."""
-        self._waiting.append(write)
+        self._queued.append(write)
 
     def wait_ms(self, now_ms: int) -> int:
         """Return how long the next transaction has to wait."""
-        first_due_ms = min((write.due_ms for write in self._waiting), default=now_ms)
-        return max(0, self._last_ms + self._gap_ms - now_ms, first_due_ms - now_ms)
-
-    def take(self, now_ms: int) -> list[Write]:
+        first_due_ms = min((write.due_ms for write in self._queued), default=now_ms)
+        return max(
+            0,
+            self._last_start_ms + self._min_interval_ms - now_ms,
+            first_due_ms - now_ms,
+        )
+
+    def take_batch(self, now_ms: int) -> list[Write]:
         """Return the next transaction's writes, each of another row."""
-        self._last_ms = now_ms
+        self._last_start_ms = now_ms
         taken: dict[str, Write] = {}
-        left: deque[Write] = deque()
-        for write in self._waiting:
+        remaining: deque[Write] = deque()
+        for write in self._queued:
             if write.done.done():
                 continue
             if write.key in taken or len(taken) == self._max_writes:
-                left.append(write)
+                remaining.append(write)
             else:
                 taken[write.key] = write
-        self._waiting = left
+        self._queued = remaining
         return list(taken.values())
 
 
@@ -139,22 +145,22 @@
     period: Period = field(default_factory=Period)
     queue: WriteQueue = field(default_factory=WriteQueue)
     commits: int = 0
-    _numbers: "itertools.count[int]" = field(default_factory=itertools.count)
+    _batch_numbers: "itertools.count[int]" = field(default_factory=itertools.count)
     _task: "asyncio.Task[None] | None" = None
-    _woken: asyncio.Event = field(default_factory=asyncio.Event)
+    _write_added: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def write(
         self, key: str, expected: int, encode: Encode, *, is_lazy: bool = False
     ) -> WriteResult:
         """Write one row together with others; give the result of this row.
 
-        A lazy write waits up to ``_LAZY_MS`` for one that is not, so that the end
+        A lazy write waits up to ``_MAX_LAZY_DELAY_MS`` for one that is not, so that the end
         of a request usually costs no transaction of its own.
         """
         done: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
-        due_ms = self.clock.now_ms() + (_LAZY_MS if is_lazy else 0)
+        due_ms = self.clock.now_ms() + (_MAX_LAZY_DELAY_MS if is_lazy else 0)
         self.queue.add(Write(key, expected, encode, due_ms, done))
-        self._woken.set()
+        self._write_added.set()
         if self._task is None or self._task.done():
             self._task = asyncio.ensure_future(self._flush())
         return await asyncio.shield(done)
@@ -171,35 +177,35 @@
             if wait_ms:
                 await self._wait(wait_ms)
                 continue
-            writes = self.queue.take(now_ms)
+            writes = self.queue.take_batch(now_ms)
             if writes:
-                await self._commit(Batch(self._marker(), writes, now_ms))
+                await self._commit(Batch(self._next_marker(), writes, now_ms))
 
     async def _wait(self, limit_ms: int) -> None:
         """Wait for the time of the next transaction, or for another write."""
-        self._woken.clear()
+        self._write_added.clear()
         try:
-            await within(self.clock, limit_ms, self._woken.wait())
+            await within(self.clock, limit_ms, self._write_added.wait())
         except TimeoutError:
             return
 
-    def _marker(self) -> str:
-        number = next(self._numbers)
+    def _next_marker(self) -> str:
+        number = next(self._batch_numbers)
         return marker_key(self.period.number, f"{self.writer_name}-{number}")
 
     async def _commit(self, batch: Batch) -> None:
         while batch.writes:
-            result = await self._try(batch)
+            result = await self._try_commit(batch)
             if isinstance(result, Committed):
                 _finish(batch, result.version_by_key)
             elif isinstance(result, Conflict):
                 await self._on_conflict(batch, result.version_by_key)
-            elif isinstance(result, Unavailable) and not batch.may_have_landed:
+            elif isinstance(result, Unavailable) and not batch.may_have_committed:
                 _resolve_all(batch, NotWritten(result.detail))
             else:
-                batch.may_have_landed |= not isinstance(result, Unavailable)
-                if self.clock.now_ms() - batch.began_ms >= _GIVE_UP_MS:
-                    _resolve_all(batch, MayLand(result.detail))
+                batch.may_have_committed |= not isinstance(result, Unavailable)
+                if self.clock.now_ms() - batch.started_ms >= _MAX_RETRY_MS:
+                    _resolve_all(batch, MaybeWritten(result.detail))
                 else:
                     await self.clock.sleep_ms(self.queue.wait_ms(self.clock.now_ms()))
 
@@ -214,15 +220,15 @@
         if version_by_key.get(batch.marker, 0):
             _finish(batch, {})
             return
-        found = version_by_key.get(PERIOD_KEY, self.period.version)
-        is_old_period = found != self.period.version
-        has_moved = _drop_moved(batch, version_by_key)
+        found_version = version_by_key.get(PERIOD_KEY, self.period.version)
+        is_old_period = found_version != self.period.version
+        had_mismatch = _drop_mismatched(batch, version_by_key)
         if is_old_period:
-            await self._renew(batch)
-        elif not has_moved:
-            _resolve_all(batch, MayLand("its conflict could not be settled"))
+            await self._move_to_current_period(batch)
+        elif not had_mismatch:
+            _resolve_all(batch, MaybeWritten("its conflict could not be settled"))
 
-    async def _renew(self, batch: Batch) -> None:
+    async def _move_to_current_period(self, batch: Batch) -> None:
         """File a batch under the current period.
 
         Filed under one that the sweep has passed, its records would never be
@@ -231,8 +237,8 @@
         if not await self.read_period():
             _resolve_all(batch, NotWritten("the retention period is not known"))
             return
-        batch.marker = self._marker()
-        batch.may_have_landed = False
+        batch.marker = self._next_marker()
+        batch.may_have_committed = False
 
     async def read_period(self) -> bool:
         """Learn the current retention period; return whether the table told it."""
@@ -242,7 +248,7 @@
         self.period = period_of(row)
         return True
 
-    async def _try(
+    async def _try_commit(
         self, batch: Batch
     ) -> Committed | Conflict | Unavailable | Uncertain:
         """Commit a batch once, in bounded time."""
@@ -255,7 +261,7 @@
         expected[PERIOD_KEY] = period.version
         work = self.table.commit(expected=expected, puts=puts)
         try:
-            return await within(self.clock, _CALL_LIMIT_MS, work)
+            return await within(self.clock, _COMMIT_TIMEOUT_MS, work)
         except TimeoutError as error:
             return Uncertain(str(error))
 
@@ -267,18 +273,18 @@
     batch.writes = []
 
 
-def _drop_moved(batch: Batch, version_by_key: Mapping[str, int]) -> bool:
+def _drop_mismatched(batch: Batch, version_by_key: Mapping[str, int]) -> bool:
     """Take the moved rows out of a batch; return whether there were any."""
-    moved = {
+    mismatched = {
         write.key
         for write in batch.writes
         if version_by_key.get(write.key, write.expected) != write.expected
     }
     for write in batch.writes:
-        if write.key in moved:
-            _resolve(write, RowMoved())
-    batch.writes = [write for write in batch.writes if write.key not in moved]
-    return bool(moved)
+        if write.key in mismatched:
+            _resolve(write, VersionMismatch())
+    batch.writes = [write for write in batch.writes if write.key not in mismatched]
+    return bool(mismatched)
 
 
 def _resolve_all(batch: Batch, result: WriteResult) -> None:
--- a/fireflyward/runs/_idempotency_record.py
+++ b/fireflyward/runs/_idempotency_record.py
@@ -33,7 +33,7 @@
 ClaimResult = Permit | EarlierAnswer | EarlierRun | NotRun | Unknown
 
 
-class Once(Protocol):
+class IdempotencyRecord(Protocol):
     """The record of one non-idempotent request."""
 
     async def claim(self, replica: str) -> ClaimResult:
--- a/fireflyward/runs/_ids.py
+++ b/fireflyward/runs/_ids.py
@@ -49,7 +49,7 @@
     def of_request(self, account: str, request_key: str, fingerprint: str) -> str:
         """Return the run id of a request with an Idempotency-Key."""
         parts = (account, request_key, fingerprint)
-        data = b"".join(_framed(part.encode()) for part in parts)
+        data = b"".join(_length_prefixed(part.encode()) for part in parts)
         return self._digest(data, _ID_BYTES).hex()
 
     def seal(self, run_id: str, mark: Mark, version: str) -> str:
@@ -77,11 +77,11 @@
         return mark, sealed.version
 
     def _tag(self, run_id: str, body: bytes) -> bytes:
-        return self._digest(_framed(run_id.encode()) + body, _TAG_BYTES)
+        return self._digest(_length_prefixed(run_id.encode()) + body, _TAG_BYTES)
 
     def _digest(self, data: bytes, size: int) -> bytes:
         return hashlib.blake2b(data, key=self._key, digest_size=size).digest()
 
 
-def _framed(data: bytes) -> bytes:
+def _length_prefixed(data: bytes) -> bytes:
     return len(data).to_bytes(4, "big") + data
--- a/fireflyward/runs/_messages.py
+++ b/fireflyward/runs/_messages.py
@@ -105,7 +105,7 @@
 class Choose:
     """Ask routing for a replica other than those that failed."""
 
-    without: frozenset[str]
+    excluded: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
--- a/fireflyward/runs/_records.py
+++ b/fireflyward/runs/_records.py
@@ -16,17 +16,23 @@
     Usage,
 )
 
-from ._group_commit import GroupCommit, MayLand, NotWritten, RowMoved, Written
+from ._group_commit import (
+    GroupCommit,
+    MaybeWritten,
+    NotWritten,
+    VersionMismatch,
+    Written,
+)
 from ._idempotency_record import ClaimResult, EarlierAnswer, EarlierRun, Permit
 
 _RETRY_AFTER_MS = 1_000
-_PERMIT_MS = 10_000
+_PERMIT_VALIDITY_MS = 10_000
 _MAX_BODY_BYTES = 16 << 10
-_MAX_RELEASES = 1_000
-_RELEASE_TRIES = 8
-_RELEASE_PAUSE_MS = 1_000
-_CLAIM_TRIES = 3
-_KEY_BYTES = 16
+_MAX_PENDING_RELEASES = 1_000
+_MAX_RELEASE_ATTEMPTS = 8
+_FIRST_RELEASE_BACKOFF_MS = 1_000
+_MAX_CLAIM_ATTEMPTS = 3
+_KEY_DIGEST_BYTES = 16
 
 
 class RecordState(enum.StrEnum):
@@ -73,10 +79,10 @@
         self._table = table
         self._clock = clock
         self._releases: set[asyncio.Task[None]] = set()
-        self.group = GroupCommit(table, clock, f"{node_name}-{clock.wall_ms()}")
+        self.group_commit = GroupCommit(table, clock, f"{node_name}-{clock.wall_ms()}")
 
     def __repr__(self) -> str:
-        return f"RunRecords(commits={self.group.commits})"
+        return f"RunRecords(commits={self.group_commit.commits})"
 
     async def claim(self, key: str, record: Record) -> tuple[ClaimResult, int]:
         """Claim ``key`` for ``record.owner``, or tell what an earlier claim left.
@@ -84,21 +90,21 @@
         Return the result and, with a ``Permit``, the record's version. A permit is
         valid from before the write was sent, by this process's monotonic clock.
         """
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         expected = 0
-        for _ in range(_CLAIM_TRIES):
-            result = await self.group.write(key, expected, record.encode)
+        for _ in range(_MAX_CLAIM_ATTEMPTS):
+            result = await self.group_commit.write(key, expected, record.encode)
             if isinstance(result, Written):
-                return Permit(began_ms + _PERMIT_MS), result.version
-            if not isinstance(result, RowMoved):
-                return self._unsettled(key, record, result), 0
+                return Permit(started_ms + _PERMIT_VALIDITY_MS), result.version
+            if not isinstance(result, VersionMismatch):
+                return self._reject_unwritten(key, record, result), 0
             row = await self._table.get(key)
             if isinstance(row, Unavailable):
                 detail = "an earlier request with this key exists; its record is away"
                 return Unknown(Reason.DUPLICATE_RUNNING, detail, _RETRY_AFTER_MS), 0
             if isinstance(row, Row) and _is_owned(row, record.owner):
-                return Permit(began_ms + _PERMIT_MS), row.version
-            earlier = _earlier(row, record)
+                return Permit(started_ms + _PERMIT_VALIDITY_MS), row.version
+            earlier = _check_earlier_record(row, record)
             if not isinstance(earlier, int):
                 return earlier, 0
             expected = earlier
@@ -111,13 +117,15 @@
         A record that stays ``STARTED`` for want of this write is still true: it
         says that the request may have run.
         """
-        result = await self.group.write(key, version, record.encode, is_lazy=True)
+        result = await self.group_commit.write(
+            key, version, record.encode, is_lazy=True
+        )
         return isinstance(result, Written)
 
     def release(self, key: str, version: int, record: Record) -> None:
         """Say in the background that a claimed request was never dispatched."""
         record.state = RecordState.NOT_RUN
-        if len(self._releases) >= _MAX_RELEASES:
+        if len(self._releases) >= _MAX_PENDING_RELEASES:
             return
         task = asyncio.ensure_future(self._release(key, version, record))
         self._releases.add(task)
@@ -127,10 +135,10 @@
         """Stop writing at once."""
         for task in list(self._releases):
             task.cancel()
-        self.group.stop()
+        self.group_commit.stop()
 
-    def _unsettled(
-        self, key: str, record: Record, result: NotWritten | MayLand
+    def _reject_unwritten(
+        self, key: str, record: Record, result: NotWritten | MaybeWritten
     ) -> NotRun:
         """Refuse a request whose record could not be written.
 
@@ -138,31 +146,31 @@
         Landed, it would tell duplicates that the request may have run, which is
         why it is released.
         """
-        if isinstance(result, MayLand):
+        if isinstance(result, MaybeWritten):
             self.release(key, 0, record)
         detail = f"its record could not be written: {result.detail}"
         return NotRun(Reason.PLATFORM_AWAY, detail, _RETRY_AFTER_MS)
 
     async def _release(self, key: str, version: int, record: Record) -> None:
-        for attempt in range(_RELEASE_TRIES):
-            result = await self.group.write(key, version, record.encode)
+        for attempt in range(_MAX_RELEASE_ATTEMPTS):
+            result = await self.group_commit.write(key, version, record.encode)
             if isinstance(result, Written):
                 return
-            if isinstance(result, RowMoved):
+            if isinstance(result, VersionMismatch):
                 row = await self._table.get(key)
                 if isinstance(row, Row) and not _is_owned(row, record.owner):
                     return
                 version = row.version if isinstance(row, Row) else version
-            await self._clock.sleep_ms(_RELEASE_PAUSE_MS << attempt)
+            await self._clock.sleep_ms(_FIRST_RELEASE_BACKOFF_MS << attempt)
 
 
 def record_key(account: str, request_key: str) -> str:
     """Return the row of a request; keys of two accounts never meet."""
     name = f"{len(account)}:{account}{request_key}".encode()
-    return f"runs/records/{hashlib.blake2b(name, digest_size=_KEY_BYTES).hexdigest()}"
+    return f"runs/records/{hashlib.blake2b(name, digest_size=_KEY_DIGEST_BYTES).hexdigest()}"
 
 
-def fill(record: Record, outcome: Answered, body: str | None) -> None:
+def fill_answer(record: Record, outcome: Answered, body: str | None) -> None:
     """Put the end of a request into its record, with its answer if short."""
     usage = outcome.usage
     record.state = RecordState.ANSWERED
@@ -171,7 +179,7 @@
     record.body = body if record.has_body else ""
 
 
-def _earlier(row: Row | Missing, record: Record) -> int | ClaimResult:
+def _check_earlier_record(row: Row | Missing, record: Record) -> int | ClaimResult:
     """Tell a duplicate what became of the earlier request.
 
     An int is the version at which the row may be claimed after all: it was swept,
@@ -185,7 +193,7 @@
     if found.state is RecordState.NOT_RUN:
         return row.version
     if found.state is RecordState.STARTED:
-        return _still_started(found)
+        return _result_of_started(found)
     if found.has_body:
         return EarlierAnswer(
             found.body, Usage(*found.usage), found.status, found.content_type
@@ -194,7 +202,7 @@
     return Unknown(Reason.ALREADY_RUN, detail)
 
 
-def _still_started(found: Record) -> ClaimResult:
+def _result_of_started(found: Record) -> ClaimResult:
     if found.replica:
         return EarlierRun(found.replica)
     detail = "an earlier request with this key was dispatched; its end is not known"
--- a/fireflyward/runs/_request_record.py
+++ b/fireflyward/runs/_request_record.py
@@ -5,11 +5,11 @@
 from fireflyward.outcomes import NotRun, Outcome, Unknown
 
 from ._idempotency_record import ClaimResult, Permit
-from ._records import Record, RunRecords, fill, record_key
+from ._records import Record, RunRecords, fill_answer, record_key
 
 
 class RequestRecord:
-    """The record of one arrival of a non-idempotent request (a ``Once``)."""
+    """The record of one arrival of a non-idempotent request (a ``IdempotencyRecord``)."""
 
     __slots__ = ("_claim", "_key", "_record", "_records")
 
@@ -57,5 +57,5 @@
             return
         self._record.status = status
         self._record.content_type = content_type
-        fill(self._record, outcome, body)
+        fill_answer(self._record, outcome, body)
         await self._records.settle(self._key, version, self._record)
--- a/fireflyward/runs/_run.py
+++ b/fireflyward/runs/_run.py
@@ -14,7 +14,7 @@
 )
 
 from ._budget import RetryBudget
-from ._delivery_cursor import Delivered, Diverged, Gap
+from ._delivery_cursor import DeliveryCursor, Diverged, Gap
 from ._messages import (
     Action,
     AttemptEvent,
@@ -40,7 +40,7 @@
 )
 
 _MAX_REPLICAS = 4
-_MAX_QUIET_RESUMES = 10
+_MAX_RESUMES_WITHOUT_PROGRESS = 10
 _RETRY_AFTER_MS = 1_000
 
 
@@ -52,7 +52,7 @@
     connection; only a replica that gives none is left, for another that holds
     the same weight version, where the answer is made again and cut to fit.
 
-    A run that is ``is_once`` is dispatched again only after a replica said, or the
+    A run that is ``is_non_idempotent`` is dispatched again only after a replica said, or the
     connection proved, that the dispatch before did not run.
     """
 
@@ -60,18 +60,18 @@
         "_attempt",
         "_budget",
         "_deadline_ms",
-        "_delivered",
-        "_ended",
+        "_cursor",
+        "_has_ended",
         "_failed",
-        "_heard",
-        "_is_once",
+        "_has_received",
+        "_is_non_idempotent",
         "_is_resume",
         "_is_streamed",
         "_mark",
-        "_may_run",
-        "_quiet_resumes",
-        "_ran_before",
-        "_reads_only",
+        "_attempt_may_have_run",
+        "_resumes_without_progress",
+        "_earlier_may_have_run",
+        "_is_read_only",
         "_refusal",
         "_retries",
         "_version",
@@ -82,7 +82,7 @@
         deadline_ms: int,
         *,
         version: str = "",
-        is_once: bool = False,
+        is_non_idempotent: bool = False,
         is_streamed: bool = True,
         budget: RetryBudget | None = None,
         mark: Mark | None = None,
@@ -90,71 +90,76 @@
         self._attempt = 0
         self._budget = budget or RetryBudget()
         self._deadline_ms = deadline_ms
-        self._delivered = Delivered(mark)
-        self._ended = False
+        self._cursor = DeliveryCursor(mark)
+        self._has_ended = False
         self._failed: frozenset[str] = frozenset()
-        self._heard = False
-        self._is_once = is_once
+        self._has_received = False
+        self._is_non_idempotent = is_non_idempotent
         self._is_resume = False
         self._is_streamed = is_streamed
         self._mark = mark
-        self._may_run = False
-        self._quiet_resumes = 0
-        self._ran_before = mark is not None
-        self._reads_only = False
+        self._attempt_may_have_run = False
+        self._resumes_without_progress = 0
+        self._earlier_may_have_run = mark is not None
+        self._is_read_only = False
         self._refusal: Refused | None = None
         self._retries = 0
         self._version = version
 
     def __repr__(self) -> str:
-        return f"Run(attempt={self._attempt}, delivered={self._delivered.tokens})"
+        return f"Run(attempt={self._attempt}, delivered={self._cursor.tokens})"
 
     @property
     def may_have_run(self) -> bool:
         """Tell whether any replica may have run any of it."""
-        return self._may_run or self._ran_before
+        return self._attempt_may_have_run or self._earlier_may_have_run
 
     @property
     def has_ended(self) -> bool:
-        return self._ended
+        return self._has_ended
 
     def decide(self, now_ms: int, message: Message) -> list[Action]:
         """Return what is to be done after ``message``."""
-        if self._ended:
+        if self._has_ended:
             return []
-        return _on(message, self, now_ms)
+        return _decide(message, self, now_ms)
 
-    def _broken(self, now_ms: int, detail: str) -> list[Action]:
+    def _on_broken_stream(self, now_ms: int, detail: str) -> list[Action]:
         """Resume, unless the replica did not even answer the last resume."""
-        is_lost = self._is_resume and not self._heard
-        if is_lost or self._quiet_resumes >= _MAX_QUIET_RESUMES:
-            return self._leave(now_ms, detail)
-        self._quiet_resumes += 1
+        is_unreachable = self._is_resume and not self._has_received
+        if (
+            is_unreachable
+            or self._resumes_without_progress >= _MAX_RESUMES_WITHOUT_PROGRESS
+        ):
+            return self._leave_replica(now_ms, detail)
+        self._resumes_without_progress += 1
         return self._resume()
 
     def _resume(self) -> list[Action]:
         self._attempt += 1
         self._is_resume = True
-        self._heard = False
-        replica = self._delivered.replica
-        self._delivered.resume(replica)
-        return [Resume(self._attempt, replica, self._delivered.tokens)]
+        self._has_received = False
+        replica = self._cursor.replica
+        self._cursor.resume_attempt(replica)
+        return [Resume(self._attempt, replica, self._cursor.tokens)]
 
-    def _leave(self, now_ms: int, detail: str) -> list[Action]:
+    def _leave_replica(self, now_ms: int, detail: str) -> list[Action]:
         """Go on at another replica, stopping what may still run at this one."""
-        if self._reads_only:
-            what = "an earlier request with this key was dispatched; its run is lost"
-            return self._give_up(Reason.DUPLICATE_RUNNING, what)
-        if self._is_once and self.may_have_run:
-            return self._give_up(Reason.UPSTREAM_FAILED, detail)
-        cancel = Cancel(self._delivered.replica)
-        self._ran_before = self.may_have_run
-        self._may_run = False
+        if self._is_read_only:
+            detail_of_earlier = (
+                "an earlier request with this key was dispatched; its run is lost"
+            )
+            return self._fail(Reason.DUPLICATE_RUNNING, detail_of_earlier)
+        if self._is_non_idempotent and self.may_have_run:
+            return self._fail(Reason.UPSTREAM_FAILED, detail)
+        cancel = Cancel(self._cursor.replica)
+        self._earlier_may_have_run = self.may_have_run
+        self._attempt_may_have_run = False
         if not self._is_streamed:
-            self._delivered = Delivered(Mark(self._delivered.replica))
-        return [cancel, *self._elsewhere(now_ms, detail, costs_budget=True)]
+            self._cursor = DeliveryCursor(Mark(self._cursor.replica))
+        return [cancel, *self._retry_elsewhere(now_ms, detail, costs_budget=True)]
 
-    def _elsewhere(
+    def _retry_elsewhere(
         self, now_ms: int, detail: str, *, costs_budget: bool = False
     ) -> list[Action]:
         """Ask for another replica after a pause.
@@ -164,198 +169,200 @@
         load anywhere; leaving it free keeps the budget for the retries that can
         grow into a storm.
         """
-        self._failed = self._failed | {self._delivered.replica}
+        self._failed = self._failed | {self._cursor.replica}
         if len(self._failed) >= _MAX_REPLICAS:
-            return self._give_up_refused(f"no replica answered, last: {detail}")
-        if costs_budget and not self._budget.take():
-            return self._give_up_refused(f"no budget for a retry, last: {detail}")
+            return self._fail_with_refusal(f"no replica answered, last: {detail}")
+        if costs_budget and not self._budget.try_acquire():
+            return self._fail_with_refusal(f"no budget for a retry, last: {detail}")
         self._retries += 1
-        pause_ms = self._budget.pause_ms(self._retries)
-        if now_ms + pause_ms >= self._deadline_ms:
-            return self._give_up(Reason.DEADLINE, "no time is left for a retry")
-        return [Wait(pause_ms)]
+        backoff_ms = self._budget.backoff_ms(self._retries)
+        if now_ms + backoff_ms >= self._deadline_ms:
+            return self._fail(Reason.DEADLINE, "no time is left for a retry")
+        return [Wait(backoff_ms)]
 
-    def _diverged(self) -> list[Action]:
+    def _on_diverged(self) -> list[Action]:
         detail = "another replica's answer is not the one that was begun"
-        replica = self._delivered.replica
-        return [Cancel(replica), *self._give_up(Reason.UPSTREAM_FAILED, detail)]
+        replica = self._cursor.replica
+        return [Cancel(replica), *self._fail(Reason.UPSTREAM_FAILED, detail)]
 
     def _abandon(self, reason: Reason, detail: str) -> list[Action]:
         """End a run that nobody waits for; what must be known is not stopped."""
-        actions = self._give_up(reason, detail)
-        if self._may_run and not self._is_once:
-            return [Cancel(self._delivered.replica), *actions]
+        actions = self._fail(reason, detail)
+        if self._attempt_may_have_run and not self._is_non_idempotent:
+            return [Cancel(self._cursor.replica), *actions]
         return actions
 
-    def _give_up_unplaced(self) -> list[Action]:
+    def _fail_without_replica(self) -> list[Action]:
         if self._refusal:
-            return self._give_up_refused(self._refusal.detail)
-        return self._give_up(Reason.NO_UPSTREAM, "no replica can take it now")
+            return self._fail_with_refusal(self._refusal.detail)
+        return self._fail(Reason.NO_UPSTREAM, "no replica can take it now")
 
-    def _give_up_refused(self, detail: str) -> list[Action]:
+    def _fail_with_refusal(self, detail: str) -> list[Action]:
         """Pass on why the last replica refused, and when asking again may help."""
         if self._refusal is None:
-            return self._give_up(Reason.UPSTREAM_FAILED, detail)
+            return self._fail(Reason.UPSTREAM_FAILED, detail)
         wait_ms = self._refusal.retry_after_ms or _RETRY_AFTER_MS
-        return self._give_up(self._refusal.reason, detail, retry_after_ms=wait_ms)
+        return self._fail(self._refusal.reason, detail, retry_after_ms=wait_ms)
 
-    def _give_up(
+    def _fail(
         self, reason: Reason, detail: str, *, retry_after_ms: int = _RETRY_AFTER_MS
     ) -> list[Action]:
-        self._ended = True
+        self._has_ended = True
         kind = Unknown if self.may_have_run else NotRun
         outcome: Outcome = kind(reason, detail, retry_after_ms)
         return [End(outcome)]
 
 
 @singledispatch
-def _on(message: Message, run: Run, now_ms: int) -> list[Action]:
+def _decide(message: Message, run: Run, now_ms: int) -> list[Action]:
     raise TypeError(f"no decision for {message!r}")
 
 
-@_on.register
+@_decide.register
 def _(message: Begin, run: Run, now_ms: int) -> list[Action]:
     run._budget.on_request()
     if run._mark is None:
         return [Choose(run._failed)]
-    run._reads_only = run._is_once
-    run._delivered.replica = run._mark.replica
+    run._is_read_only = run._is_non_idempotent
+    run._cursor.replica = run._mark.replica
     return run._resume()
 
 
-@_on.register
+@_decide.register
 def _(message: Chosen, run: Run, now_ms: int) -> list[Action]:
     if message.replica is None:
-        return run._give_up_unplaced()
+        return run._fail_without_replica()
     run._attempt += 1
     run._is_resume = False
-    run._heard = False
-    run._quiet_resumes = 0
-    run._delivered.begin(message.replica)
+    run._has_received = False
+    run._resumes_without_progress = 0
+    run._cursor.begin_attempt(message.replica)
     return [Start(run._attempt, message.replica)]
 
 
-@_on.register
+@_decide.register
 def _(message: Dispatching, run: Run, now_ms: int) -> list[Action]:
-    run._may_run = run._may_run or message.attempt == run._attempt
+    run._attempt_may_have_run = (
+        run._attempt_may_have_run or message.attempt == run._attempt
+    )
     return []
 
 
-@_on.register
+@_decide.register
 def _(message: Denied, run: Run, now_ms: int) -> list[Action]:
     if message.attempt != run._attempt:
         return []
-    run._ended = True
+    run._has_ended = True
     return [End(message.outcome)]
 
 
-@_on.register
+@_decide.register
 def _(message: Stored, run: Run, now_ms: int) -> list[Action]:
     if message.attempt != run._attempt:
         return []
-    run._ended = True
+    run._has_ended = True
     tokens = message.usage.completion_tokens
     return [Deliver(message.text, 0, tokens), End(Answered(message.usage))]
 
 
-@_on.register
+@_decide.register
 def _(message: RunsElsewhere, run: Run, now_ms: int) -> list[Action]:
     """Read the run of the earlier request; never dispatch a second one."""
     if message.attempt != run._attempt:
         return []
-    run._reads_only = True
-    run._ran_before = True
-    run._delivered.replica = message.replica
+    run._is_read_only = True
+    run._earlier_may_have_run = True
+    run._cursor.replica = message.replica
     return run._resume()
 
 
-@_on.register
+@_decide.register
 def _(message: Waited, run: Run, now_ms: int) -> list[Action]:
     return [Choose(run._failed)]
 
 
-@_on.register
+@_decide.register
 def _(message: DeadlinePassed, run: Run, now_ms: int) -> list[Action]:
     return run._abandon(Reason.DEADLINE, "the deadline has passed")
 
 
-@_on.register
+@_decide.register
 def _(message: CallerGone, run: Run, now_ms: int) -> list[Action]:
-    if run._is_once and run._may_run:
+    if run._is_non_idempotent and run._attempt_may_have_run:
         return []
     return run._abandon(Reason.CALLER_GONE, "the caller closed")
 
 
-@_on.register
+@_decide.register
 def _(message: AttemptEvent, run: Run, now_ms: int) -> list[Action]:
     """Act on an event of the current attempt; crossed ones are dropped."""
     if message.attempt != run._attempt:
         return []
-    return _event(message.event, run, now_ms)
+    return _decide_event(message.event, run, now_ms)
 
 
 @singledispatch
-def _event(event: EngineEvent, run: Run, now_ms: int) -> list[Action]:
+def _decide_event(event: EngineEvent, run: Run, now_ms: int) -> list[Action]:
     raise TypeError(f"no decision for {event!r}")
 
 
-@_event.register
+@_decide_event.register
 def _(event: Accepted, run: Run, now_ms: int) -> list[Action]:
-    run._heard = True
-    run._may_run = True
+    run._has_received = True
+    run._attempt_may_have_run = True
     if run._version and event.version and event.version != run._version:
-        return run._leave(now_ms, f"answered by version {event.version}")
-    return [Placed(run._delivered.mark())]
+        return run._leave_replica(now_ms, f"answered by version {event.version}")
+    return [Placed(run._cursor.mark())]
 
 
-@_event.register
+@_decide_event.register
 def _(event: KeepAlive, run: Run, now_ms: int) -> list[Action]:
-    run._heard = True
+    run._has_received = True
     return []
 
 
-@_event.register
+@_decide_event.register
 def _(event: Piece, run: Run, now_ms: int) -> list[Action]:
-    run._heard = True
-    run._may_run = True
-    result = run._delivered.take(event)
+    run._has_received = True
+    run._attempt_may_have_run = True
+    result = run._cursor.on_piece(event)
     if isinstance(result, Gap):
-        return run._broken(now_ms, "a piece was missing")
+        return run._on_broken_stream(now_ms, "a piece was missing")
     if isinstance(result, Diverged):
-        return run._diverged()
+        return run._on_diverged()
     if result is None:
         return []
-    run._quiet_resumes = 0
+    run._resumes_without_progress = 0
     return [result]
 
 
-@_event.register
+@_decide_event.register
 def _(event: Finished, run: Run, now_ms: int) -> list[Action]:
-    if event.usage.completion_tokens != run._delivered.tokens:
-        return run._broken(now_ms, "the end came before the last piece")
-    run._ended = True
+    if event.usage.completion_tokens != run._cursor.tokens:
+        return run._on_broken_stream(now_ms, "the end came before the last piece")
+    run._has_ended = True
     return [End(Answered(event.usage))]
 
 
-@_event.register
+@_decide_event.register
 def _(event: Refused, run: Run, now_ms: int) -> list[Action]:
     if run._is_resume:
-        return run._leave(now_ms, event.detail)
+        return run._leave_replica(now_ms, event.detail)
     if event.reason is Reason.DUPLICATE_RUNNING:
-        run._may_run = True
+        run._attempt_may_have_run = True
         return run._resume()
-    run._may_run = False
+    run._attempt_may_have_run = False
     run._refusal = _for_caller(event)
     is_overloaded = event.reason is Reason.OVERLOADED
-    return run._elsewhere(now_ms, event.detail, costs_budget=is_overloaded)
+    return run._retry_elsewhere(now_ms, event.detail, costs_budget=is_overloaded)
 
 
-@_event.register
+@_decide_event.register
 def _(event: Broken, run: Run, now_ms: int) -> list[Action]:
-    if event.may_have_run or run._is_resume or run._heard:
-        return run._broken(now_ms, event.detail)
-    run._may_run = False
-    return run._elsewhere(now_ms, event.detail)
+    if event.may_have_run or run._is_resume or run._has_received:
+        return run._on_broken_stream(now_ms, event.detail)
+    run._attempt_may_have_run = False
+    return run._retry_elsewhere(now_ms, event.detail)
 
 
 def _for_caller(refusal: Refused) -> Refused:
--- a/fireflyward/runs/_service_task.py
+++ b/fireflyward/runs/_service_task.py
@@ -24,7 +24,7 @@
 from ._steps import OnceStep
 
 _MAX_REPLICAS = 3
-_REPLY_LIMIT_MS = 5_000
+_REPLY_TIMEOUT_MS = 5_000
 _RETRY_AFTER_MS = 1_000
 
 ServiceOutcome = ServiceReply | NotRun | Unknown
@@ -36,7 +36,7 @@
     """Owns the calls of one request to a plain service.
 
     A plain service sends nothing while it works, so its silence alone does not
-    tell a slow call from a lost connection. After ``reply_limit_ms`` a call that
+    tell a slow call from a lost connection. After ``reply_timeout_ms`` a call that
     may be repeated is made once more, on a new connection, beside the first: the
     first reply wins. One that may not be repeated is told to be unknown to the
     caller, and is waited for until the deadline so that its record gets its end.
@@ -52,7 +52,7 @@
         deadline_ms: int,
         record: RequestRecord | None = None,
         budget: RetryBudget | None = None,
-        reply_limit_ms: int = _REPLY_LIMIT_MS,
+        reply_timeout_ms: int = _REPLY_TIMEOUT_MS,
         observe: StepObserver = ignore_step,
         on_refused: Callable[[str], None] = lambda upstream: None,
     ) -> None:
@@ -64,35 +64,35 @@
         self._deadline_ms = deadline_ms
         self._record = record
         self._budget = budget or RetryBudget()
-        self._reply_limit_ms = reply_limit_ms
+        self._reply_timeout_ms = reply_timeout_ms
         self._observe = observe
-        self._detail = "no replica of the service"
-        self._unproven = 0
+        self._last_failure_detail = "no replica of the service"
+        self._possible_runs = 0
 
     async def outcome(self) -> ServiceOutcome:
         """Return the one outcome of the request."""
         self._budget.on_request()
         if self._record is None:
-            return await self._repeatable()
-        work = detach(self._once(self._record))
-        limit_ms = min(self._left_ms(), self._reply_limit_ms)
-        if await self._wait({work}, limit_ms):
+            return await self._call_idempotent()
+        work = detach(self._call_with_record(self._record))
+        limit_ms = min(self._remaining_ms(), self._reply_timeout_ms)
+        if await self._wait_for_any({work}, limit_ms):
             return work.result()
         detail = "no reply yet; its outcome is kept under its key when it comes"
         return Unknown(Reason.DEADLINE, detail, _RETRY_AFTER_MS)
 
-    async def _once(self, record: RequestRecord) -> ServiceOutcome:
+    async def _call_with_record(self, record: RequestRecord) -> ServiceOutcome:
         """Claim, call and settle, to the end even if the caller has gone."""
         self._observe(OnceStep.CLAIMING)
-        claimed = await record.claim("")
+        claim_result = await record.claim("")
         self._observe(OnceStep.CLAIMED)
-        if isinstance(claimed, EarlierAnswer):
-            body = claimed.body.encode("latin-1")
-            return ServiceReply(claimed.status, body, claimed.content_type)
-        if not isinstance(claimed, Permit):
-            assert not isinstance(claimed, EarlierRun)
-            return claimed
-        outcome = await self._call_once(claimed)
+        if isinstance(claim_result, EarlierAnswer):
+            body = claim_result.body.encode("latin-1")
+            return ServiceReply(claim_result.status, body, claim_result.content_type)
+        if not isinstance(claim_result, Permit):
+            assert not isinstance(claim_result, EarlierRun)
+            return claim_result
+        outcome = await self._call_non_idempotent(claim_result)
         detach(self._settle(record, outcome))
         return outcome
 
@@ -109,7 +109,7 @@
             await record.settle(outcome, "")
         self._observe(OnceStep.SETTLED)
 
-    async def _call_once(self, permit: Permit) -> ServiceOutcome:
+    async def _call_non_idempotent(self, permit: Permit) -> ServiceOutcome:
         """Call replicas in turn while it is proven that none has run it."""
 
         def may_send() -> bool:
@@ -122,70 +122,70 @@
             self._observe(OnceStep.DISPATCHING)
             if not may_send():
                 return NotRun(Reason.DEADLINE, "its permit ran out", _RETRY_AFTER_MS)
-            result = await self._try(name, call)
+            result = await self._call_replica(name, call)
             if isinstance(result, ServiceReply):
                 return result
-            if self._unproven:
+            if self._possible_runs:
                 break
-        return self._failed()
+        return self._failure_outcome()
 
-    async def _repeatable(self) -> ServiceOutcome:
+    async def _call_idempotent(self) -> ServiceOutcome:
         """Call replicas in turn, with a second call beside one that is silent."""
-        under_way: set[_Attempt] = set()
-        only_one = len(self._replicas) == 1
-        names = self._replicas * 2 if only_one else self._replicas
+        in_flight: set[_Attempt] = set()
+        has_one_replica = len(self._replicas) == 1
+        names = self._replicas * 2 if has_one_replica else self._replicas
         try:
             for number, name in enumerate(names):
-                if self._unproven and not self._budget.take():
+                if self._possible_runs and not self._budget.try_acquire():
                     break
-                if number and not under_way:
-                    await self._clock.sleep_ms(self._budget.pause_ms(number))
+                if number and not in_flight:
+                    await self._clock.sleep_ms(self._budget.backoff_ms(number))
                 call = replace(self._call, needs_fresh=number > 0)
-                under_way.add(asyncio.ensure_future(self._try(name, call)))
-                reply = await self._first_reply(under_way, self._reply_limit_ms)
+                in_flight.add(asyncio.ensure_future(self._call_replica(name, call)))
+                reply = await self._first_reply(in_flight, self._reply_timeout_ms)
                 if reply:
                     return reply
-            reply = await self._first_reply(under_way, self._left_ms())
-            return reply or self._failed()
+            reply = await self._first_reply(in_flight, self._remaining_ms())
+            return reply or self._failure_outcome()
         finally:
-            for work in under_way:
+            for work in in_flight:
                 work.cancel()
 
     async def _first_reply(
-        self, under_way: "set[_Attempt]", limit_ms: int
+        self, in_flight: "set[_Attempt]", limit_ms: int
     ) -> ServiceReply | None:
         """Wait for a reply; take out the calls that ended without one."""
-        limit_ms = min(limit_ms, self._left_ms())
+        limit_ms = min(limit_ms, self._remaining_ms())
         until_ms = self._clock.now_ms() + limit_ms
-        while under_way and self._clock.now_ms() < until_ms:
-            left_ms = until_ms - self._clock.now_ms()
-            for work in await self._wait(under_way, left_ms):
-                under_way.discard(work)
+        while in_flight and self._clock.now_ms() < until_ms:
+            remaining_ms = until_ms - self._clock.now_ms()
+            for work in await self._wait_for_any(in_flight, remaining_ms):
+                in_flight.discard(work)
                 if isinstance(work.result(), ServiceReply):
                     return work.result()
         return None
 
-    async def _try(
+    async def _call_replica(
         self, name: str, call: ServiceCall
     ) -> ServiceReply | Refused | Broken:
         """Call one replica, noting what a failure proves."""
         service = self._service_by_name.get(name)
         if service is None:
             return Refused(Reason.NO_UPSTREAM, "not served any more")
-        self._unproven += 1
+        self._possible_runs += 1
         try:
-            result = await within(self._clock, self._left_ms(), service.call(call))
+            result = await within(self._clock, self._remaining_ms(), service.call(call))
         except TimeoutError:
             result = Broken(True, "no reply before the deadline")
         if isinstance(result, ServiceReply):
             return result
-        self._detail = result.detail
+        self._last_failure_detail = result.detail
         if isinstance(result, Refused) or not result.may_have_run:
-            self._unproven -= 1
+            self._possible_runs -= 1
             self._on_refused(name)
         return result
 
-    async def _wait(
+    async def _wait_for_any(
         self, tasks: "Iterable[asyncio.Task[T]]", limit_ms: int
     ) -> "set[asyncio.Task[T]]":
         timer = asyncio.ensure_future(self._clock.sleep_ms(limit_ms))
@@ -197,10 +197,12 @@
             timer.cancel()
         return done - {timer}
 
-    def _left_ms(self) -> int:
+    def _remaining_ms(self) -> int:
         return max(0, self._deadline_ms - self._clock.now_ms())
 
-    def _failed(self) -> NotRun | Unknown:
-        if self._unproven:
-            return Unknown(Reason.UPSTREAM_FAILED, self._detail, _RETRY_AFTER_MS)
-        return NotRun(Reason.NO_UPSTREAM, self._detail, _RETRY_AFTER_MS)
+    def _failure_outcome(self) -> NotRun | Unknown:
+        if self._possible_runs:
+            return Unknown(
+                Reason.UPSTREAM_FAILED, self._last_failure_detail, _RETRY_AFTER_MS
+            )
+        return NotRun(Reason.NO_UPSTREAM, self._last_failure_detail, _RETRY_AFTER_MS)
--- a/fireflyward/runs/_sweep.py
+++ b/fireflyward/runs/_sweep.py
@@ -21,9 +21,9 @@
 log = logging.getLogger("fireflyward.runs")
 
 PERIOD_MS = 3_600_000
-KEPT_PERIODS = 24
+RETAINED_PERIODS = 24
 SWEEP_INTERVAL_MS = 60_000
-_PACE_MS = 50
+_PAUSE_BETWEEN_SHARDS_MS = 50
 _CURSOR_KEY = "runs/swept"
 
 
@@ -44,9 +44,9 @@
     enough, records only live longer.
 
     >>> watch = PeriodWatch(100)
-    >>> watch.see(0, Period(7, 3)), watch.see(99, Period(7, 3))
+    >>> watch.observe_row(0, Period(7, 3)), watch.observe_row(99, Period(7, 3))
     (False, False)
-    >>> watch.see(100, Period(7, 3))
+    >>> watch.observe_row(100, Period(7, 3))
     True
     """
 
@@ -57,7 +57,7 @@
         self._period: Period | None = None
         self._since_ms = 0
 
-    def see(self, now_ms: int, period: Period) -> bool:
+    def observe_row(self, now_ms: int, period: Period) -> bool:
         """Take what was read; return whether this node may advance it now."""
         if period != self._period:
             self._period = period
@@ -95,14 +95,14 @@
         clock: Clock,
         *,
         period_ms: int = PERIOD_MS,
-        kept_periods: int = KEPT_PERIODS,
+        retained_periods: int = RETAINED_PERIODS,
         observe: StepObserver = ignore_step,
     ) -> None:
         self._table = table
         self._clock = clock
-        self._kept_periods = kept_periods
+        self._retained_periods = retained_periods
         self._observe = observe
-        self._watch = PeriodWatch(period_ms)
+        self._period_watch = PeriodWatch(period_ms)
 
     async def poll(self) -> int:
         """Look once and do what is due; return how many batches were deleted."""
@@ -110,11 +110,11 @@
         if isinstance(row, Unavailable):
             return 0
         period = period_of(row)
-        if self._watch.see(self._clock.now_ms(), period):
-            await self._advance(period)
-        return await self._sweep(period.number - self._kept_periods)
+        if self._period_watch.observe_row(self._clock.now_ms(), period):
+            await self._advance_period(period)
+        return await self._sweep(period.number - self._retained_periods)
 
-    async def _advance(self, period: Period) -> None:
+    async def _advance_period(self, period: Period) -> None:
         self._observe(SweepStep.PERIOD_ADVANCING)
         result = await self._table.commit(
             expected={PERIOD_KEY: period.version},
@@ -122,20 +122,20 @@
         )
         if isinstance(result, Committed):
             advanced = Period(period.number + 1, period.version + 1)
-            self._watch.see(self._clock.now_ms(), advanced)
+            self._period_watch.observe_row(self._clock.now_ms(), advanced)
 
-    async def _sweep(self, before: int) -> int:
-        """Sweep shards from the cursor on, until the period ``before``."""
+    async def _sweep(self, end_period: int) -> int:
+        """Sweep shards from the cursor on, until the period ``end_period``."""
         deleted = 0
         while True:
             cursor = await self._read_cursor()
-            if cursor is None or cursor.period >= before:
+            if cursor is None or cursor.period >= end_period:
                 return deleted
-            done = await self._sweep_shard(cursor)
-            if done is None or not await self._move(cursor):
+            deleted_in_shard = await self._sweep_shard(cursor)
+            if deleted_in_shard is None or not await self._advance_cursor(cursor):
                 return deleted
-            deleted += done
-            await self._clock.sleep_ms(_PACE_MS)
+            deleted += deleted_in_shard
+            await self._clock.sleep_ms(_PAUSE_BETWEEN_SHARDS_MS)
 
     async def _sweep_shard(self, cursor: Cursor) -> int | None:
         rows = await self._table.scan(shard_prefix(cursor.period, cursor.shard))
@@ -174,7 +174,7 @@
         period, shard = msgspec.json.decode(row.value, type=tuple[int, int])
         return Cursor(period, shard, row.version)
 
-    async def _move(self, cursor: Cursor) -> bool:
+    async def _advance_cursor(self, cursor: Cursor) -> bool:
         self._observe(SweepStep.CURSOR_MOVING)
         result = await self._table.commit(
             expected={_CURSOR_KEY: cursor.version},
--- a/fireflyward/runs/_task.py
+++ b/fireflyward/runs/_task.py
@@ -14,8 +14,8 @@
 
 from ._attempt import Attempt, Prepare
 from ._budget import RetryBudget
-from ._detached import detach, keep
-from ._idempotency_record import Once
+from ._detached import detach, track
+from ._idempotency_record import IdempotencyRecord
 from ._messages import (
     Action,
     Begin,
@@ -38,10 +38,10 @@
 from ._run import Run
 from ._steps import OnceStep, PromptStep, StreamStep
 
-_PENDING_EVENTS = 16
-_PENDING_PIECES = 64
-_SLOW_CALLER_MS = 30_000
-_CANCEL_TRIES = 2
+_MAX_PENDING_EVENTS = 16
+_MAX_PENDING_PIECES = 64
+_CALLER_READ_TIMEOUT_MS = 30_000
+_MAX_CANCEL_ATTEMPTS = 2
 
 Result = Placed | Deliver | End
 
@@ -50,9 +50,9 @@
     """Owns the connections of one run.
 
     ``results`` yields ``Placed`` and ``Deliver`` and then one ``End``. The task
-    holds at most ``_PENDING_PIECES`` pieces that the caller has not read; after
+    holds at most ``_MAX_PENDING_PIECES`` pieces that the caller has not read; after
     that it stops reading the replica, and a caller that reads nothing for
-    ``_SLOW_CALLER_MS`` counts as gone.
+    ``_CALLER_READ_TIMEOUT_MS`` counts as gone.
 
     ``prepare(replica, call, shape)`` is awaited between choosing and starting, for
     at most its own limit; ``record`` is the record of a non-idempotent request;
@@ -69,7 +69,7 @@
         shape: RunShape,
         deadline_ms: int,
         prepare: Prepare | None = None,
-        record: Once | None = None,
+        record: IdempotencyRecord | None = None,
         budget: RetryBudget | None = None,
         mark: Mark | None = None,
         is_streamed: bool = True,
@@ -82,18 +82,20 @@
         self._call = call
         self._shape = shape
         self._deadline_ms = deadline_ms
-        self._once = record
+        self._record = record
         self._observe = observe
         self._run = Run(
             deadline_ms,
             version=call.version,
-            is_once=record is not None,
+            is_non_idempotent=record is not None,
             is_streamed=is_streamed,
             budget=budget,
             mark=mark,
         )
-        self._inbox: asyncio.Queue[Message | Exception] = asyncio.Queue(_PENDING_EVENTS)
-        self._attempts = Attempt(
+        self._inbox: asyncio.Queue[Message | Exception] = asyncio.Queue(
+            _MAX_PENDING_EVENTS
+        )
+        self._attempt = Attempt(
             clock=clock,
             router=router,
             call=call,
@@ -105,12 +107,12 @@
             limits=limits or SilenceLimits(),
             observe=observe,
         )
-        self._out: list[Result] = []
+        self._undelivered: list[Result] = []
         self._outbox: asyncio.Queue[Result | Exception] = asyncio.Queue()
-        self._room = asyncio.Semaphore(_PENDING_PIECES)
-        self._is_gone = False
+        self._free_piece_slots = asyncio.Semaphore(_MAX_PENDING_PIECES)
+        self._is_caller_gone = False
         self._timers: list[Timer] = []
-        self._texts: list[str] = []
+        self._answer_texts: list[str] = []
 
     @property
     def has_pending(self) -> bool:
@@ -129,60 +131,62 @@
                 if isinstance(result, Exception):
                     raise result
                 if isinstance(result, Deliver):
-                    self._room.release()
+                    self._free_piece_slots.release()
                 yield result
                 if isinstance(result, End):
                     return
         finally:
-            self._on_caller_gone(worker)
+            self._on_results_closed(worker)
 
-    def _on_caller_gone(self, worker: "asyncio.Task[None]") -> None:
+    def _on_results_closed(self, worker: "asyncio.Task[None]") -> None:
         """Cancel the run, unless it must go on to be known."""
         if worker.done() or self._run.has_ended:
             return
-        self._is_gone = True
-        self._room.release()
+        self._is_caller_gone = True
+        self._free_piece_slots.release()
         self._observe(StreamStep.CALLER_GONE)
-        self._take(CallerGone())
+        self._handle(CallerGone())
         if self._run.has_ended:
             worker.cancel()
-        keep(worker)
+        track(worker)
 
     async def _work(self) -> None:
-        self._after(self._deadline_ms - self._clock.now_ms(), DeadlinePassed())
+        self._enqueue_later(self._deadline_ms - self._clock.now_ms(), DeadlinePassed())
         try:
-            self._take(Begin())
+            self._handle(Begin())
             await self._flush()
             while not self._run.has_ended:
                 message = await self._inbox.get()
                 if isinstance(message, Exception):
                     raise message
-                self._take(message)
+                self._handle(message)
                 await self._flush()
         except Exception as error:
             self._outbox.put_nowait(error)
         finally:
-            self._attempts.stop()
+            self._attempt.stop()
             for timer in self._timers:
                 timer.cancel()
 
     async def _flush(self) -> None:
         """Hand on what was decided, waiting while the caller reads too slowly."""
-        out, self._out = self._out, []
-        for result in out:
-            if isinstance(result, Deliver) and not self._is_gone:
-                await self._wait_for_room()
-            if not self._is_gone:
+        undelivered, self._undelivered = self._undelivered, []
+        for result in undelivered:
+            if isinstance(result, Deliver) and not self._is_caller_gone:
+                await self._wait_for_piece_slot()
+            if not self._is_caller_gone:
                 self._outbox.put_nowait(result)
 
-    async def _wait_for_room(self) -> None:
-        if not self._room.locked():
-            await self._room.acquire()
+    async def _wait_for_piece_slot(self) -> None:
+        if not self._free_piece_slots.locked():
+            await self._free_piece_slots.acquire()
             return
         try:
-            await within(self._clock, _SLOW_CALLER_MS, self._room.acquire())
+            await within(
+                self._clock, _CALLER_READ_TIMEOUT_MS, self._free_piece_slots.acquire()
+            )
         except TimeoutError:
-            self._take(CallerGone())
+            self._handle(CallerGone())
 
     def _on_dispatch(self, attempt: int) -> None:
         """Count a dispatch before its bytes leave.
@@ -191,49 +195,49 @@
         closes now would otherwise overtake it, and a run that left would be called
         not run.
         """
-        self._take(Dispatching(attempt))
+        self._handle(Dispatching(attempt))
 
-    def _take(self, message: Message) -> None:
+    def _handle(self, message: Message) -> None:
         for action in self._run.decide(self._clock.now_ms(), message):
             _perform(action, self)
 
-    def _after(self, duration_ms: int, message: Message) -> None:
-        tell = partial(self._tell, message)
-        self._timers.append(self._clock.call_later_ms(duration_ms, tell))
+    def _enqueue_later(self, duration_ms: int, message: Message) -> None:
+        enqueue = partial(self._enqueue, message)
+        self._timers.append(self._clock.call_later_ms(duration_ms, enqueue))
 
-    def _tell(self, message: Message) -> None:
+    def _enqueue(self, message: Message) -> None:
         """Put a message in the inbox, after what is there if it is full."""
         if self._inbox.full():
             self._timers.append(asyncio.ensure_future(self._inbox.put(message)))
         else:
             self._inbox.put_nowait(message)
 
-    async def _settle(self, record: Once, outcome: Outcome) -> None:
+    async def _settle(self, record: IdempotencyRecord, outcome: Outcome) -> None:
         self._observe(OnceStep.SETTLING)
-        await record.settle(outcome, "".join(self._texts))
+        await record.settle(outcome, "".join(self._answer_texts))
         self._observe(OnceStep.SETTLED)
 
 
 @singledispatch
 def _perform(action: Action, task: RunTask) -> None:
-    task._out.append(action)
+    task._undelivered.append(action)
 
 
 @_perform.register
 def _(action: Deliver, task: RunTask) -> None:
     task._observe(PromptStep.DELIVERING)
-    if task._once:
-        task._texts.append(action.text)
-    task._out.append(action)
+    if task._record:
+        task._answer_texts.append(action.text)
+    task._undelivered.append(action)
 
 
 @_perform.register
 def _(action: End, task: RunTask) -> None:
     task._observe(PromptStep.ENDED)
-    task._attempts.stop()
-    if task._once:
-        detach(task._settle(task._once, action.outcome))
-    task._out.append(action)
+    task._attempt.stop()
+    if task._record:
+        detach(task._settle(task._record, action.outcome))
+    task._undelivered.append(action)
 
 
 @_perform.register
@@ -241,29 +245,29 @@
     task._observe(PromptStep.CHOOSING)
     now_ms = task._clock.now_ms()
     with hop("routing"):
-        name = task._router.choose(now_ms, task._shape, without=action.without)
+        name = task._router.choose(now_ms, task._shape, without=action.excluded)
     task._observe(PromptStep.CHOSEN)
-    task._take(Chosen(name))
+    task._handle(Chosen(name))
 
 
 @_perform.register
 def _(action: Start, task: RunTask) -> None:
     engine = task._engine_by_name[action.replica]
-    task._attempts.start(action.attempt, action.replica, engine)
+    task._attempt.start(action.attempt, action.replica, engine)
 
 
 @_perform.register
 def _(action: Resume, task: RunTask) -> None:
     engine = task._engine_by_name.get(action.replica)
     task._observe(StreamStep.RESUMING)
-    task._attempts.resume(action.attempt, action.replica, engine, action.offset)
+    task._attempt.resume(action.attempt, action.replica, engine, action.offset)
 
 
 @_perform.register
 def _(action: Wait, task: RunTask) -> None:
     task._observe(StreamStep.WAITING)
-    task._attempts.stop()
-    task._after(action.duration_ms, Waited())
+    task._attempt.stop()
+    task._enqueue_later(action.duration_ms, Waited())
 
 
 @_perform.register
@@ -276,6 +280,6 @@
 
 async def _cancel(engine: Engine, run_id: str) -> None:
     """Cancel a run; one more try, since the first may meet a lost connection."""
-    for _ in range(_CANCEL_TRIES):
+    for _ in range(_MAX_CANCEL_ATTEMPTS):
         if await engine.cancel(run_id) is not CancelState.NO_ANSWER:
             return
--- a/tests/runs/test_properties.py
+++ b/tests/runs/test_properties.py
@@ -91,10 +91,10 @@
 class Scene:
     """Two nodes, three replicas, a table, and callers that share one key."""
 
-    def __init__(self, *, is_once):
+    def __init__(self, *, is_non_idempotent):
         self.clock = ManualClock()
         self.table = MemoryTable()
-        self.is_once = is_once
+        self.is_non_idempotent = is_non_idempotent
         self.asked = []
         self.engine_by_name = {
             name: MemoryEngine(
@@ -115,7 +115,7 @@
             [Candidate(name, "d", ("m",), {"m": "v1"}) for name in REPLICAS]
         )
         record = None
-        if self.is_once:
+        if self.is_non_idempotent:
             record = RequestRecord(
                 self.records[node],
                 account="acc",
@@ -204,8 +204,8 @@
         return sum(item.dispatches for item in self.engine_by_name.values())
 
 
-async def play(steps, *, is_once):
-    scene = Scene(is_once=is_once)
+async def play(steps, *, is_non_idempotent):
+    scene = Scene(is_non_idempotent=is_non_idempotent)
     await scene.play(steps)
     for asked in scene.asked:
         asked.reader.cancel()
@@ -225,7 +225,7 @@
     @SETTINGS
     @given(STEPS)
     def test_non_idempotent_run_starts_at_most_once(self, steps):
-        scene = asyncio.run(play(steps, is_once=True))
+        scene = asyncio.run(play(steps, is_non_idempotent=True))
         self.assertLessEqual(scene.started(), 1)
         self.check_answers(scene)
         outcomes = [asked.outcome for asked in scene.asked]
@@ -236,8 +236,8 @@
     @given(STEPS)
     def test_lone_caller_is_never_told_not_run_falsely(self, steps):
         steps = [step for step in steps if step[0] not in ("ask", "caller goes")]
-        for is_once in (True, False):
-            scene = asyncio.run(play(steps, is_once=is_once))
+        for is_non_idempotent in (True, False):
+            scene = asyncio.run(play(steps, is_non_idempotent=is_non_idempotent))
             (asked,) = scene.asked
             self.assertIsInstance(asked.outcome, Answered | NotRun | Unknown)
             if isinstance(asked.outcome, NotRun):
@@ -248,7 +248,7 @@
     @given(STEPS, st.integers(0, 1))
     def test_caller_that_comes_back_has_no_seam(self, steps, node):
         async def come_back():
-            scene = Scene(is_once=False)
+            scene = Scene(is_non_idempotent=False)
             scene.ask(0)
             for kind, what in steps:
                 await scene.do(kind, what)
--- a/tests/runs/test_run.py
+++ b/tests/runs/test_run.py
@@ -173,7 +173,7 @@
         """Symptom: a verdict is computed and billed twice. Sequence: a replica
         takes a non-idempotent run and its connection breaks for good. Cause: the
         run was started again on another replica, as an idempotent one is."""
-        self.begin(is_once=True)
+        self.begin(is_non_idempotent=True)
         (resume,) = self.event(self.place("a"), Broken(True, "cut"))
         (end,) = self.event(resume.attempt, Broken(True, "status 404"))
         self.assertIsInstance(end.outcome, Unknown)
@@ -182,7 +182,7 @@
         proofs = [Refused(Reason.STOPPING), Broken(False, "connection refused")]
         for proof in proofs:
             with self.subTest(proof=proof):
-                self.begin(is_once=True)
+                self.begin(is_non_idempotent=True)
                 (wait,) = self.event(self.place("a"), proof)
                 self.assertIsInstance(wait, Wait)
 
@@ -215,7 +215,7 @@
         self.assertEqual(self.run_.decide(0, CallerGone())[0], Cancel("a"))
 
     def test_caller_gone_leaves_a_non_idempotent_run_to_become_known(self):
-        self.begin(is_once=True)
+        self.begin(is_non_idempotent=True)
         first = self.place("a")
         self.assertEqual(self.run_.decide(0, CallerGone()), [])
         self.event(first, Piece(0, 1, "x "))
@@ -223,7 +223,7 @@
         self.assertEqual(actions, [End(Answered(Usage(1, 1)))])
 
     def test_lost_run_of_a_caller_that_comes_back_is_not_started_again(self):
-        self.begin(is_once=True, mark=Mark("a", 3, 14, 1))
+        self.begin(is_non_idempotent=True, mark=Mark("a", 3, 14, 1))
         (end,) = self.event(1, Broken(True, "status 404"))
         self.assertEqual(end.outcome.reason, Reason.DUPLICATE_RUNNING)
         self.assertIsInstance(end.outcome, Unknown)
--- a/tests/runs/test_sweep.py
+++ b/tests/runs/test_sweep.py
@@ -18,7 +18,7 @@
 from fireflyward.standins import MemoryTable
 
 PERIOD_MS = 1_000
-KEPT = 3
+RETAINED = 3
 
 
 class SweepTests(unittest.IsolatedAsyncioTestCase):
@@ -34,7 +34,9 @@
         self.arrivals = 0
 
     def make_sweeper(self):
-        return Sweeper(self.table, self.clock, period_ms=PERIOD_MS, kept_periods=KEPT)
+        return Sweeper(
+            self.table, self.clock, period_ms=PERIOD_MS, retained_periods=RETAINED
+        )
 
     async def soon(self, work):
         task = asyncio.ensure_future(work)
@@ -64,7 +66,7 @@
 
     async def test_record_lasts_its_periods_and_no_longer_than_two_more(self):
         await self.soon(self.record().claim("r"))
-        await self.pass_periods(KEPT)
+        await self.pass_periods(RETAINED)
         self.assertIsInstance(await self.soon(self.record().claim("s")), EarlierRun)
         await self.pass_periods(2)
         self.assertEqual(self.rows(), [])
@@ -87,7 +89,7 @@
         first = self.record()
         await self.soon(first.claim("r"))
         await self.soon(first.settle(NotRun(Reason.NO_UPSTREAM), ""))
-        await self.pass_periods(KEPT)
+        await self.pass_periods(RETAINED)
         self.assertIsInstance(await self.soon(self.record().claim("r")), Permit)
         await self.pass_periods(2)
         self.assertIsInstance(await self.soon(self.record().claim("s")), EarlierRun)
@@ -96,18 +98,18 @@
         """Symptom: a record is deleted at once. Sequence: a node that last read the
         period long ago claims a record. Cause: it filed it under that period."""
         await self.soon(self.record("before").claim("r"))
-        await self.pass_periods(KEPT + 2)
+        await self.pass_periods(RETAINED + 2)
         await self.soon(self.record().claim("r"))
         await self.soon(self.make_sweeper().poll())
         self.assertIsInstance(await self.soon(self.record().claim("s")), EarlierRun)
-        await self.pass_periods(KEPT + 2)
+        await self.pass_periods(RETAINED + 2)
         self.assertEqual(self.rows(), [])
 
     async def test_two_sweepers_and_a_lost_answer_do_no_harm(self):
         for number in range(20):
             await self.soon(self.record(f"k{number}").claim("r"))
         other = self.make_sweeper()
-        for _ in range(3 * (KEPT + 2)):
+        for _ in range(3 * (RETAINED + 2)):
             self.table.lose_answers = 1
             await self.soon(asyncio.gather(self.sweeper.poll(), other.poll()))
             await self.clock.advance_ms(PERIOD_MS)
--- a/tests/runs/test_task.py
+++ b/tests/runs/test_task.py
@@ -196,7 +196,7 @@
         a bound."""
         task = self.make(deadline_ms=600_000)
         task._call = EngineCall("r1", "m", "v1", PROMPT, 5_000)
-        task._attempts._call = task._call
+        task._attempt._call = task._call
         results = task.results()
         await results.__anext__()
         await self.clock.advance_ms(16_000)
