--- a/fireflyward/runs/__init__.py
+++ b/fireflyward/runs/__init__.py
@@ -1,4 +1,4 @@
-"""Runs: from an admitted request to its one outcome."""
+"""Runs: each takes an admitted request to its single outcome."""
 
 from ._attempt import Prepare
 from ._budget import RetryBudget
--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a time: what happens between choosing and the last event."""
+"""Executes a run's attempts, one at a time, up to their last event."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
@@ -44,7 +44,7 @@
 
 
 class Attempt:
-    """Owns the connection of a run's current attempt; a new one ends the old."""
+    """Owns the connection of a run's current attempt; a new one stops the old one."""
 
     def __init__(
         self,
@@ -74,17 +74,17 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self, number: int, replica: str, engine: Engine) -> None:
-        """Prepare the replica, claim the record if there is one, and dispatch."""
+        """Prepare the replica, claim the record if the run has one, and dispatch."""
         self._replace_task(self._start(number, replica, engine))
 
     def resume(
         self, number: int, replica: str, engine: Engine | None, offset: int
     ) -> None:
-        """Read the run from ``offset``; without an engine it is lost at once."""
+        """Read the run from ``offset``; without an engine, report it as broken."""
         self._replace_task(self._resume(number, replica, engine, offset))
 
     def stop(self) -> None:
-        """Stop reading."""
+        """Stop reading from the replica."""
         if self._task and not self._task.done():
             self._task.cancel()
 
@@ -93,7 +93,7 @@
         self._task = asyncio.ensure_future(self._forward_error(work))
 
     async def _forward_error(self, work: Coroutine[None, None, None]) -> None:
-        """Hand an exception to the run's task, which ends by it."""
+        """Put an exception into the inbox, where it makes the run's task fail."""
         try:
             await work
         except Exception as error:
@@ -122,7 +122,7 @@
         self, number: int, replica: str, engine: Engine | None, offset: int
     ) -> None:
         if engine is None:
-            lost = Broken(True, f"replica {replica} is not served any more")
+            lost = Broken(True, f"replica {replica} is no longer served")
             await self._inbox.put(AttemptEvent(number, lost))
             return
         with hop("resume", upstream=replica):
@@ -132,7 +132,7 @@
             )
 
     async def _prepare_replica(self, replica: str) -> None:
-        """Prepare in bounded time; a run without it is slower and not wrong."""
+        """Prepare in bounded time; without preparation a run is only slower."""
         work = self._prepare(replica, self._call, self._shape)
         until_ms = self._clock.now_ms() + _PREPARE_TIMEOUT_MS
         with suppress(TimeoutError):
@@ -150,11 +150,11 @@
         self._observe(OnceStep.DISPATCHING)
         if self._is_permit_valid():
             return True
-        # A process that was paused after its claim wakes here believing that it may
-        # still dispatch. Its caller has given up, and the record may have been
-        # swept meanwhile, so a second request with the key would run beside this
-        # one: a doubled effect. The monotonic clock kept counting during the pause.
-        outcome = NotRun(Reason.DEADLINE, "its permit ran out", _RETRY_AFTER_MS)
+        # A process that was paused after its claim resumes here with an expired
+        # permit. Its caller has given up, and a sweep may have deleted the record in
+        # the meantime, so a second request with the same key could run as well and
+        # its effect would be duplicated. The monotonic clock counts such a pause.
+        outcome = NotRun(Reason.DEADLINE, "its permit expired", _RETRY_AFTER_MS)
         await self._inbox.put(Denied(number, outcome))
         return False
 
@@ -201,7 +201,7 @@
 
 
 def _message_for(result: ClaimResult, number: int) -> Message:
-    """Return what the run is told when the record is not its own."""
+    """Return the message for a run that did not get a permit."""
     if isinstance(result, EarlierAnswer):
         return Stored(number, result.body, result.usage)
     if isinstance(result, EarlierRun):
--- a/fireflyward/runs/_budget.py
+++ b/fireflyward/runs/_budget.py
@@ -1,4 +1,4 @@
-"""How much a node retries: a share of its traffic, with spread pauses."""
+"""Limits a node's retries to a share of its traffic, with jittered backoff."""
 
 import random
 
@@ -9,12 +9,13 @@
 
 
 class RetryBudget:
-    """A token bucket that requests fill and retries empty.
+    """A token bucket that is filled by requests and emptied by retries.
 
-    When many replicas fail, retries without a bound multiply the load on those
-    that are left until they fail too. Every request adds ``share`` of a token
-    and every retry takes a whole one, so that retries stay under that share of
-    the traffic whatever fails; ``capacity`` lets a quiet node retry at all.
+    When many replicas fail, unlimited retries multiply the load on the remaining
+    ones until these fail too. Every request adds ``share`` of a token and every
+    retry takes a whole token, so retries never exceed that share of the traffic.
+    The bucket starts with ``capacity`` tokens, so that a node with little traffic
+    can retry as well.
 
     >>> budget = RetryBudget(capacity=1)
     >>> budget.try_acquire(), budget.try_acquire()
@@ -36,24 +37,24 @@
         self._random = random.Random(seed)
 
     def __repr__(self) -> str:
-        return f"RetryBudget(saved={self._tokens:.1f})"
+        return f"RetryBudget(tokens={self._tokens:.1f})"
 
     def on_request(self) -> None:
-        """Count a request that is no retry."""
+        """Count a request that is not a retry."""
         self._tokens = min(self._most_saved, self._tokens + self._share)
 
     def try_acquire(self) -> bool:
-        """Take a token for a retry, if there is one."""
+        """Take a token for a retry; return False if none is left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
     def backoff_ms(self, retries: int) -> int:
-        """Return the pause before retry number ``retries``, with full jitter.
+        """Return the backoff before retry number ``retries``, with full jitter.
 
-        Pauses that were all equal would bring the retries of one failure back
-        together, as a second peak.
+        With equal backoffs, all requests that one failure affected would be retried
+        at the same time and cause a second peak.
         """
         max_ms = min(_MAX_BACKOFF_MS, _FIRST_BACKOFF_MS << (retries - 1))
         return self._random.randint(0, max_ms)
--- a/fireflyward/runs/_delivery_cursor.py
+++ b/fireflyward/runs/_delivery_cursor.py
@@ -1,4 +1,4 @@
-"""Where a caller stands in its answer, over all attempts of a run."""
+"""How much of its answer a caller has received, over all attempts of a run."""
 
 import zlib
 from dataclasses import dataclass
@@ -10,22 +10,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """The piece does not follow the one before it on its connection."""
+    """The piece does not start where the previous one of its stream ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class Diverged:
-    """This attempt's text is not the text that the caller already has."""
+    """This attempt's text differs from the text that the caller already has."""
 
 
 class DeliveryCursor:
-    """Cuts each attempt's pieces so that the caller sees one answer.
-
-    A new attempt on another replica starts at the first token and in pieces of
-    other sizes, so one of them usually straddles the point that the caller has
-    reached. DeliveryCursor whole it repeats text, dropped it leaves a gap. The cut is
-    made by characters, and only when the checksum of what is skipped is that of
-    what was delivered; a replica that answers differently would leave a seam.
+    """Cuts each attempt's pieces so that the caller receives one continuous answer.
+
+    A new attempt on another replica starts at the first token, and its pieces have
+    other sizes, so one of them usually contains the point that the caller has
+    reached. Delivering that piece completely would repeat text, and dropping it
+    would leave a gap. The piece is therefore cut at the character. This is done only
+    if the skipped text has the checksum of the delivered text: otherwise the caller
+    would get the start of one answer and the rest of a different one.
     """
 
     __slots__ = ("_position", "_delivered", "replica")
@@ -36,29 +37,29 @@
         self.replica = self._delivered.replica
 
     def __repr__(self) -> str:
-        return f"Delivered({self._delivered!r})"
+        return f"DeliveryCursor({self._delivered!r})"
 
     @property
     def tokens(self) -> int:
         return self._delivered.tokens
 
     def mark(self) -> Mark:
-        """Return where the caller stands."""
+        """Return the point that the caller has reached."""
         delivered = self._delivered
         return Mark(self.replica, delivered.tokens, delivered.chars, delivered.checksum)
 
     def begin_attempt(self, replica: str) -> None:
-        """An attempt starts on ``replica`` at the answer's first token."""
+        """Start an attempt on ``replica`` at the answer's first token."""
         self.replica = replica
         self._position = Mark(replica)
 
     def resume_attempt(self, replica: str) -> None:
-        """An attempt goes on at the point that the caller has reached."""
+        """Start an attempt that continues where the caller's text ends."""
         self.replica = replica
         self._position = self._delivered
 
     def on_piece(self, piece: Piece) -> Deliver | Gap | Diverged | None:
-        """Return what of a piece is new; None when the caller has all of it."""
+        """Return a piece's new part, or None if the caller already has all of it."""
         if piece.offset != self._position.tokens:
             return Gap()
         delivered = self._delivered
--- a/fireflyward/runs/_detached.py
+++ b/fireflyward/runs/_detached.py
@@ -1,4 +1,4 @@
-"""Work that goes on after its caller has gone."""
+"""Tasks that continue after their caller has gone."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,25 +6,25 @@
 
 T = TypeVar("T")
 
-# The event loop holds only weak references to tasks. A run that was collected
-# half-way would stay unsettled for no visible reason; this set keeps it.
+# The event loop holds only weak references to tasks. Without this set, a task could
+# be garbage-collected before it finishes, and its run would never be settled.
 _detached_tasks: "set[asyncio.Task[object]]" = set()
 
 
 def detach(work: Coroutine[None, None, T]) -> "asyncio.Task[T]":
-    """Run ``work`` to its end, whoever waits for it."""
+    """Run ``work`` to completion, whether or not anything awaits the task."""
     return track(asyncio.ensure_future(work))
 
 
 def track(task: "asyncio.Task[T]") -> "asyncio.Task[T]":
-    """Keep a task that is under way until its end."""
+    """Hold a reference to a running task until it is done."""
     _detached_tasks.add(task)
     task.add_done_callback(_detached_tasks.discard)
     return task
 
 
 async def finish_detached(timeout_s: float) -> int:
-    """Wait for what is detached; return how much was still under way."""
+    """Wait for all detached tasks; return how many are unfinished at the timeout."""
     loop = asyncio.get_running_loop()
     tasks = {task for task in _detached_tasks if task.get_loop() is loop}
     if not tasks:
--- a/fireflyward/runs/_group_commit.py
+++ b/fireflyward/runs/_group_commit.py
@@ -1,4 +1,4 @@
-"""Writes of many requests in one transaction of the table service."""
+"""Combines writes of many requests into one transaction of the table service."""
 
 import asyncio
 import itertools
@@ -23,26 +23,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """The row is written and has this version now."""
+    """The row was written and now has this version."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class VersionMismatch:
-    """Nothing was written: the row has another version than was expected."""
+    """Nothing was written: the row does not have the expected version."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotWritten:
-    """The table did not take the write, and no earlier try can still land."""
+    """Nothing was written, and no earlier attempt can still take effect."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class MaybeWritten:
-    """The answer was lost; the write may have taken effect, or may do so later."""
+    """The response was lost; the write may have taken effect or may still do so."""
 
     detail: str
 
@@ -53,10 +53,10 @@
 
 @dataclass(eq=False, slots=True)
 class Write:
-    """One row to be written if it has ``expected`` as its version.
+    """One row to be written if its version is ``expected``.
 
-    ``encode`` gives the row's value for the retention period that it is written in;
-    ``due_ms`` is until when the write may wait for others to go with.
+    ``encode`` returns the row's value for the retention period in which it is
+    written. Until ``due_ms`` the write may wait to be combined with other writes.
     """
 
     key: str
@@ -68,11 +68,11 @@
 
 @dataclass(eq=False, slots=True)
 class Batch:
-    """Writes that go into one transaction.
+    """Writes that are committed in one transaction.
 
     ``marker`` is a row that only this batch writes. It lists the batch's keys for
-    the sweep, and it is what a second try meets when the first had landed: either
-    every write of the batch took effect or none.
+    the sweep. If a repeated commit finds the marker present, the first commit took
+    effect, and with it every write of the batch, since a transaction is atomic.
     """
 
     marker: str
@@ -82,11 +82,12 @@
 
 
 class WriteQueue:
-    """Decides which writes go together and when.
+    """Decides which writes are committed together and when.
 
-    One transaction is under way at a time and ``min_interval_ms`` lies between the starts
-    of two, so that a node's share of the table's writes is bounded whatever its
-    traffic; a write that comes alone after a pause goes at once.
+    Only one transaction is in flight at a time, and at least ``min_interval_ms``
+    pass between the starts of two, which limits the node's share of the table's
+    writes independent of its traffic. A single write after an idle period is
+    committed immediately.
     """
 
     __slots__ = ("_min_interval_ms", "_last_start_ms", "_max_writes", "_queued")
@@ -107,7 +108,7 @@
         self._queued.append(write)
 
     def wait_ms(self, now_ms: int) -> int:
-        """Return how long the next transaction has to wait."""
+        """Return the time until the next transaction may start."""
         first_due_ms = min((write.due_ms for write in self._queued), default=now_ms)
         return max(
             0,
@@ -116,7 +117,7 @@
         )
 
     def take_batch(self, now_ms: int) -> list[Write]:
-        """Return the next transaction's writes, each of another row."""
+        """Remove and return the next transaction's writes, at most one for each row."""
         self._last_start_ms = now_ms
         taken: dict[str, Write] = {}
         remaining: deque[Write] = deque()
@@ -133,10 +134,10 @@
 
 @dataclass(slots=True)
 class GroupCommit:
-    """Owns the transactions of one node's records.
+    """Owns the transactions that write one node's records.
 
-    Each is conditional on the retention period that its marker names, so that no
-    record can be filed under a period that the sweep has left behind.
+    Each transaction is conditional on the retention period that its marker names, so
+    that no record can be stored under a period that the sweep has already passed.
     """
 
     table: Table
@@ -152,10 +153,10 @@
     async def write(
         self, key: str, expected: int, encode: Encode, *, is_lazy: bool = False
     ) -> WriteResult:
-        """Write one row together with others; give the result of this row.
+        """Write one row together with others; return the result for this row.
 
-        A lazy write waits up to ``_MAX_LAZY_DELAY_MS`` for one that is not, so that the end
-        of a request usually costs no transaction of its own.
+        A lazy write waits up to ``_MAX_LAZY_DELAY_MS`` for a write that is not lazy,
+        so that settling a request usually needs no transaction of its own.
         """
         done: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
         due_ms = self.clock.now_ms() + (_MAX_LAZY_DELAY_MS if is_lazy else 0)
@@ -166,7 +167,7 @@
         return await asyncio.shield(done)
 
     def stop(self) -> None:
-        """Stop writing at once."""
+        """Stop writing immediately."""
         if self._task:
             self._task.cancel()
 
@@ -182,7 +183,7 @@
                 await self._commit(Batch(self._next_marker(), writes, now_ms))
 
     async def _wait(self, limit_ms: int) -> None:
-        """Wait for the time of the next transaction, or for another write."""
+        """Wait for ``limit_ms`` or until another write is added."""
         self._write_added.clear()
         try:
             await within(self.clock, limit_ms, self._write_added.wait())
@@ -212,10 +213,10 @@
     async def _on_conflict(
         self, batch: Batch, version_by_key: Mapping[str, int]
     ) -> None:
-        """Take out what moved; the rest is tried again under the same marker.
+        """Remove writes with a version mismatch; retry the rest with the same marker.
 
-        The marker stays the same so that an earlier try which is still on its way
-        cannot land beside a later one.
+        The marker stays the same so that an earlier attempt that is still in flight
+        cannot take effect in addition to a later one.
         """
         if version_by_key.get(batch.marker, 0):
             _finish(batch, {})
@@ -226,22 +227,23 @@
         if is_old_period:
             await self._move_to_current_period(batch)
         elif not had_mismatch:
-            _resolve_all(batch, MaybeWritten("its conflict could not be settled"))
+            _resolve_all(batch, MaybeWritten("the cause of its conflict is unclear"))
 
     async def _move_to_current_period(self, batch: Batch) -> None:
-        """File a batch under the current period.
+        """Assign a batch to the current period.
 
-        Filed under one that the sweep has passed, its records would never be
-        deleted. An earlier try cannot land any more: it names the old period.
+        Under a period that the sweep has passed, its records would never be deleted.
+        Earlier attempts can no longer take effect, because they require the old
+        period.
         """
         if not await self.read_period():
-            _resolve_all(batch, NotWritten("the retention period is not known"))
+            _resolve_all(batch, NotWritten("the retention period could not be read"))
             return
         batch.marker = self._next_marker()
         batch.may_have_committed = False
 
     async def read_period(self) -> bool:
-        """Learn the current retention period; return whether the table told it."""
+        """Read the current retention period; return whether the table was available."""
         row = await self.table.get(PERIOD_KEY)
         if isinstance(row, Unavailable):
             return False
@@ -251,7 +253,7 @@
     async def _try_commit(
         self, batch: Batch
     ) -> Committed | Conflict | Unavailable | Uncertain:
-        """Commit a batch once, in bounded time."""
+        """Commit a batch a single time, with a timeout."""
         self.commits += 1
         period = self.period
         expected = {write.key: write.expected for write in batch.writes}
@@ -274,7 +276,7 @@
 
 
 def _drop_mismatched(batch: Batch, version_by_key: Mapping[str, int]) -> bool:
-    """Take the moved rows out of a batch; return whether there were any."""
+    """Remove rows with a version mismatch from a batch; return whether any existed."""
     mismatched = {
         write.key
         for write in batch.writes
--- a/fireflyward/runs/_idempotency_record.py
+++ b/fireflyward/runs/_idempotency_record.py
@@ -1,4 +1,4 @@
-"""What a non-idempotent run needs of its record."""
+"""The interface of the record that prevents a request from running twice."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """The request may be dispatched until ``valid_until_ms`` of this clock."""
+    """The request may be dispatched until ``valid_until_ms`` of the local clock."""
 
     valid_until_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class EarlierAnswer:
-    """An earlier request with this key ended, and this is its answer."""
+    """An earlier request with this key has ended; this is its answer."""
 
     body: str
     usage: Usage = Usage()
@@ -37,7 +37,7 @@
     """The record of one non-idempotent request."""
 
     async def claim(self, replica: str) -> ClaimResult:
-        """Write the record, or say what an earlier request left."""
+        """Write the record, or return the state of an earlier request with this key."""
 
     async def settle(self, outcome: Outcome, body: str) -> None:
-        """Write down how the request ended."""
+        """Record how the request ended."""
--- a/fireflyward/runs/_ids.py
+++ b/fireflyward/runs/_ids.py
@@ -1,4 +1,4 @@
-"""Names of runs, and the marks with which callers come back to them."""
+"""Run ids, and sealed marks with which callers return to their runs."""
 
 import base64
 import hashlib
@@ -14,7 +14,7 @@
 
 
 class SealedMark(msgspec.Struct, array_like=True):
-    """What a mark carries: where the run is, and how far its caller has it."""
+    """Content of a mark: the run's replica and how much its caller has received."""
 
     replica: str
     version: str
@@ -26,12 +26,12 @@
 class RunIds:
     """Derives run ids and seals marks with the deployment's secret.
 
-    The id of a run follows from the client account, the Idempotency-Key and the
-    request's fingerprint, so every node derives the same one and none has to be
-    looked up. A mark is sealed with the id of its run: sent with another account's
-    key, another Idempotency-Key or another body it opens nothing, and its parts
-    cannot be changed, so a caller can neither name another's run nor choose a
-    replica or weight version for its own.
+    The run id is derived from the client account, the Idempotency-Key and the
+    request's fingerprint, so every node computes the same id without a look-up. A
+    mark is sealed together with the id of its run. Sent with another account's API
+    key, another Idempotency-Key or another body it is rejected, and its fields cannot
+    be changed. A caller therefore can neither read another account's run nor choose a
+    replica or weight version for its own run.
 
     >>> ids = RunIds(b"secret")
     >>> run_id = ids.of_request("a", "key-1", "f")
@@ -53,7 +53,7 @@
         return self._digest(data, _ID_BYTES).hex()
 
     def seal(self, run_id: str, mark: Mark, version: str) -> str:
-        """Return a mark as the caller gets it in ``id:`` lines."""
+        """Return a mark in the form that the caller receives in ``id:`` lines."""
         sealed = SealedMark(
             mark.replica, version, mark.tokens, mark.chars, mark.checksum
         )
@@ -62,7 +62,7 @@
         return f"{mark.tokens}.{text}"
 
     def open(self, run_id: str, text: str) -> tuple[Mark, str] | None:
-        """Return the mark and the weight version, or None if it is not this run's."""
+        """Return the mark and weight version, or None if the mark is of another run."""
         if len(text) > _MAX_MARK_CHARS:
             return None
         try:
--- a/fireflyward/runs/_messages.py
+++ b/fireflyward/runs/_messages.py
@@ -1,4 +1,4 @@
-"""What goes into the decisions of a run, and what comes out."""
+"""Messages that a run handles, and the actions that it returns."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mark:
-    """How far a caller has an answer, and where the run is.
+    """How much of an answer a caller has received, and the run's replica.
 
     ``tokens`` and ``chars`` count from the start of the answer; ``checksum`` is the
     CRC-32 of its UTF-8 text so far.
@@ -22,19 +22,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """The request is admitted."""
+    """The request has been admitted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """Routing's answer to ``Choose``; None when no replica can take the run."""
+    """Routing's answer to ``Choose``; None if no replica can execute the run."""
 
     replica: str | None
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatching:
-    """The next thing that happens is that bytes leave for the replica."""
+    """The request is sent to the replica immediately after this message."""
 
     attempt: int
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """The request may not be dispatched, and this is its outcome."""
+    """The request must not be dispatched; it ends with this outcome."""
 
     attempt: int
     outcome: NotRun | Unknown
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """An earlier request with this key ended; this is its answer."""
+    """An earlier request with this key has ended; this is its answer."""
 
     attempt: int
     text: str
@@ -74,12 +74,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Waited:
-    """The pause before another attempt is over."""
+    """The backoff before another attempt has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlinePassed:
-    """The caller does not want the answer any more."""
+    """The request's deadline has passed, so its caller no longer needs an answer."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choose:
-    """Ask routing for a replica other than those that failed."""
+    """Request a replica from routing, other than the excluded ones, which failed."""
 
     excluded: frozenset[str]
 
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """Read the run again on its replica from an offset, over a new connection."""
+    """Continue reading the run at an offset, over a new connection to its replica."""
 
     attempt: int
     replica: str
@@ -127,21 +127,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Pause before another attempt."""
+    """Wait before another attempt."""
 
     duration_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """The run is on a replica; a caller may come back to it with this mark."""
+    """A replica has accepted the run; a caller can return to it with this mark."""
 
     mark: Mark
 
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Give text to the caller; ``mark`` is where the caller then stands."""
+    """Send text to the caller, who has then reached ``mark``."""
 
     text: str
     offset: int
@@ -151,14 +151,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Tell a replica to stop a run that nobody waits for."""
+    """Have a replica stop a run whose result is no longer needed."""
 
     replica: str
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The run's one outcome."""
+    """End the run with its single outcome."""
 
     outcome: Outcome
 
--- a/fireflyward/runs/_periods.py
+++ b/fireflyward/runs/_periods.py
@@ -1,4 +1,4 @@
-"""Retention periods: how records grow old without a clock that nodes share."""
+"""Retention periods, by which records expire without synchronized clocks."""
 
 import zlib
 from dataclasses import dataclass
@@ -20,14 +20,14 @@
 
 
 def period_of(row: Row | Missing) -> Period:
-    """Return the period that the table's row names; it starts with 0."""
+    """Return the period in the table's row, or period 0 if the row is missing."""
     if isinstance(row, Missing):
         return Period()
     return Period(msgspec.json.decode(row.value, type=int), row.version)
 
 
 def marker_key(period: int, name: str) -> str:
-    """Return the key under which a batch is filed for the sweep.
+    """Return the key of a batch's marker, by which the sweep finds the batch.
 
     >>> marker_key(7, "entry-1-5")
     'runs/batches/00000007/08/entry-1-5'
@@ -37,5 +37,5 @@
 
 
 def shard_prefix(period: int, shard: int) -> str:
-    """Return the prefix of the batches of one shard of a period."""
+    """Return the key prefix of the markers in one shard of a period."""
     return f"runs/batches/{period:08d}/{shard:02x}/"
--- a/fireflyward/runs/_records.py
+++ b/fireflyward/runs/_records.py
@@ -1,4 +1,4 @@
-"""Records that keep a non-idempotent request from running twice."""
+"""Records that prevent a non-idempotent request from running twice."""
 
 import asyncio
 import enum
@@ -32,11 +32,11 @@
 _MAX_RELEASE_ATTEMPTS = 8
 _FIRST_RELEASE_BACKOFF_MS = 1_000
 _MAX_CLAIM_ATTEMPTS = 3
-_KEY_DIGEST_BYTES = 16
+_DIGEST_BYTES = 16
 
 
 class RecordState(enum.StrEnum):
-    """How far a request came, as far as its record tells."""
+    """The progress of a request according to its record."""
 
     STARTED = "started"
     ANSWERED = "answered"
@@ -44,10 +44,11 @@
 
 
 class Record(msgspec.Struct, omit_defaults=True):
-    """What the table keeps of a non-idempotent request.
+    """The table's row for a non-idempotent request.
 
-    ``owner`` names one arrival of the request at one node; ``replica`` is where a
-    prompt was to be dispatched first; ``body`` is the answer if it is short enough.
+    ``owner`` identifies one arrival of the request at one node. ``replica`` is the
+    replica to which a prompt was to be dispatched first. ``body`` is the answer if it
+    is short enough.
     """
 
     owner: str
@@ -62,7 +63,7 @@
     usage: tuple[int, int, int] = (0, 0, 0)
 
     def encode(self, period: int) -> bytes:
-        """Return the row's value, written in ``period``."""
+        """Return the row's value, with ``period`` as its retention period."""
         self.period = period
         return msgspec.json.encode(self)
 
@@ -70,9 +71,10 @@
 class RunRecords:
     """Writes the record of a request before the request is dispatched.
 
-    Safety rests on the table alone: a row is claimed by writing it at the version
-    that was read, so of two claims one wins, whichever nodes make them. Nothing
-    takes over a record whose owner may have dispatched.
+    Safety depends only on the table: a claim writes the row on the condition that its
+    version is still the one that was read, so only one of two concurrent claims
+    succeeds, also if they are made by different nodes. A record whose owner may have
+    dispatched the request is never claimed by another request.
     """
 
     def __init__(self, table: Table, clock: Clock, *, node_name: str = "node") -> None:
@@ -85,10 +87,11 @@
         return f"RunRecords(commits={self.group_commit.commits})"
 
     async def claim(self, key: str, record: Record) -> tuple[ClaimResult, int]:
-        """Claim ``key`` for ``record.owner``, or tell what an earlier claim left.
+        """Claim ``key`` for ``record.owner``, or return an earlier claim's state.
 
-        Return the result and, with a ``Permit``, the record's version. A permit is
-        valid from before the write was sent, by this process's monotonic clock.
+        Return the result and, with a ``Permit``, the record's version. The validity
+        of a permit starts before the write is sent, by this process's monotonic
+        clock.
         """
         started_ms = self._clock.now_ms()
         expected = 0
@@ -100,7 +103,9 @@
                 return self._reject_unwritten(key, record, result), 0
             row = await self._table.get(key)
             if isinstance(row, Unavailable):
-                detail = "an earlier request with this key exists; its record is away"
+                detail = (
+                    "an earlier request with this key exists; its record is unavailable"
+                )
                 return Unknown(Reason.DUPLICATE_RUNNING, detail, _RETRY_AFTER_MS), 0
             if isinstance(row, Row) and _is_owned(row, record.owner):
                 return Permit(started_ms + _PERMIT_VALIDITY_MS), row.version
@@ -108,14 +113,14 @@
             if not isinstance(earlier, int):
                 return earlier, 0
             expected = earlier
-        detail = "other requests with this key come at the same time"
+        detail = "other requests with this key arrive at the same time"
         return Unknown(Reason.DUPLICATE_RUNNING, detail, _RETRY_AFTER_MS), 0
 
     async def settle(self, key: str, version: int, record: Record) -> bool:
-        """Write down how a claimed request ended; return whether that is known.
+        """Record how a claimed request ended; return whether that succeeded.
 
-        A record that stays ``STARTED`` for want of this write is still true: it
-        says that the request may have run.
+        If this write fails, the record stays ``STARTED`` and is still correct: it
+        means that the request may have run.
         """
         result = await self.group_commit.write(
             key, version, record.encode, is_lazy=True
@@ -123,7 +128,7 @@
         return isinstance(result, Written)
 
     def release(self, key: str, version: int, record: Record) -> None:
-        """Say in the background that a claimed request was never dispatched."""
+        """Record in the background that a claimed request was never dispatched."""
         record.state = RecordState.NOT_RUN
         if len(self._releases) >= _MAX_PENDING_RELEASES:
             return
@@ -132,7 +137,7 @@
         task.add_done_callback(self._releases.discard)
 
     def stop(self) -> None:
-        """Stop writing at once."""
+        """Stop writing immediately."""
         for task in list(self._releases):
             task.cancel()
         self.group_commit.stop()
@@ -140,11 +145,11 @@
     def _reject_unwritten(
         self, key: str, record: Record, result: NotWritten | MaybeWritten
     ) -> NotRun:
-        """Refuse a request whose record could not be written.
+        """Reject a request whose record could not be written.
 
-        It is not dispatched, so "not run" is true even if the write lands later.
-        Landed, it would tell duplicates that the request may have run, which is
-        why it is released.
+        The request is not dispatched, so "not run" is true even if the write takes
+        effect later. Such a record would make duplicates end as possibly run, so it
+        is released.
         """
         if isinstance(result, MaybeWritten):
             self.release(key, 0, record)
@@ -165,13 +170,15 @@
 
 
 def record_key(account: str, request_key: str) -> str:
-    """Return the row of a request; keys of two accounts never meet."""
+    """Return the key of a request's row; keys of two accounts are never equal."""
     name = f"{len(account)}:{account}{request_key}".encode()
-    return f"runs/records/{hashlib.blake2b(name, digest_size=_KEY_DIGEST_BYTES).hexdigest()}"
+    return (
+        f"runs/records/{hashlib.blake2b(name, digest_size=_DIGEST_BYTES).hexdigest()}"
+    )
 
 
 def fill_answer(record: Record, outcome: Answered, body: str | None) -> None:
-    """Put the end of a request into its record, with its answer if short."""
+    """Fill a record with a request's outcome, and with its answer if that is short."""
     usage = outcome.usage
     record.state = RecordState.ANSWERED
     record.usage = (usage.prompt_tokens, usage.completion_tokens, usage.cached_tokens)
@@ -180,10 +187,10 @@
 
 
 def _check_earlier_record(row: Row | Missing, record: Record) -> int | ClaimResult:
-    """Tell a duplicate what became of the earlier request.
+    """Return the result for a duplicate, according to the earlier request's record.
 
-    An int is the version at which the row may be claimed after all: it was swept,
-    or its request was never dispatched.
+    An int is the version at which the row may be claimed after all, because the
+    record was swept or its request was never dispatched.
     """
     if isinstance(row, Missing):
         return 0
@@ -198,14 +205,14 @@
         return EarlierAnswer(
             found.body, Usage(*found.usage), found.status, found.content_type
         )
-    detail = "it was answered; the answer is not kept with its record"
+    detail = "the request was answered; its record does not contain the answer"
     return Unknown(Reason.ALREADY_RUN, detail)
 
 
 def _result_of_started(found: Record) -> ClaimResult:
     if found.replica:
         return EarlierRun(found.replica)
-    detail = "an earlier request with this key was dispatched; its end is not known"
+    detail = "an earlier request with this key was dispatched; its end is unknown"
     return Unknown(Reason.DUPLICATE_RUNNING, detail, _RETRY_AFTER_MS)
 
 
--- a/fireflyward/runs/_request_record.py
+++ b/fireflyward/runs/_request_record.py
@@ -1,4 +1,4 @@
-"""The record of one arrival of a non-idempotent request."""
+"""Claims and settles the record of one non-idempotent request."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class RequestRecord:
-    """The record of one arrival of a non-idempotent request (a ``IdempotencyRecord``)."""
+    """An ``IdempotencyRecord``: the record of one arrival of a request at one node."""
 
     __slots__ = ("_claim", "_key", "_record", "_records")
 
@@ -28,7 +28,7 @@
         self._claim: asyncio.Task[tuple[ClaimResult, int]] | None = None
 
     async def claim(self, replica: str) -> ClaimResult:
-        """Claim the record; a cancelled caller does not undo what is on its way."""
+        """Claim the record; cancelling the caller does not cancel a write in flight."""
         self._record.replica = replica
         work = self._records.claim(self._key, self._record)
         self._claim = asyncio.ensure_future(work)
@@ -43,9 +43,9 @@
         status: int = 200,
         content_type: str = "",
     ) -> None:
-        """Write down the end, if the record is this request's own.
+        """Record the outcome, if this request claimed the record.
 
-        Without a ``body`` duplicates are told that it ran, and not its answer.
+        Without a ``body``, duplicates learn that the request ran but not its answer.
         """
         if self._claim is None:
             return
--- a/fireflyward/runs/_run.py
+++ b/fireflyward/runs/_run.py
@@ -1,4 +1,4 @@
-"""Decisions of one run: messages in, actions out, no I/O."""
+"""Decides what a run does next: messages in, actions out, no I/O."""
 
 from functools import singledispatch
 
@@ -45,15 +45,16 @@
 
 
 class Run:
-    """One run's state.
+    """The state of one run.
 
     A stream that breaks or falls silent is resumed over a new connection at the
-    offset that the caller has. An answer to that tells a slow replica from a lost
-    connection; only a replica that gives none is left, for another that holds
-    the same weight version, where the answer is made again and cut to fit.
+    offset that the caller has reached. If the replica answers, it is only slow or its
+    connection was lost. If it does not answer, the run moves to another replica with
+    the same weight version, which generates the answer again, and the part that the
+    caller already has is cut off.
 
-    A run that is ``is_non_idempotent`` is dispatched again only after a replica said, or the
-    connection proved, that the dispatch before did not run.
+    A run with ``is_non_idempotent`` is dispatched again only after a replica has
+    reported, or the connection has proved, that the previous dispatch did not run.
     """
 
     __slots__ = (
@@ -111,7 +112,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether any replica may have run any of it."""
+        """Return whether any replica may have executed any part of the run."""
         return self._attempt_may_have_run or self._earlier_may_have_run
 
     @property
@@ -119,13 +120,13 @@
         return self._has_ended
 
     def decide(self, now_ms: int, message: Message) -> list[Action]:
-        """Return what is to be done after ``message``."""
+        """Return the actions that follow from ``message``."""
         if self._has_ended:
             return []
         return _decide(message, self, now_ms)
 
     def _on_broken_stream(self, now_ms: int, detail: str) -> list[Action]:
-        """Resume, unless the replica did not even answer the last resume."""
+        """Resume the stream, unless the replica did not answer the last resume."""
         is_unreachable = self._is_resume and not self._has_received
         if (
             is_unreachable
@@ -144,12 +145,12 @@
         return [Resume(self._attempt, replica, self._cursor.tokens)]
 
     def _leave_replica(self, now_ms: int, detail: str) -> list[Action]:
-        """Go on at another replica, stopping what may still run at this one."""
+        """Continue on another replica, and cancel the run on this one."""
         if self._is_read_only:
-            detail_of_earlier = (
+            earlier_detail = (
                 "an earlier request with this key was dispatched; its run is lost"
             )
-            return self._fail(Reason.DUPLICATE_RUNNING, detail_of_earlier)
+            return self._fail(Reason.DUPLICATE_RUNNING, earlier_detail)
         if self._is_non_idempotent and self.may_have_run:
             return self._fail(Reason.UPSTREAM_FAILED, detail)
         cancel = Cancel(self._cursor.replica)
@@ -162,31 +163,35 @@
     def _retry_elsewhere(
         self, now_ms: int, detail: str, *, costs_budget: bool = False
     ) -> list[Action]:
-        """Ask for another replica after a pause.
+        """Request another replica after a backoff.
 
-        A retry of what a replica may have worked on costs budget, and so does one
-        after an overloaded replica's refusal. A dispatch that never arrived put no
-        load anywhere; leaving it free keeps the budget for the retries that can
-        grow into a storm.
+        A retry of a run that a replica may have worked on uses the retry budget, and
+        so does a retry after an overloaded replica's rejection. A dispatch that never
+        arrived caused no load; it uses no budget, which saves the budget for retries
+        that could add up to a retry storm.
         """
         self._failed = self._failed | {self._cursor.replica}
         if len(self._failed) >= _MAX_REPLICAS:
             return self._fail_with_refusal(f"no replica answered, last: {detail}")
         if costs_budget and not self._budget.try_acquire():
-            return self._fail_with_refusal(f"no budget for a retry, last: {detail}")
+            return self._fail_with_refusal(
+                f"the retry budget is used up, last: {detail}"
+            )
         self._retries += 1
         backoff_ms = self._budget.backoff_ms(self._retries)
         if now_ms + backoff_ms >= self._deadline_ms:
-            return self._fail(Reason.DEADLINE, "no time is left for a retry")
+            return self._fail(
+                Reason.DEADLINE, "no time is left for a retry before the deadline"
+            )
         return [Wait(backoff_ms)]
 
     def _on_diverged(self) -> list[Action]:
-        detail = "another replica's answer is not the one that was begun"
+        detail = "another replica's answer differs from the part already delivered"
         replica = self._cursor.replica
         return [Cancel(replica), *self._fail(Reason.UPSTREAM_FAILED, detail)]
 
     def _abandon(self, reason: Reason, detail: str) -> list[Action]:
-        """End a run that nobody waits for; what must be known is not stopped."""
+        """End a run without a waiting caller; a non-idempotent run is not cancelled."""
         actions = self._fail(reason, detail)
         if self._attempt_may_have_run and not self._is_non_idempotent:
             return [Cancel(self._cursor.replica), *actions]
@@ -195,10 +200,10 @@
     def _fail_without_replica(self) -> list[Action]:
         if self._refusal:
             return self._fail_with_refusal(self._refusal.detail)
-        return self._fail(Reason.NO_UPSTREAM, "no replica can take it now")
+        return self._fail(Reason.NO_UPSTREAM, "no replica can execute the request now")
 
     def _fail_with_refusal(self, detail: str) -> list[Action]:
-        """Pass on why the last replica refused, and when asking again may help."""
+        """End the run with the reason and retry delay of the last rejection, if any."""
         if self._refusal is None:
             return self._fail(Reason.UPSTREAM_FAILED, detail)
         wait_ms = self._refusal.retry_after_ms or _RETRY_AFTER_MS
@@ -267,7 +272,7 @@
 
 @_decide.register
 def _(message: RunsElsewhere, run: Run, now_ms: int) -> list[Action]:
-    """Read the run of the earlier request; never dispatch a second one."""
+    """Read the run of the earlier request; this request is never dispatched."""
     if message.attempt != run._attempt:
         return []
     run._is_read_only = True
@@ -290,12 +295,12 @@
 def _(message: CallerGone, run: Run, now_ms: int) -> list[Action]:
     if run._is_non_idempotent and run._attempt_may_have_run:
         return []
-    return run._abandon(Reason.CALLER_GONE, "the caller closed")
+    return run._abandon(Reason.CALLER_GONE, "the caller closed its connection")
 
 
 @_decide.register
 def _(message: AttemptEvent, run: Run, now_ms: int) -> list[Action]:
-    """Act on an event of the current attempt; crossed ones are dropped."""
+    """Handle an event of the current attempt; drop events of earlier attempts."""
     if message.attempt != run._attempt:
         return []
     return _decide_event(message.event, run, now_ms)
@@ -327,7 +332,7 @@
     run._attempt_may_have_run = True
     result = run._cursor.on_piece(event)
     if isinstance(result, Gap):
-        return run._on_broken_stream(now_ms, "a piece was missing")
+        return run._on_broken_stream(now_ms, "a piece of the answer is missing")
     if isinstance(result, Diverged):
         return run._on_diverged()
     if result is None:
@@ -339,7 +344,7 @@
 @_decide_event.register
 def _(event: Finished, run: Run, now_ms: int) -> list[Action]:
     if event.usage.completion_tokens != run._cursor.tokens:
-        return run._on_broken_stream(now_ms, "the end came before the last piece")
+        return run._on_broken_stream(now_ms, "the stream ended before the last piece")
     run._has_ended = True
     return [End(Answered(event.usage))]
 
@@ -366,11 +371,11 @@
 
 
 def _for_caller(refusal: Refused) -> Refused:
-    """Return a replica's refusal as one of the whole request.
+    """Return a replica's rejection in the form that is valid for the whole request.
 
-    A replica without the version says that it does not know the model. Told to the
-    caller, this would read as a mistake of its own that no later try can mend,
-    though another replica or a later moment can.
+    A replica without the weight version reports that it does not know the model.
+    Passed on to the caller, this would look like a permanent mistake in the request,
+    although another replica or a later attempt can succeed.
     """
     if refusal.reason is not Reason.UNKNOWN_MODEL:
         return refusal
--- a/fireflyward/runs/_service_task.py
+++ b/fireflyward/runs/_service_task.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: repeated only where that is allowed."""
+"""Calls to plain services, which are repeated only if they are idempotent."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -35,11 +35,12 @@
 class ServiceTask:
     """Owns the calls of one request to a plain service.
 
-    A plain service sends nothing while it works, so its silence alone does not
-    tell a slow call from a lost connection. After ``reply_timeout_ms`` a call that
-    may be repeated is made once more, on a new connection, beside the first: the
-    first reply wins. One that may not be repeated is told to be unknown to the
-    caller, and is waited for until the deadline so that its record gets its end.
+    A plain service sends nothing while it works, so a silent connection may belong to
+    a slow call or may be lost. After ``reply_timeout_ms`` an idempotent call is
+    therefore made a second time on a new connection, without cancelling the first
+    one, and the first reply is used. The caller of a non-idempotent call gets the
+    outcome "unknown" instead, and the task waits for the reply until the deadline, to
+    settle the record with it.
     """
 
     def __init__(
@@ -66,11 +67,11 @@
         self._budget = budget or RetryBudget()
         self._reply_timeout_ms = reply_timeout_ms
         self._observe = observe
-        self._last_failure_detail = "no replica of the service"
+        self._last_failure_detail = "the service has no replica"
         self._possible_runs = 0
 
     async def outcome(self) -> ServiceOutcome:
-        """Return the one outcome of the request."""
+        """Return the single outcome of the request."""
         self._budget.on_request()
         if self._record is None:
             return await self._call_idempotent()
@@ -78,11 +79,11 @@
         limit_ms = min(self._remaining_ms(), self._reply_timeout_ms)
         if await self._wait_for_any({work}, limit_ms):
             return work.result()
-        detail = "no reply yet; its outcome is kept under its key when it comes"
+        detail = "no reply yet; a later reply will be recorded under the request's key"
         return Unknown(Reason.DEADLINE, detail, _RETRY_AFTER_MS)
 
     async def _call_with_record(self, record: RequestRecord) -> ServiceOutcome:
-        """Claim, call and settle, to the end even if the caller has gone."""
+        """Claim the record, call and settle, even if the caller has gone."""
         self._observe(OnceStep.CLAIMING)
         claim_result = await record.claim("")
         self._observe(OnceStep.CLAIMED)
@@ -110,18 +111,19 @@
         self._observe(OnceStep.SETTLED)
 
     async def _call_non_idempotent(self, permit: Permit) -> ServiceOutcome:
-        """Call replicas in turn while it is proven that none has run it."""
+        """Call replicas in turn as long as certainly none has executed the call."""
 
         def may_send() -> bool:
-            # A process paused after its claim must not dispatch when it wakes: its
-            # record may be swept by then, and a second call would find it free.
+            # A process that was paused after its claim must not dispatch when it
+            # resumes: a sweep may have deleted its record in the meantime, and a
+            # second call could have claimed the key.
             return self._clock.now_ms() < permit.valid_until_ms
 
         call = replace(self._call, may_send=may_send)
         for name in self._replicas:
             self._observe(OnceStep.DISPATCHING)
             if not may_send():
-                return NotRun(Reason.DEADLINE, "its permit ran out", _RETRY_AFTER_MS)
+                return NotRun(Reason.DEADLINE, "its permit expired", _RETRY_AFTER_MS)
             result = await self._call_replica(name, call)
             if isinstance(result, ServiceReply):
                 return result
@@ -130,7 +132,7 @@
         return self._failure_outcome()
 
     async def _call_idempotent(self) -> ServiceOutcome:
-        """Call replicas in turn, with a second call beside one that is silent."""
+        """Call replicas in turn; a silent call stays in flight beside the next one."""
         in_flight: set[_Attempt] = set()
         has_one_replica = len(self._replicas) == 1
         names = self._replicas * 2 if has_one_replica else self._replicas
@@ -154,7 +156,7 @@
     async def _first_reply(
         self, in_flight: "set[_Attempt]", limit_ms: int
     ) -> ServiceReply | None:
-        """Wait for a reply; take out the calls that ended without one."""
+        """Wait for a reply; remove the calls that ended without one."""
         limit_ms = min(limit_ms, self._remaining_ms())
         until_ms = self._clock.now_ms() + limit_ms
         while in_flight and self._clock.now_ms() < until_ms:
@@ -168,10 +170,10 @@
     async def _call_replica(
         self, name: str, call: ServiceCall
     ) -> ServiceReply | Refused | Broken:
-        """Call one replica, noting what a failure proves."""
+        """Call one replica; count the call unless it certainly did not run."""
         service = self._service_by_name.get(name)
         if service is None:
-            return Refused(Reason.NO_UPSTREAM, "not served any more")
+            return Refused(Reason.NO_UPSTREAM, "the replica is no longer served")
         self._possible_runs += 1
         try:
             result = await within(self._clock, self._remaining_ms(), service.call(call))
--- a/fireflyward/runs/_steps.py
+++ b/fireflyward/runs/_steps.py
@@ -1,10 +1,10 @@
-"""The named points of a run, at which the fault matrix strikes."""
+"""The named steps of a run, at which the fault matrix injects faults."""
 
 from fireflyward.steps import Step
 
 
 class PromptStep(Step):
-    """Points that every prompt passes."""
+    """Steps of every prompt."""
 
     CHOOSING = "prompt: choosing"
     CHOSEN = "prompt: chosen"
@@ -16,7 +16,7 @@
 
 
 class StreamStep(Step):
-    """Points that a run passes when its stream is disturbed."""
+    """Further steps of a run whose stream fails or whose caller leaves."""
 
     SILENT = "stream: silent"
     RESUMING = "stream: resuming"
@@ -27,7 +27,7 @@
 
 
 class OnceStep(Step):
-    """Points that a non-idempotent request passes besides."""
+    """Further steps of a non-idempotent request."""
 
     CLAIMING = "once: claiming"
     CLAIMED = "once: claimed"
--- a/fireflyward/runs/_sweep.py
+++ b/fireflyward/runs/_sweep.py
@@ -1,4 +1,4 @@
-"""How records grow old and are deleted, by whichever nodes live."""
+"""Deletes expired records; every node takes part, without coordination."""
 
 import logging
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 
 
 class SweepStep(Step):
-    """Points of the sweep."""
+    """Steps of the sweep."""
 
     PERIOD_ADVANCING = "sweep: period advancing"
     BATCH_DELETING = "sweep: batch deleting"
@@ -38,10 +38,10 @@
 class PeriodWatch:
     """Decides when the period may be advanced.
 
-    A node advances it after it has seen the same row for a whole period by its own
-    monotonic clock, counted from after it read the row. No wall clock is compared,
-    so no jump of one can make a record disappear early; if no node lives long
-    enough, records only live longer.
+    A node advances the period after it has read the same row for a full period of its
+    own monotonic clock, counted from its first read. Wall clocks are not compared, so
+    a jump of a wall clock cannot delete a record early. If no node runs long enough,
+    records are only kept longer.
 
     >>> watch = PeriodWatch(100)
     >>> watch.observe_row(0, Period(7, 3)), watch.observe_row(99, Period(7, 3))
@@ -58,7 +58,7 @@
         self._since_ms = 0
 
     def observe_row(self, now_ms: int, period: Period) -> bool:
-        """Take what was read; return whether this node may advance it now."""
+        """Record the row that was read; return whether this node may now advance it."""
         if period != self._period:
             self._period = period
             self._since_ms = now_ms
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cursor:
-    """The shard of the period that is swept next, and its row's version."""
+    """The period and shard to sweep next, and the version of the cursor's row."""
 
     period: int = 0
     shard: int = 0
@@ -81,12 +81,12 @@
 
 
 class Sweeper:
-    """Advances the period and deletes the records of those that are over.
+    """Advances the period and deletes the records of expired periods.
 
-    Every node runs one. They need no leader: the period and the cursor move only
-    from the version that was read, and a record is deleted only at the version
-    that was read and found old, so two nodes that sweep the same shard do work
-    twice and never harm.
+    Every node runs a sweeper, and no leader is needed. The period and the cursor
+    advance only from the version that was read, and a record is deleted only at the
+    version at which it was found expired. Two nodes that sweep the same shard
+    duplicate work but do no damage.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         self._period_watch = PeriodWatch(period_ms)
 
     async def poll(self) -> int:
-        """Look once and do what is due; return how many batches were deleted."""
+        """Advance the period if it is due, then sweep; return how many batches went."""
         row = await self._table.get(PERIOD_KEY)
         if isinstance(row, Unavailable):
             return 0
@@ -125,7 +125,7 @@
             self._period_watch.observe_row(self._clock.now_ms(), advanced)
 
     async def _sweep(self, end_period: int) -> int:
-        """Sweep shards from the cursor on, until the period ``end_period``."""
+        """Sweep shards from the cursor up to, but without, period ``end_period``."""
         deleted = 0
         while True:
             cursor = await self._read_cursor()
@@ -147,9 +147,9 @@
         return len(rows)
 
     async def _delete_batch(self, batch: Row, period: int) -> bool:
-        """Delete a batch's row together with those of its records that are old.
+        """Delete a batch's marker together with its expired records.
 
-        A record that was claimed again, after a request that was not run, belongs
+        A record that was claimed again, after its first request was not run, belongs
         to a later batch and stays.
         """
         self._observe(SweepStep.BATCH_DELETING)
@@ -184,10 +184,10 @@
 
 
 def _is_old(row: Row, period: int) -> bool:
-    """Tell whether a record belongs to ``period`` or an earlier one.
+    """Return whether a record belongs to ``period`` or an earlier one.
 
-    Batches list the rows that they wrote; what cannot be read as a record is left
-    alone rather than deleted by mistake.
+    A marker lists the rows of its batch. A row that cannot be decoded as a record is
+    not deleted, since that could be a mistake.
     """
     try:
         return msgspec.json.decode(row.value, type=Record).period <= period
--- a/fireflyward/runs/_task.py
+++ b/fireflyward/runs/_task.py
@@ -1,4 +1,4 @@
-"""The task that carries out what a run decides."""
+"""The task that executes the actions of a run."""
 
 import asyncio
 from collections.abc import AsyncIterator, Mapping
@@ -49,14 +49,14 @@
 class RunTask:
     """Owns the connections of one run.
 
-    ``results`` yields ``Placed`` and ``Deliver`` and then one ``End``. The task
-    holds at most ``_MAX_PENDING_PIECES`` pieces that the caller has not read; after
-    that it stops reading the replica, and a caller that reads nothing for
+    ``results`` yields ``Placed`` and ``Deliver`` and then a single ``End``. The task
+    buffers at most ``_MAX_PENDING_PIECES`` pieces that the caller has not read. Then
+    it stops reading from the replica, and a caller that reads nothing for
     ``_CALLER_READ_TIMEOUT_MS`` counts as gone.
 
-    ``prepare(replica, call, shape)`` is awaited between choosing and starting, for
-    at most its own limit; ``record`` is the record of a non-idempotent request;
-    ``mark`` is where a caller that comes back stands in its answer.
+    ``prepare(replica, call, shape)`` is awaited after a replica was chosen and before
+    the dispatch, for a limited time. ``record`` is the record of a non-idempotent
+    request. ``mark`` is the point up to which a returning caller has its answer.
     """
 
     def __init__(
@@ -116,13 +116,13 @@
 
     @property
     def has_pending(self) -> bool:
-        """Tell whether the next of ``results`` comes without any waiting."""
+        """Return whether ``results`` can yield its next item without waiting."""
         return not self._outbox.empty()
 
     async def results(self) -> AsyncIterator[Result]:
         """Yield the answer's pieces and its outcome.
 
-        Closing this iterator early means that the caller is gone.
+        Closing this iterator early means that the caller has gone.
         """
         worker = asyncio.ensure_future(self._work())
         try:
@@ -139,7 +139,7 @@
             self._on_results_closed(worker)
 
     def _on_results_closed(self, worker: "asyncio.Task[None]") -> None:
-        """Cancel the run, unless it must go on to be known."""
+        """Cancel the run, unless its outcome must still be recorded."""
         if worker.done() or self._run.has_ended:
             return
         self._is_caller_gone = True
@@ -169,7 +169,7 @@
                 timer.cancel()
 
     async def _flush(self) -> None:
-        """Hand on what was decided, waiting while the caller reads too slowly."""
+        """Move results to the outbox; wait if the caller reads too slowly."""
         undelivered, self._undelivered = self._undelivered, []
         for result in undelivered:
             if isinstance(result, Deliver) and not self._is_caller_gone:
@@ -189,11 +189,11 @@
             self._handle(CallerGone())
 
     def _on_dispatch(self, attempt: int) -> None:
-        """Count a dispatch before its bytes leave.
+        """Record a dispatch immediately before the request is sent.
 
-        This goes to the decisions at once and not through the inbox. A caller that
-        closes now would otherwise overtake it, and a run that left would be called
-        not run.
+        The run handles this message directly and not through the inbox. There, the
+        message of a caller that closes its connection could overtake it, and a run
+        that was dispatched would be reported as not run.
         """
         self._handle(Dispatching(attempt))
 
@@ -206,7 +206,7 @@
         self._timers.append(self._clock.call_later_ms(duration_ms, enqueue))
 
     def _enqueue(self, message: Message) -> None:
-        """Put a message in the inbox, after what is there if it is full."""
+        """Put a message in the inbox; if that is full, wait for space in a task."""
         if self._inbox.full():
             self._timers.append(asyncio.ensure_future(self._inbox.put(message)))
         else:
@@ -279,7 +279,7 @@
 
 
 async def _cancel(engine: Engine, run_id: str) -> None:
-    """Cancel a run; one more try, since the first may meet a lost connection."""
+    """Cancel a run; try twice, since the first connection may have been lost."""
     for _ in range(_MAX_CANCEL_ATTEMPTS):
         if await engine.cancel(run_id) is not CancelState.NO_ANSWER:
             return
--- a/tests/runs/test_once.py
+++ b/tests/runs/test_once.py
@@ -1,4 +1,4 @@
-"""Non-idempotent runs and calls, whole, on a faked clock."""
+"""Complete non-idempotent runs and service calls on a manual clock."""
 
 import asyncio
 import unittest
@@ -36,24 +36,24 @@
 
 
 class MemoryService:
-    """Replies, in turn, as its list says; ``None`` is silence."""
+    """Returns the replies of its list in turn; with ``None`` it never replies."""
 
-    def __init__(self, clock, replies=(), late_ms=0):
+    def __init__(self, clock, replies=(), delay_ms=0):
         self.clock = clock
         self.replies = list(replies)
-        self.late_ms = late_ms
+        self.delay_ms = delay_ms
         self.calls = []
 
     async def call(self, call):
         self.calls.append(call)
-        await self.clock.sleep_ms(self.late_ms)
+        await self.clock.sleep_ms(self.delay_ms)
         reply = self.replies.pop(0) if self.replies else REPLY
         if reply is None:
             await asyncio.get_running_loop().create_future()
         return reply
 
 
-class OnceTests(unittest.IsolatedAsyncioTestCase):
+class NonIdempotentTestCase(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.clock = ManualClock()
         self.table = MemoryTable()
@@ -82,7 +82,7 @@
         engines = self.engine_by_name.values()
         return sum(len(engine.started_run_ids) for engine in engines)
 
-    async def soon(self, work, duration_ms):
+    async def await_within(self, work, duration_ms):
         task = asyncio.ensure_future(work)
         for _ in range(10):
             await self.clock.advance_ms(duration_ms / 10)
@@ -90,7 +90,7 @@
         return task.result()
 
 
-class OnceRunTests(OnceTests):
+class NonIdempotentRunTests(NonIdempotentTestCase):
     def make(self, node=None, replicas="ab", **options):
         router = Router("d", seed=1)
         router.set_replicas([Candidate(x, "d", ("m",), {"m": "v1"}) for x in replicas])
@@ -113,57 +113,63 @@
             elif isinstance(result, End):
                 return "".join(texts), result.outcome
 
-    async def test_duplicate_during_the_run_and_after_it_gets_the_same_answer(self):
+    async def test_duplicates_during_and_after_the_run_get_the_same_answer(self):
         first = asyncio.ensure_future(self.collect(self.make()))
         await self.clock.advance_ms(50)
         other = self.records("entry-2")
         second = asyncio.ensure_future(self.collect(self.make(other)))
         await self.clock.advance_ms(500)
-        third = await self.soon(self.collect(self.make(other)), 500)
+        third = await self.await_within(self.collect(self.make(other)), 500)
         for text, outcome in (first.result(), second.result(), third):
             self.assertEqual(text, WANTED)
             self.assertIsInstance(outcome, Answered)
         self.assertEqual(self.started(), 1)
 
-    async def test_run_whose_node_died_is_found_by_the_next(self):
-        """Symptom: a verdict is lost though the replica computed it. Sequence: the
-        entry VM dies in mid-stream, its caller asks another with the same key.
-        Cause: the other node knew of the run and not where it was."""
+    async def test_run_of_a_crashed_node_is_found_by_another_node(self):
+        """Guards against losing an answer that the replica computed.
+
+        The entry VM crashes during the stream, and its caller sends the request to
+        another node with the same key. That node knew of the run but not its replica.
+        """
         task = asyncio.ensure_future(self.collect(self.make()))
         await self.clock.advance_ms(50)
         task.cancel()
-        text, outcome = await self.soon(
+        text, outcome = await self.await_within(
             self.collect(self.make(self.records("entry-2"))), 500
         )
         self.assertEqual((text, type(outcome)), (WANTED, Answered))
         self.assertEqual(self.started(), 1)
 
-    async def test_lost_replica_is_unknown_and_stays_so_for_duplicates(self):
+    async def test_run_on_a_lost_replica_is_unknown_and_stays_so_for_duplicates(self):
         self.engine_by_name["a"].faults.lost_answers = 1
         task = asyncio.ensure_future(self.collect(self.make(replicas="a")))
         await self.clock.advance_ms(100)
         self.engine_by_name["a"].faults.unreachable = True
         await self.clock.advance_ms(5_000)
         self.assertIsInstance(task.result()[1], Unknown)
-        _, outcome = await self.soon(self.collect(self.make(replicas="b")), 2_000)
+        _, outcome = await self.await_within(
+            self.collect(self.make(replicas="b")), 2_000
+        )
         self.assertIsInstance(outcome, Unknown)
         self.assertEqual(self.started(), 1)
 
-    async def test_holder_that_was_paused_past_its_permit_does_not_dispatch(self):
-        """Symptom: a verdict is computed a second time, hours later. Sequence: a
-        node claims the record and is paused before it dispatches; it wakes when
-        its caller has long gone elsewhere. Cause: it believed its claim for ever."""
+    async def test_node_that_was_paused_past_its_permit_does_not_dispatch(self):
+        """Guards against running a request a second time, hours later.
+
+        A node claims the record and is paused before it dispatches. When it resumes,
+        its caller has long sent the request elsewhere. Permits did not expire.
+        """
 
         def pause(step):
             if step is OnceStep.CLAIMED:
                 self.clock._now_ms += 15_000
 
         task = self.make(observe=pause)
-        _, outcome = await self.soon(self.collect(task), 500)
+        _, outcome = await self.await_within(self.collect(task), 500)
         self.assertIsInstance(outcome, NotRun)
         self.assertEqual(self.started(), 0)
 
-    async def test_caller_that_goes_during_the_claim_frees_the_key(self):
+    async def test_caller_that_leaves_during_the_claim_frees_the_key(self):
         commit = self.table.commit
 
         async def slow_commit(**options):
@@ -176,10 +182,10 @@
         task.cancel()
         await self.clock.advance_ms(1_000)
         self.assertEqual(self.started(), 0)
-        text, _ = await self.soon(self.collect(self.make()), 1_000)
+        text, _ = await self.await_within(self.collect(self.make()), 1_000)
         self.assertEqual(text, WANTED)
 
-    async def test_caller_that_goes_later_leaves_the_run_to_be_known(self):
+    async def test_run_is_completed_and_recorded_if_its_caller_leaves_later(self):
         task = asyncio.ensure_future(self.collect(self.make()))
         await self.clock.advance_ms(50)
         task.cancel()
@@ -190,88 +196,92 @@
         self.assertEqual(cancelled, [])
         for engine in self.engine_by_name.values():
             engine.faults.unreachable = True
-        text, _ = await self.soon(self.collect(self.make()), 500)
+        text, _ = await self.await_within(self.collect(self.make()), 500)
         self.assertEqual(text, WANTED)
 
-    async def test_table_away_is_not_run(self):
+    async def test_request_with_the_table_unavailable_is_not_run(self):
         self.table.away = True
-        _, outcome = await self.soon(self.collect(self.make()), 200)
+        _, outcome = await self.await_within(self.collect(self.make()), 200)
         self.assertIsInstance(outcome, NotRun)
         self.assertEqual(outcome.reason, Reason.PLATFORM_AWAY)
         self.assertEqual(self.started(), 0)
 
 
-class ServiceTests(OnceTests):
+class ServiceTests(NonIdempotentTestCase):
     def setUp(self):
         super().setUp()
-        self.s1 = MemoryService(self.clock)
-        self.s2 = MemoryService(self.clock)
+        self.first_service = MemoryService(self.clock)
+        self.second_service = MemoryService(self.clock)
 
-    def make(self, *, once=False, replicas=("s1", "s2"), **options):
+    def make(self, *, is_non_idempotent=False, replicas=("s1", "s2"), **options):
         return ServiceTask(
             clock=self.clock,
-            service_by_name={"s1": self.s1, "s2": self.s2},
+            service_by_name={"s1": self.first_service, "s2": self.second_service},
             replicas=replicas,
             call=ServiceCall("POST", "/revisions/7", b"r7", run_id="r1"),
             deadline_ms=self.clock.now_ms() + 30_000,
-            record=self.record() if once else None,
+            record=self.record() if is_non_idempotent else None,
             **options,
         ).outcome()
 
     def calls(self):
-        return len(self.s1.calls) + len(self.s2.calls)
+        return len(self.first_service.calls) + len(self.second_service.calls)
 
     async def test_lost_answer_of_a_non_idempotent_call_is_unknown(self):
-        self.s1.replies = [Broken(True, "cut")]
-        outcome = await self.soon(self.make(once=True), 500)
+        self.first_service.replies = [Broken(True, "cut")]
+        outcome = await self.await_within(self.make(is_non_idempotent=True), 500)
         self.assertIsInstance(outcome, Unknown)
-        again = await self.soon(self.make(once=True), 500)
+        again = await self.await_within(self.make(is_non_idempotent=True), 500)
         self.assertIsInstance(again, Unknown)
         self.assertEqual(self.calls(), 1)
 
-    async def test_refused_non_idempotent_call_goes_to_the_next_replica(self):
+    async def test_rejected_non_idempotent_call_goes_to_the_next_replica(self):
         for proof in (Refused(Reason.OVERLOADED), Broken(False, "refused")):
             with self.subTest(proof=proof):
                 self.setUp()
-                self.s1.replies = [proof]
-                outcome = await self.soon(self.make(once=True), 500)
+                self.first_service.replies = [proof]
+                outcome = await self.await_within(
+                    self.make(is_non_idempotent=True), 500
+                )
                 self.assertEqual(outcome, REPLY)
 
     async def test_silent_non_idempotent_call_is_unknown_within_five_seconds(self):
-        self.s1.replies = [None]
-        outcome = await self.soon(self.make(once=True), 5_100)
+        self.first_service.replies = [None]
+        outcome = await self.await_within(self.make(is_non_idempotent=True), 5_100)
         self.assertIsInstance(outcome, Unknown)
         self.assertEqual(self.calls(), 1)
 
-    async def test_slow_non_idempotent_call_ends_with_its_end_known(self):
-        """Symptom: nobody learns whether a slow revision was recorded. Sequence:
-        the service replies after eight seconds. Cause: the call was dropped when
-        its caller had been told "unknown"."""
-        self.s1.late_ms = 8_000
-        first = await self.soon(self.make(once=True), 5_100)
+    async def test_late_reply_of_a_non_idempotent_call_is_recorded(self):
+        """Guards against losing the reply of a slow call.
+
+        The service replies after eight seconds. The call was cancelled as soon as its
+        caller had received the outcome "unknown".
+        """
+        self.first_service.delay_ms = 8_000
+        first = await self.await_within(self.make(is_non_idempotent=True), 5_100)
         self.assertIsInstance(first, Unknown)
         await self.clock.advance_ms(5_000)
-        again = await self.soon(self.make(once=True), 500)
+        again = await self.await_within(self.make(is_non_idempotent=True), 500)
         self.assertEqual(again, REPLY)
         self.assertEqual(self.calls(), 1)
 
-    async def test_silent_idempotent_call_is_made_again_on_a_new_connection(self):
-        self.s1.replies = [None]
-        outcome = await self.soon(self.make(), 5_100)
+    async def test_silent_idempotent_call_is_repeated_on_a_new_connection(self):
+        self.first_service.replies = [None]
+        outcome = await self.await_within(self.make(), 5_100)
         self.assertEqual(outcome, REPLY)
-        self.assertTrue(self.s2.calls[0].needs_fresh)
+        self.assertTrue(self.second_service.calls[0].needs_fresh)
 
-    async def test_slow_idempotent_call_is_not_killed_by_its_second(self):
-        self.s1.late_ms, self.s2.late_ms = 6_000, 20_000
-        outcome = await self.soon(self.make(), 6_100)
+    async def test_slow_idempotent_call_is_not_cancelled_by_its_repetition(self):
+        self.first_service.delay_ms, self.second_service.delay_ms = 6_000, 20_000
+        outcome = await self.await_within(self.make(), 6_100)
         self.assertEqual(outcome, REPLY)
 
-    async def test_no_replica_is_not_run(self):
-        outcome = await self.soon(self.make(replicas=()), 10)
+    async def test_call_without_a_replica_is_not_run(self):
+        outcome = await self.await_within(self.make(replicas=()), 10)
         self.assertIsInstance(outcome, NotRun)
 
-    async def test_failures_that_prove_nothing_end_as_unknown(self):
-        self.s1.replies = [Broken(True, "cut")]
-        self.s2.replies = [Refused(Reason.OVERLOADED)]
-        outcome = await self.soon(self.make(), 500)
+    async def test_failures_of_which_one_may_have_run_end_as_unknown(self):
+        self.first_service.replies = [Broken(True, "cut")]
+        self.second_service.replies = [Refused(Reason.OVERLOADED)]
+        outcome = await self.await_within(self.make(), 500)
         self.assertIsInstance(outcome, Unknown)
--- a/tests/runs/test_properties.py
+++ b/tests/runs/test_properties.py
@@ -1,6 +1,6 @@
-"""Random faults against runs and records, searched for a broken promise.
+"""Runs and records under random faults, checked for violated guarantees.
 
-The searches are derandomized: every run of these tests does the same steps.
+Hypothesis is derandomized: every execution of these tests plays the same steps.
 """
 
 import asyncio
@@ -41,7 +41,8 @@
     suppress_health_check=[HealthCheck.too_slow],
 )
 
-# "current" is the replica that has the run, so that faults follow it as it moves.
+# "current" is the replica on which a run was started last, so that faults follow a
+# run that moves to another replica.
 ENGINE_FAULT = st.tuples(
     st.sampled_from(["current", "current", "all", *REPLICAS]),
     st.sampled_from(
@@ -69,17 +70,17 @@
     FAULT,
     st.tuples(st.just("heal"), st.sampled_from(REPLICAS)),
     st.tuples(st.just("table"), TABLE_FAULT),
-    st.tuples(st.just("ask"), st.integers(0, 1)),
-    st.tuples(st.just("caller goes"), st.integers(0, 3)),
-    st.tuples(st.just("node dies"), st.integers(0, 1)),
+    st.tuples(st.just("submit"), st.integers(0, 1)),
+    st.tuples(st.just("caller leaves"), st.integers(0, 3)),
+    st.tuples(st.just("node crashes"), st.integers(0, 1)),
     st.tuples(st.just("pause"), st.sampled_from([4_000, 12_000])),
     st.tuples(st.just("wait"), st.sampled_from([5, 15, 30, 1_100, 4_000])),
 )
 STEPS = st.lists(STEP, min_size=4, max_size=9)
 
 
-class Asked:
-    """One arrival of the request, as its caller sees it."""
+class Arrival:
+    """One arrival of the request, as its caller observes it."""
 
     def __init__(self):
         self.texts = []
@@ -88,14 +89,14 @@
         self.reader = None
 
 
-class Scene:
-    """Two nodes, three replicas, a table, and callers that share one key."""
+class Cluster:
+    """Two nodes, three replicas, a table, and callers that use the same key."""
 
     def __init__(self, *, is_non_idempotent):
         self.clock = ManualClock()
         self.table = MemoryTable()
         self.is_non_idempotent = is_non_idempotent
-        self.asked = []
+        self.arrivals = []
         self.engine_by_name = {
             name: MemoryEngine(
                 EngineModel({"m": "v1"}, COSTS), self.clock, piece_tokens=size
@@ -103,14 +104,14 @@
             for size, name in enumerate(REPLICAS, start=1)
         }
         self.records = [self.make_node(number) for number in range(2)]
-        self.deaths = 0
+        self.crashes = 0
 
     def make_node(self, number):
         return RunRecords(self.table, self.clock, node_name=f"entry-{number}")
 
-    def ask(self, node, mark=None):
-        asked = Asked()
-        router = Router("d", seed=len(self.asked))
+    def submit(self, node, mark=None):
+        arrival = Arrival()
+        router = Router("d", seed=len(self.arrivals))
         router.set_replicas(
             [Candidate(name, "d", ("m",), {"m": "v1"}) for name in REPLICAS]
         )
@@ -120,7 +121,7 @@
                 self.records[node],
                 account="acc",
                 request_key="k",
-                owner=f"arrival-{len(self.asked)}",
+                owner=f"arrival-{len(self.arrivals)}",
                 fingerprint="f",
             )
         task = RunTask(
@@ -132,43 +133,43 @@
             deadline_ms=self.clock.now_ms() + 60_000,
             record=record,
             mark=mark,
-            budget=RetryBudget(seed=len(self.asked)),
+            budget=RetryBudget(seed=len(self.arrivals)),
         )
-        asked.reader = asyncio.ensure_future(self.read(asked, task))
-        self.asked.append(asked)
+        arrival.reader = asyncio.ensure_future(self.read(arrival, task))
+        self.arrivals.append(arrival)
 
-    async def read(self, asked, task):
+    async def read(self, arrival, task):
         async for result in task.results():
             if isinstance(result, Deliver):
-                asked.texts.append(result.text)
-                asked.mark = result.mark
+                arrival.texts.append(result.text)
+                arrival.mark = result.mark
             elif isinstance(result, End):
-                asked.outcome = result.outcome
+                arrival.outcome = result.outcome
 
-    async def do(self, kind, what):
+    async def apply(self, kind, argument):
         if kind == "fault":
-            name, fault, after = what
+            name, fault, after = argument
             for faults in self.faults_of(name):
                 faults.after_tokens = after
                 setattr(faults, fault, 700 if fault == "late_ms" else 1)
         elif kind == "heal":
-            faults = self.engine_by_name[what].faults
+            faults = self.engine_by_name[argument].faults
             faults.unreachable = faults.paused = False
         elif kind == "table":
-            self.table.away = what == "away"
-            self.table.lose_answers = int(what == "lose_answers")
-        elif kind == "ask":
-            self.ask(what)
-        elif kind == "caller goes":
-            if what < len(self.asked):
-                self.asked[what].reader.cancel()
-        elif kind == "node dies":
-            self.records[what].stop()
-            self.records[what] = self.make_node(what)
+            self.table.away = argument == "away"
+            self.table.lose_answers = int(argument == "lose_answers")
+        elif kind == "submit":
+            self.submit(argument)
+        elif kind == "caller leaves":
+            if argument < len(self.arrivals):
+                self.arrivals[argument].reader.cancel()
+        elif kind == "node crashes":
+            self.records[argument].stop()
+            self.records[argument] = self.make_node(argument)
         elif kind == "pause":
-            self.clock._now_ms += what
+            self.clock._now_ms += argument
         else:
-            await self.pass_ms(what)
+            await self.pass_ms(argument)
 
     def faults_of(self, name):
         engines = self.engine_by_name.values()
@@ -184,14 +185,14 @@
             await self.clock.advance_ms(duration_ms / 4)
 
     async def play(self, steps):
-        self.ask(0)
-        for kind, what in steps:
-            await self.do(kind, what)
+        self.submit(0)
+        for kind, argument in steps:
+            await self.apply(kind, argument)
             await self.pass_ms(8)
         await self.settle()
 
     async def settle(self):
-        """Heal everything and let every run end."""
+        """End all lasting faults and let every run end."""
         for engine in self.engine_by_name.values():
             engine.faults.unreachable = engine.faults.paused = False
         self.table.away = False
@@ -205,68 +206,70 @@
 
 
 async def play(steps, *, is_non_idempotent):
-    scene = Scene(is_non_idempotent=is_non_idempotent)
-    await scene.play(steps)
-    for asked in scene.asked:
-        asked.reader.cancel()
-    await asyncio.gather(*(item.reader for item in scene.asked), return_exceptions=True)
-    return scene
+    cluster = Cluster(is_non_idempotent=is_non_idempotent)
+    await cluster.play(steps)
+    for arrival in cluster.arrivals:
+        arrival.reader.cancel()
+    await asyncio.gather(
+        *(item.reader for item in cluster.arrivals), return_exceptions=True
+    )
+    return cluster
 
 
 class PropertyTests(unittest.TestCase):
-    def check_answers(self, scene):
-        """No caller has a repeat, a gap or another's text; a whole answer is whole."""
-        for asked in scene.asked:
-            text = "".join(asked.texts)
+    def check_answers(self, cluster):
+        """Check that no caller got repeated, missing or foreign text."""
+        for arrival in cluster.arrivals:
+            text = "".join(arrival.texts)
             self.assertTrue(WANTED.startswith(text), text)
-            if isinstance(asked.outcome, Answered):
+            if isinstance(arrival.outcome, Answered):
                 self.assertEqual(text, WANTED)
 
     @SETTINGS
     @given(STEPS)
     def test_non_idempotent_run_starts_at_most_once(self, steps):
-        scene = asyncio.run(play(steps, is_non_idempotent=True))
-        self.assertLessEqual(scene.started(), 1)
-        self.check_answers(scene)
-        outcomes = [asked.outcome for asked in scene.asked]
-        if scene.started() and all(isinstance(item, NotRun) for item in outcomes):
-            self.fail("every caller was told that nothing ran")
+        cluster = asyncio.run(play(steps, is_non_idempotent=True))
+        self.assertLessEqual(cluster.started(), 1)
+        self.check_answers(cluster)
+        outcomes = [arrival.outcome for arrival in cluster.arrivals]
+        if cluster.started() and all(isinstance(item, NotRun) for item in outcomes):
+            self.fail("the request ran, and every caller got not-run")
 
     @SETTINGS
     @given(STEPS)
-    def test_lone_caller_is_never_told_not_run_falsely(self, steps):
-        steps = [step for step in steps if step[0] not in ("ask", "caller goes")]
+    def test_single_caller_never_gets_a_false_not_run(self, steps):
+        steps = [step for step in steps if step[0] not in ("submit", "caller leaves")]
         for is_non_idempotent in (True, False):
-            scene = asyncio.run(play(steps, is_non_idempotent=is_non_idempotent))
-            (asked,) = scene.asked
-            self.assertIsInstance(asked.outcome, Answered | NotRun | Unknown)
-            if isinstance(asked.outcome, NotRun):
-                self.assertEqual(scene.started(), 0)
-            self.check_answers(scene)
+            cluster = asyncio.run(play(steps, is_non_idempotent=is_non_idempotent))
+            (arrival,) = cluster.arrivals
+            self.assertIsInstance(arrival.outcome, Answered | NotRun | Unknown)
+            if isinstance(arrival.outcome, NotRun):
+                self.assertEqual(cluster.started(), 0)
+            self.check_answers(cluster)
 
     @SETTINGS
     @given(STEPS, st.integers(0, 1))
-    def test_caller_that_comes_back_has_no_seam(self, steps, node):
-        async def come_back():
-            scene = Scene(is_non_idempotent=False)
-            scene.ask(0)
-            for kind, what in steps:
-                await scene.do(kind, what)
-                await scene.pass_ms(8)
-            first = scene.asked[0]
+    def test_returning_caller_gets_a_continuous_answer(self, steps, node):
+        async def return_with_mark():
+            cluster = Cluster(is_non_idempotent=False)
+            cluster.submit(0)
+            for kind, argument in steps:
+                await cluster.apply(kind, argument)
+                await cluster.pass_ms(8)
+            first = cluster.arrivals[0]
             first.reader.cancel()
             await asyncio.wait({first.reader})
             if first.mark is None or first.outcome:
                 return first, None
-            scene.ask(node, first.mark)
-            again = scene.asked[-1]
-            await scene.settle()
-            return first, again
+            cluster.submit(node, first.mark)
+            second = cluster.arrivals[-1]
+            await cluster.settle()
+            return first, second
 
-        first, again = asyncio.run(come_back())
-        if again is None:
+        first, second = asyncio.run(return_with_mark())
+        if second is None:
             return
-        text = "".join(first.texts) + "".join(again.texts)
+        text = "".join(first.texts) + "".join(second.texts)
         self.assertTrue(WANTED.startswith(text), text)
-        if isinstance(again.outcome, Answered):
+        if isinstance(second.outcome, Answered):
             self.assertEqual(text, WANTED)
--- a/tests/runs/test_sweep.py
+++ b/tests/runs/test_sweep.py
@@ -1,4 +1,4 @@
-"""Records that grow old, on a faked clock and table."""
+"""Expiry of records, with a manual clock and a table in memory."""
 
 import asyncio
 import unittest
@@ -38,7 +38,7 @@
             self.table, self.clock, period_ms=PERIOD_MS, retained_periods=RETAINED
         )
 
-    async def soon(self, work):
+    async def finish(self, work):
         task = asyncio.ensure_future(work)
         while not task.done():
             await self.clock.advance_ms(50)
@@ -56,69 +56,75 @@
 
     async def pass_periods(self, count, sweeper=None):
         for _ in range(count):
-            await self.soon((sweeper or self.sweeper).poll())
+            await self.finish((sweeper or self.sweeper).poll())
             await self.clock.advance_ms(PERIOD_MS)
-        await self.soon((sweeper or self.sweeper).poll())
+        await self.finish((sweeper or self.sweeper).poll())
 
     def rows(self):
         keys = self.table.row_by_key
         return [key for key in keys if key.startswith(("runs/records", "runs/batches"))]
 
-    async def test_record_lasts_its_periods_and_no_longer_than_two_more(self):
-        await self.soon(self.record().claim("r"))
+    async def test_record_is_retained_for_its_periods_and_at_most_two_more(self):
+        await self.finish(self.record().claim("r"))
         await self.pass_periods(RETAINED)
-        self.assertIsInstance(await self.soon(self.record().claim("s")), EarlierRun)
+        self.assertIsInstance(await self.finish(self.record().claim("s")), EarlierRun)
         await self.pass_periods(2)
         self.assertEqual(self.rows(), [])
-        self.assertIsInstance(await self.soon(self.record().claim("s")), Permit)
+        self.assertIsInstance(await self.finish(self.record().claim("s")), Permit)
 
     async def test_jump_of_the_wall_clock_deletes_nothing(self):
-        """Symptom: a request runs twice after somebody corrected the time. Sequence:
-        the wall clock jumps a day ahead. Cause: the age of records was read from
-        it."""
-        await self.soon(self.record().claim("r"))
+        """Guards against running a request twice after the time was corrected.
+
+        The wall clock jumps ahead by a day. The age of records was taken from it.
+        """
+        await self.finish(self.record().claim("r"))
         self.clock.jump_wall_ms(86_400_000)
-        await self.soon(self.sweeper.poll())
-        await self.soon(self.sweeper.poll())
-        self.assertIsInstance(await self.soon(self.record().claim("s")), EarlierRun)
+        await self.finish(self.sweeper.poll())
+        await self.finish(self.sweeper.poll())
+        self.assertIsInstance(await self.finish(self.record().claim("s")), EarlierRun)
 
     async def test_record_claimed_again_is_not_swept_with_its_first_batch(self):
-        """Symptom: a request runs twice within the lifetime of its record. Sequence:
-        it is not run at first and runs three periods later under the same key.
-        Cause: the first batch's end took the later claim with it."""
+        """Guards against running a request twice while its record should be retained.
+
+        The request is not run at first, and runs three periods later under the same
+        key. Sweeping the first batch deleted the later claim as well.
+        """
         first = self.record()
-        await self.soon(first.claim("r"))
-        await self.soon(first.settle(NotRun(Reason.NO_UPSTREAM), ""))
+        await self.finish(first.claim("r"))
+        await self.finish(first.settle(NotRun(Reason.NO_UPSTREAM), ""))
         await self.pass_periods(RETAINED)
-        self.assertIsInstance(await self.soon(self.record().claim("r")), Permit)
+        self.assertIsInstance(await self.finish(self.record().claim("r")), Permit)
         await self.pass_periods(2)
-        self.assertIsInstance(await self.soon(self.record().claim("s")), EarlierRun)
+        self.assertIsInstance(await self.finish(self.record().claim("s")), EarlierRun)
+
+    async def test_claim_after_a_long_idle_time_is_assigned_to_the_current_period(self):
+        """Guards against deleting a new record immediately.
 
-    async def test_node_that_slept_files_its_claim_under_the_current_period(self):
-        """Symptom: a record is deleted at once. Sequence: a node that last read the
-        period long ago claims a record. Cause: it filed it under that period."""
-        await self.soon(self.record("before").claim("r"))
+        A node that last read the period long ago claims a record. It assigned the
+        record to that old period.
+        """
+        await self.finish(self.record("before").claim("r"))
         await self.pass_periods(RETAINED + 2)
-        await self.soon(self.record().claim("r"))
-        await self.soon(self.make_sweeper().poll())
-        self.assertIsInstance(await self.soon(self.record().claim("s")), EarlierRun)
+        await self.finish(self.record().claim("r"))
+        await self.finish(self.make_sweeper().poll())
+        self.assertIsInstance(await self.finish(self.record().claim("s")), EarlierRun)
         await self.pass_periods(RETAINED + 2)
         self.assertEqual(self.rows(), [])
 
-    async def test_two_sweepers_and_a_lost_answer_do_no_harm(self):
+    async def test_two_sweepers_and_lost_responses_delete_all_expired_rows(self):
         for number in range(20):
-            await self.soon(self.record(f"k{number}").claim("r"))
+            await self.finish(self.record(f"k{number}").claim("r"))
         other = self.make_sweeper()
         for _ in range(3 * (RETAINED + 2)):
             self.table.lose_answers = 1
-            await self.soon(asyncio.gather(self.sweeper.poll(), other.poll()))
+            await self.finish(asyncio.gather(self.sweeper.poll(), other.poll()))
             await self.clock.advance_ms(PERIOD_MS)
-        await self.soon(self.sweeper.poll())
-        await self.soon(self.sweeper.poll())
-        await self.soon(other.poll())
+        await self.finish(self.sweeper.poll())
+        await self.finish(self.sweeper.poll())
+        await self.finish(other.poll())
         self.assertEqual(self.rows(), [])
 
-    async def test_table_away_deletes_nothing_and_raises_nothing(self):
-        await self.soon(self.record().claim("r"))
+    async def test_unavailable_table_causes_no_deletion_and_no_error(self):
+        await self.finish(self.record().claim("r"))
         self.table.away = True
-        self.assertEqual(await self.soon(self.sweeper.poll()), 0)
+        self.assertEqual(await self.finish(self.sweeper.poll()), 0)
--- a/tests/runs/test_task.py
+++ b/tests/runs/test_task.py
@@ -1,4 +1,4 @@
-"""Whole runs on a faked clock, with engines in memory and their faults."""
+"""Complete runs on a manual clock, with engines in memory and their faults."""
 
 import asyncio
 import unittest
@@ -15,8 +15,8 @@
 WANTED = answer_text("m", "v1", "", PROMPT, TOKENS)
 
 
-class AtOnceEngine:
-    """An engine whose events all come with one read of its socket."""
+class SingleReadEngine:
+    """An engine whose events all arrive in a single read of its socket."""
 
     async def generate(self, call):
         yield Accepted("v1", 0)
@@ -42,7 +42,7 @@
         self.texts = []
         self.outcome = None
 
-    def serve_b_too(self):
+    def add_replica_b(self):
         candidate = Candidate("b", "d", ("m",), {"m": "v1"})
         candidate.suspect_until_ms = 1 << 40
         first = Candidate("a", "d", ("m",), {"m": "v1"})
@@ -75,18 +75,18 @@
         elif reader.exception():
             raise reader.exception()
 
-    def assert_whole(self):
+    def assert_complete(self):
         self.assertEqual("".join(self.texts), WANTED)
         self.assertIsInstance(self.outcome, Answered)
 
-    async def test_what_came_together_is_known_to_be_pending(self):
-        """A caller's answer took one write for each of the pieces that lay ready."""
-        self.engine_by_name["a"] = AtOnceEngine()
+    async def test_results_that_arrived_together_are_pending(self):
+        """Guards against a write to the caller for each of several available pieces."""
+        self.engine_by_name["a"] = SingleReadEngine()
         task = self.make()
         pending = [task.has_pending async for _ in task.results()]
         self.assertEqual(pending, [True, True, True, True, False])
 
-    async def test_a_piece_that_comes_alone_waits_for_no_other(self):
+    async def test_a_single_piece_does_not_wait_for_the_next(self):
         task = self.make()
         pending = []
 
@@ -102,60 +102,64 @@
 
     async def test_plain_run(self):
         await self.run_for(self.make(), 500)
-        self.assert_whole()
+        self.assert_complete()
 
     async def test_silent_stream_is_resumed_over_a_new_connection(self):
-        """Symptom: a stream stops in the middle and never ends. Sequence:
-        something between node and replica forgets the connection. Cause: nobody
-        asked on a new connection whether the run goes on."""
+        """Guards against a stream that stops in the middle and never ends.
+
+        A device between node and replica drops the connection's state without notice.
+        The node did not query the run's state over a new connection.
+        """
         self.a.faults.silent_streams, self.a.faults.after_tokens = 1, 4
         await self.run_for(self.make(), 4_000)
-        self.assert_whole()
+        self.assert_complete()
         self.assertEqual(self.a.started_run_ids, ["r1"])
 
-    async def test_cut_stream_and_then_a_dead_replica_leave_no_seam(self):
-        self.serve_b_too()
+    async def test_answer_is_continuous_after_a_cut_stream_and_a_lost_replica(self):
+        self.add_replica_b()
         self.a.faults.cut_streams, self.a.faults.after_tokens = 1, 3
         task = asyncio.ensure_future(self.collect(self.make()))
         await self.clock.advance_ms(60)
         self.a.faults.unreachable = True
         await self.clock.advance_ms(1_000)
         await task
-        self.assert_whole()
+        self.assert_complete()
         self.assertEqual(self.b.started_run_ids, ["r1"])
 
-    async def test_paused_replica_is_left_within_four_seconds(self):
-        """Symptom: prompts hang while one replica's process is stopped. Sequence:
-        its machine still accepts connections, and nothing comes over old or new
-        ones. Cause: only a refused connection counted as a failure."""
-        self.serve_b_too()
+    async def test_run_leaves_a_paused_replica_within_four_seconds(self):
+        """Guards against prompts that hang while a replica's process is paused.
+
+        Its machine still accepts connections, but no data arrives over old or new ones.
+        Only a refused connection counted as a failure.
+        """
+        self.add_replica_b()
         self.a.faults.paused = True
         await self.run_for(self.make(), 4_500)
-        self.assert_whole()
+        self.assert_complete()
 
-    async def test_silence_with_keep_alives_is_a_slow_prefill(self):
+    async def test_slow_prefill_with_keep_alives_is_not_cancelled(self):
         costs = EngineCosts(prefill_ms_per_token=1_200.0, decode_ms_per_token=1.0)
         self.a.model = EngineModel({"m": "v1"}, costs)
         await self.run_for(self.make(), 9_000)
-        self.assert_whole()
+        self.assert_complete()
         self.assertEqual(self.a.cancelled_run_ids, [])
 
-    async def test_lost_request_is_found_to_be_lost(self):
-        self.serve_b_too()
+    async def test_lost_request_is_sent_to_another_replica(self):
+        self.add_replica_b()
         self.a.faults.lost_requests = 1
         await self.run_for(self.make(), 6_000)
-        self.assert_whole()
+        self.assert_complete()
 
-    async def test_lost_answer_is_read_from_the_run_that_goes_on(self):
+    async def test_lost_answer_is_read_from_the_run_that_continues(self):
         self.a.faults.lost_answers = 1
         await self.run_for(self.make(), 6_000)
-        self.assert_whole()
+        self.assert_complete()
         self.assertEqual(self.a.started_run_ids, ["r1"])
 
     async def test_crossed_stream_is_not_delivered(self):
         self.a.faults.crossed_streams = 1
         await self.run_for(self.make(), 1_000)
-        self.assert_whole()
+        self.assert_complete()
 
     async def test_deadline_ends_a_run_in_the_middle(self):
         await self.run_for(self.make(deadline_ms=50), 60)
@@ -174,26 +178,28 @@
         self.assertIsInstance(self.outcome, NotRun)
 
     async def test_prepare_is_awaited_before_the_start(self):
-        seen = []
+        prepared = []
 
         async def prepare(replica, call, shape):
-            seen.append((replica, call.run_id, list(self.a.started_run_ids)))
+            prepared.append((replica, call.run_id, list(self.a.started_run_ids)))
 
         await self.run_for(self.make(prepare=prepare), 500)
-        self.assertEqual(seen, [("a", "r1", [])])
-        self.assert_whole()
+        self.assertEqual(prepared, [("a", "r1", [])])
+        self.assert_complete()
 
-    async def test_prepare_that_hangs_only_makes_the_run_slower(self):
+    async def test_prepare_that_hangs_only_delays_the_run(self):
         async def prepare(replica, call, shape):
             await self.clock.sleep_ms(1 << 30)
 
         await self.run_for(self.make(prepare=prepare), 3_000)
-        self.assert_whole()
+        self.assert_complete()
 
-    async def test_caller_that_reads_nothing_holds_bounded_memory(self):
-        """Symptom: a node's memory grows by whole answers. Sequence: callers keep
-        their connections open and read nothing. Cause: pieces were queued without
-        a bound."""
+    async def test_caller_that_reads_nothing_uses_bounded_memory(self):
+        """Guards against unlimited memory for unread answers.
+
+        Callers keep their connections open and read nothing. The queue of pieces had
+        no limit.
+        """
         task = self.make(deadline_ms=600_000)
         task._call = EngineCall("r1", "m", "v1", PROMPT, 5_000)
         task._attempt._call = task._call
@@ -206,25 +212,29 @@
         self.assertEqual(self.a.cancelled_run_ids, ["r1"])
         await results.aclose()
 
-    async def test_error_in_a_step_ends_the_run_and_does_not_hang(self):
+    async def test_error_in_a_step_ends_the_run(self):
         def observe(step):
             raise RuntimeError(step)
 
         with self.assertRaises(RuntimeError):
             await self.run_for(self.make(observe=observe), 100)
 
-    async def test_caller_that_goes_at_the_dispatch_is_not_told_not_run(self):
-        """Symptom: a run is logged as not run and its replica ran it. Sequence: the
-        caller closes between the dispatch and the next turn of the event loop.
-        Cause: the note of the dispatch waited in a queue behind the caller's end."""
+    async def test_run_whose_caller_leaves_at_the_dispatch_is_not_reported_as_not_run(
+        self,
+    ):
+        """Guards against logging a run as not run although its replica executed it.
+
+        The caller closes its connection between the dispatch and the next iteration of
+        the event loop. The record of the dispatch was queued behind that message.
+        """
         task = self.make()
-        ends = []
+        may_have_run_at_end = []
 
-        def end_here(step):
+        def record_end(step):
             if step is PromptStep.ENDED:
-                ends.append(task._run.may_have_run)
+                may_have_run_at_end.append(task._run.may_have_run)
 
-        task._observe = end_here
+        task._observe = record_end
         results = task.results()
         reader = asyncio.ensure_future(anext(results))
         while not self.a.dispatches:
@@ -232,4 +242,4 @@
         reader.cancel()
         await asyncio.wait({reader})
         await results.aclose()
-        self.assertEqual(ends, [True])
+        self.assertEqual(may_have_run_at_end, [True])
