--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -16,9 +16,9 @@
     PrefixIndex,
     PrefixTexts,
     ShardLookUp,
-    StoreAway,
     StoreClient,
     StoreReader,
+    StoreUnavailable,
     Sweeper,
     shards_held_by,
 )
@@ -154,7 +154,7 @@
             reader = self._store_reader_by_name[name]
             while True:
                 listing = await store.list(reader.query(shards))
-                if isinstance(listing, StoreAway):
+                if isinstance(listing, StoreUnavailable):
                     break
                 if not reader.take(listing, self.index):
                     break
--- a/fireflyward/kept/_export.py
+++ b/fireflyward/kept/_export.py
@@ -11,7 +11,7 @@
     Miss,
 )
 
-from ._stores import Reserved, StoreAway, StoreClient, Wanted
+from ._stores import Reserved, StoreClient, StoreUnavailable, Wanted
 
 
 class ExportStep(Step):
@@ -77,7 +77,7 @@
         """Keep what can be kept of a plan."""
         self._observe(ExportStep.CHOSEN)
         reserved = await store.reserve(plan.wanted)
-        if isinstance(reserved, StoreAway):
+        if isinstance(reserved, StoreUnavailable):
             return NotExported(f"{store.name}: {reserved.detail}")
         self._observe(ExportStep.RESERVED)
         if not reserved.refs:
@@ -89,7 +89,7 @@
         self._observe(ExportStep.SEALED)
         whole = _without_hole(plan, reserved, report.sealed)
         published = await store.publish(whole)
-        if isinstance(published, StoreAway):
+        if isinstance(published, StoreUnavailable):
             return NotExported(f"{store.name}: {published.detail}")
         self._observe(ExportStep.PUBLISHED)
         await self._give_back(reserved, whole, store)
--- a/fireflyward/kept/_import.py
+++ b/fireflyward/kept/_import.py
@@ -15,7 +15,7 @@
     MissReason,
 )
 
-from ._stores import Done, StoreAway, StoreClient
+from ._stores import Done, StoreClient, StoreUnavailable
 
 _CHUNK_BLOCKS = 8
 
@@ -124,7 +124,7 @@
         found = await within_ms(self._clock, self._left_ms(limit), work)
         if isinstance(found, TimedOut):
             return MissReason.DEADLINE
-        if isinstance(found, StoreAway):
+        if isinstance(found, StoreUnavailable):
             return MissReason.STORE_AWAY
         return _matching(ask.block_keys, found)
 
--- a/fireflyward/kept/_store_http.py
+++ b/fireflyward/kept/_store_http.py
@@ -17,7 +17,7 @@
     Reserved,
     Room,
     SlotState,
-    StoreAway,
+    StoreUnavailable,
     Unfinished,
     Wanted,
 )
@@ -70,7 +70,7 @@
 class HttpStore:
     """One store VM behind a base URL.
 
-    A call that gets no whole answer within ``limit_ms`` ends as ``StoreAway``; a
+    A call that gets no whole answer within ``limit_ms`` ends as ``StoreUnavailable``; a
     write may have taken effect then, and the sweep finds what it left.
     """
 
@@ -94,24 +94,24 @@
     def __repr__(self) -> str:
         return f"HttpStore({self.name!r}, {self._base!r})"
 
-    async def reserve(self, wanted: tuple[Wanted, ...]) -> Reserved | StoreAway:
+    async def reserve(self, wanted: tuple[Wanted, ...]) -> Reserved | StoreUnavailable:
         return await self._post("/reserve", ReserveBody(wanted), Reserved)
 
-    async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreAway:
+    async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreUnavailable:
         return await self._call("PUT", _block_path(ref), payload, Done)
 
-    async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
+    async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
         return await self._post("/seal", RefsBody(refs), Done)
 
-    async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
+    async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
         return await self._post("/publish", RefsBody(refs), Done)
 
-    async def describe(self, keys: tuple[str, ...]) -> Done | StoreAway:
+    async def describe(self, keys: tuple[str, ...]) -> Done | StoreUnavailable:
         return await self._post("/describe", DescribeBody(keys), Done)
 
-    async def read(self, ref: BlockRef) -> bytes | Miss | StoreAway:
+    async def read(self, ref: BlockRef) -> bytes | Miss | StoreUnavailable:
         result = await self._exchange("GET", _block_path(ref), b"")
-        if isinstance(result, StoreAway):
+        if isinstance(result, StoreUnavailable):
             return result
         status, body = result
         if status != MISS_STATUS:
@@ -119,30 +119,32 @@
         try:
             return Miss(ref.key, msgspec.json.decode(body, type=MissBody).reason)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return StoreAway(f"answer could not be read: {error}")
+            return StoreUnavailable(f"answer could not be read: {error}")
 
-    async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
+    async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
         return await self._post("/abandon", RefsBody(refs), Done)
 
-    async def raise_fence(self, fencing: int) -> Done | Fenced | StoreAway:
+    async def raise_fence(self, fencing: int) -> Done | Fenced | StoreUnavailable:
         return await self._post("/fence", FenceBody(fencing), Done)
 
     async def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
-    ) -> Done | Fenced | StoreAway:
+    ) -> Done | Fenced | StoreUnavailable:
         return await self._post("/free", FreeBody(refs, state, fencing), Done)
 
-    async def unfinished(self, min_age_ms: int) -> tuple[Unfinished, ...] | StoreAway:
+    async def unfinished(
+        self, min_age_ms: int
+    ) -> tuple[Unfinished, ...] | StoreUnavailable:
         path = f"/unfinished?min_age_ms={min_age_ms}"
         return await self._call("GET", path, b"", tuple[Unfinished, ...])
 
-    async def list(self, query: ListQuery) -> Listing | StoreAway:
+    async def list(self, query: ListQuery) -> Listing | StoreUnavailable:
         return await self._post("/list", query, Listing)
 
-    async def room(self) -> Room | StoreAway:
+    async def room(self) -> Room | StoreUnavailable:
         return await self._call("GET", "/room", b"", Room)
 
-    async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreAway:
+    async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreUnavailable:
         path = f"/coldest?limit={limit}"
         return await self._call("GET", path, b"", tuple[Cold, ...])
 
@@ -151,7 +153,7 @@
 
     async def _call(self, method: str, path: str, body: bytes, answer_type: Any) -> Any:
         result = await self._exchange(method, path, body)
-        if isinstance(result, StoreAway):
+        if isinstance(result, StoreUnavailable):
             return result
         status, answer = result
         try:
@@ -159,11 +161,11 @@
                 return Fenced(msgspec.json.decode(answer, type=FenceBody).fencing)
             return msgspec.json.decode(answer, type=answer_type)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return StoreAway(f"answer could not be read: {error}")
+            return StoreUnavailable(f"answer could not be read: {error}")
 
     async def _exchange(
         self, method: str, path: str, body: bytes
-    ) -> tuple[int, bytes] | StoreAway:
+    ) -> tuple[int, bytes] | StoreUnavailable:
         try:
             with hop("store", store=self.name):
                 async with self._session.request(
@@ -171,12 +173,12 @@
                 ) as response:
                     answer = await response.read()
         except aiohttp.ClientConnectorError as error:
-            return StoreAway(f"{type(error).__name__}: {error}", False)
+            return StoreUnavailable(f"{type(error).__name__}: {error}", False)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return StoreAway(f"{type(error).__name__}: {error}")
+            return StoreUnavailable(f"{type(error).__name__}: {error}")
         if response.status in (200, FENCED_STATUS, MISS_STATUS):
             return response.status, answer
-        return StoreAway(f"status {response.status}")
+        return StoreUnavailable(f"status {response.status}")
 
 
 def _block_path(ref: BlockRef) -> str:
--- a/fireflyward/kept/_stores.py
+++ b/fireflyward/kept/_stores.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreAway:
+class StoreUnavailable:
     """No answer. ``may_have_acted`` is false only if the call never arrived."""
 
     detail: str
@@ -171,37 +171,39 @@
 
     name: str
 
-    async def reserve(self, wanted: tuple[Wanted, ...]) -> Reserved | StoreAway: ...
+    async def reserve(
+        self, wanted: tuple[Wanted, ...]
+    ) -> Reserved | StoreUnavailable: ...
 
-    async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreAway: ...
+    async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreUnavailable: ...
 
-    async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway: ...
+    async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable: ...
 
-    async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway: ...
+    async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable: ...
 
-    async def describe(self, keys: tuple[str, ...]) -> Done | StoreAway:
+    async def describe(self, keys: tuple[str, ...]) -> Done | StoreUnavailable:
         """Return descriptors of the longest prefix of ``keys`` that is kept."""
 
-    async def read(self, ref: BlockRef) -> bytes | Miss | StoreAway: ...
+    async def read(self, ref: BlockRef) -> bytes | Miss | StoreUnavailable: ...
 
-    async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
+    async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
         """Give back slots of this generation that were not published."""
 
-    async def raise_fence(self, fencing: int) -> Done | Fenced | StoreAway:
+    async def raise_fence(self, fencing: int) -> Done | Fenced | StoreUnavailable:
         """Have the store refuse every smaller fencing number from now on."""
 
     async def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
-    ) -> Done | Fenced | StoreAway:
+    ) -> Done | Fenced | StoreUnavailable:
         """Free slots that still have this generation and this state."""
 
     async def unfinished(
         self, min_age_ms: int
-    ) -> tuple[Unfinished, ...] | StoreAway: ...
+    ) -> tuple[Unfinished, ...] | StoreUnavailable: ...
 
-    async def list(self, query: ListQuery) -> Listing | StoreAway: ...
+    async def list(self, query: ListQuery) -> Listing | StoreUnavailable: ...
 
-    async def room(self) -> Room | StoreAway: ...
+    async def room(self) -> Room | StoreUnavailable: ...
 
-    async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreAway:
+    async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreUnavailable:
         """Return published blocks, those that were read longest ago first."""
--- a/fireflyward/kept/_sweep.py
+++ b/fireflyward/kept/_sweep.py
@@ -9,7 +9,7 @@
 from fireflyward.upstreams import BlockRef
 
 from ._room import choose_victims
-from ._stores import Fenced, SlotState, StoreAway, StoreClient
+from ._stores import Fenced, SlotState, StoreClient, StoreUnavailable
 
 log = logging.getLogger("fireflyward.kept")
 
@@ -80,7 +80,7 @@
         fencing = held.fencing
         self._observe(FreeStep.HELD)
         fence = await store.raise_fence(fencing)
-        if isinstance(fence, Fenced | StoreAway):
+        if isinstance(fence, Fenced | StoreUnavailable):
             return _not_swept(store, fence)
         self._observe(FreeStep.FENCED)
         garbage = await self._free_garbage(store, fencing)
@@ -93,7 +93,7 @@
 
     async def _free_garbage(self, store: StoreClient, fencing: int) -> int | NotSwept:
         found = await store.unfinished(self._garbage_age_ms)
-        if isinstance(found, StoreAway):
+        if isinstance(found, StoreUnavailable):
             return _not_swept(store, found)
         self._observe(FreeStep.LISTED)
         freed = 0
@@ -108,12 +108,12 @@
 
     async def _make_room(self, store: StoreClient, fencing: int) -> int | NotSwept:
         room = await store.room()
-        if isinstance(room, StoreAway):
+        if isinstance(room, StoreUnavailable):
             return _not_swept(store, room)
         if not room.is_nearly_full():
             return 0
         coldest = await store.coldest(_COLDEST)
-        if isinstance(coldest, StoreAway):
+        if isinstance(coldest, StoreUnavailable):
             return _not_swept(store, coldest)
         self._observe(FreeStep.COLDEST_LISTED)
         victims = choose_victims(room, coldest)
@@ -128,12 +128,12 @@
     if not refs:
         return 0
     done = await store.free(refs, state=state, fencing=fencing)
-    if isinstance(done, Fenced | StoreAway):
+    if isinstance(done, Fenced | StoreUnavailable):
         return _not_swept(store, done)
     return len(done.refs)
 
 
-def _not_swept(store: StoreClient, why: Fenced | StoreAway) -> NotSwept:
+def _not_swept(store: StoreClient, why: Fenced | StoreUnavailable) -> NotSwept:
     if isinstance(why, Fenced):
         log.warning(
             "kept: sweep of %s refused, number %d was there", store.name, why.highest
--- a/fireflyward/standins/_engine_kv.py
+++ b/fireflyward/standins/_engine_kv.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from fireflyward.clock import Clock, TimedOut, within_ms
-from fireflyward.kept import BlockRef, StoreAway, StoreClient
+from fireflyward.kept import BlockRef, StoreClient, StoreUnavailable
 from fireflyward.upstreams import (
     CacheChange,
     CacheEvent,
@@ -151,7 +151,7 @@
         for store_name in dict.fromkeys(ref.store for ref in written):
             refs = tuple(ref for ref in written if ref.store == store_name)
             result = await self._store(order, store_name).seal(refs)
-            if not isinstance(result, StoreAway):
+            if not isinstance(result, StoreUnavailable):
                 sealed.extend(result.refs)
         return ExportReport(tuple(sealed), tuple(missing))
 
@@ -178,7 +178,7 @@
             return Miss(ref.key, MissReason.NOT_KEPT)
         payload = kv_payload(ref.key)
         result = await self._store(order, ref.store).write(ref, payload)
-        if isinstance(result, StoreAway):
+        if isinstance(result, StoreUnavailable):
             return Miss(ref.key, MissReason.STORE_AWAY)
         if not result.refs:
             return Miss(ref.key, MissReason.OLD_GENERATION)
@@ -208,7 +208,7 @@
         payload = await within_ms(self.clock, left_ms, self._load(store, ref))
         if isinstance(payload, TimedOut):
             return Miss(ref.key, MissReason.DEADLINE)
-        if isinstance(payload, StoreAway):
+        if isinstance(payload, StoreUnavailable):
             return Miss(ref.key, MissReason.STORE_AWAY)
         if isinstance(payload, Miss):
             return payload
@@ -218,7 +218,7 @@
 
     async def _load(
         self, store: StoreClient, ref: BlockRef
-    ) -> bytes | Miss | StoreAway:
+    ) -> bytes | Miss | StoreUnavailable:
         payload = await store.read(ref)
         if isinstance(payload, bytes):
             await self.clock.sleep_ms(self.import_ms_per_block)
--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -11,7 +11,7 @@
     Reserved,
     Room,
     SlotState,
-    StoreAway,
+    StoreUnavailable,
     Unfinished,
     Wanted,
 )
@@ -19,8 +19,8 @@
 
 from ._store_model import StoreModel
 
-_REFUSED = StoreAway("dead", may_have_acted=False)
-_LOST = StoreAway("answer lost")
+_REFUSED = StoreUnavailable("dead", may_have_acted=False)
+_LOST = StoreUnavailable("answer lost")
 
 
 class MemoryStore:
@@ -31,25 +31,25 @@
         self.model = model
         self._clock = clock
 
-    async def reserve(self, wanted: tuple[Wanted, ...]) -> Reserved | StoreAway:
+    async def reserve(self, wanted: tuple[Wanted, ...]) -> Reserved | StoreUnavailable:
         return await self._call(
             lambda: self.model.reserve(self._clock.now_ms(), wanted)
         )
 
-    async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreAway:
+    async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreUnavailable:
         result = await self._call(lambda: self.model.write(ref, payload))
         return await self._after_transfer(ref, result)
 
-    async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
+    async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
         return await self._call(lambda: self.model.seal(refs))
 
-    async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
+    async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
         return await self._call(lambda: self.model.publish(refs))
 
-    async def describe(self, keys: tuple[str, ...]) -> Done | StoreAway:
+    async def describe(self, keys: tuple[str, ...]) -> Done | StoreUnavailable:
         return await self._call(lambda: self.model.describe(keys))
 
-    async def read(self, ref: BlockRef) -> bytes | Miss | StoreAway:
+    async def read(self, ref: BlockRef) -> bytes | Miss | StoreUnavailable:
         wait_ms = self.model.transfer_ms(self._clock.now_ms(), ref)
         result = await self._call(lambda: self.model.read(ref))
         if isinstance(result, bytes):
@@ -57,31 +57,33 @@
             await self._clock.sleep_ms(wait_ms)
         return result
 
-    async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
+    async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
         return await self._call(lambda: self.model.abandon(refs))
 
-    async def raise_fence(self, fencing: int) -> Done | Fenced | StoreAway:
+    async def raise_fence(self, fencing: int) -> Done | Fenced | StoreUnavailable:
         return await self._call(lambda: self.model.raise_fence(fencing))
 
     async def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
-    ) -> Done | Fenced | StoreAway:
+    ) -> Done | Fenced | StoreUnavailable:
         return await self._call(
             lambda: self.model.free(refs, state=state, fencing=fencing)
         )
 
-    async def unfinished(self, min_age_ms: int) -> tuple[Unfinished, ...] | StoreAway:
+    async def unfinished(
+        self, min_age_ms: int
+    ) -> tuple[Unfinished, ...] | StoreUnavailable:
         return await self._call(
             lambda: self.model.unfinished(self._clock.now_ms(), min_age_ms)
         )
 
-    async def list(self, query: ListQuery) -> Listing | StoreAway:
+    async def list(self, query: ListQuery) -> Listing | StoreUnavailable:
         return await self._call(lambda: self.model.list(query))
 
-    async def room(self) -> Room | StoreAway:
+    async def room(self) -> Room | StoreUnavailable:
         return await self._call(self.model.room)
 
-    async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreAway:
+    async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreUnavailable:
         return await self._call(lambda: self.model.coldest(self._clock.now_ms(), limit))
 
     async def _call(self, act):
--- a/tests/faults/_fakes.py
+++ b/tests/faults/_fakes.py
@@ -9,7 +9,7 @@
 from fireflyward.bundles._store import HEAD_KEY, Head
 from fireflyward.checker import BlockRead, BlockSealed, Ran
 from fireflyward.daemon import Outside
-from fireflyward.kept import StoreAway
+from fireflyward.kept import StoreUnavailable
 from fireflyward.outcomes import Reason
 from fireflyward.standins import (
     EngineCosts,
@@ -249,14 +249,14 @@
                 network = self._world.network
                 connection = await network.connect(self._process, self.name)
             except LinkDown as error:
-                return StoreAway(str(error), False)
+                return StoreUnavailable(str(error), False)
             try:
                 await connection.carry(CALL_LIMIT_MS)
                 store = MemoryStore(self._world.store_by_name[self.name], network.clock)
                 result = await getattr(store, method)(*positional, **named)
                 await connection.carry(CALL_LIMIT_MS)
             except LinkLost as error:
-                return StoreAway(str(error))
+                return StoreUnavailable(str(error))
             return result
 
         return call
--- a/tests/fuzz/test_answers.py
+++ b/tests/fuzz/test_answers.py
@@ -16,7 +16,7 @@
     Unavailable,
     Uncertain,
 )
-from fireflyward.kept import HttpStore, StoreAway
+from fireflyward.kept import HttpStore, StoreUnavailable
 from fireflyward.upstreams import (
     BlockRef,
     Broken,
@@ -145,7 +145,7 @@
         for work in (store.seal((REF,)), store.describe(("ab",)), store.unfinished(1)):
             result = self.exchange(work, status, body)
             if status >= 500:
-                self.assertIsInstance(result, StoreAway)
+                self.assertIsInstance(result, StoreUnavailable)
 
     @fuzz(30)
     @given(st.binary(max_size=120))
--- a/tests/standins/test_store_server.py
+++ b/tests/standins/test_store_server.py
@@ -7,7 +7,7 @@
     HttpStore,
     ListQuery,
     SlotState,
-    StoreAway,
+    StoreUnavailable,
     Wanted,
 )
 from fireflyward.standins import (
@@ -65,5 +65,5 @@
     async def test_dead_store_is_a_value(self):
         await self.server.stop()
         result = await self.store.describe(KEYS)
-        self.assertIsInstance(result, StoreAway)
+        self.assertIsInstance(result, StoreUnavailable)
         self.assertFalse(result.may_have_acted)
