--- a/fireflyward/bench/measures/kept_wire.py
+++ b/fireflyward/bench/measures/kept_wire.py
@@ -10,7 +10,7 @@
     Done,
     ListQuery,
     Reserved,
-    Wanted,
+    SlotRequest,
     shard_of,
 )
 from fireflyward.kept._index import entries_of
@@ -38,7 +38,7 @@
     owner = names.owner_tag("account")
     store = StoreModel("store-1")
     wanted = tuple(
-        Wanted(key, place, shard_of(keys[0]), owner)
+        SlotRequest(key, place, shard_of(keys[0]), owner)
         for place, key in enumerate(keys, start=1)
     )
     reserved = store.reserve(0, wanted)
@@ -78,7 +78,7 @@
 
 
 def _export(
-    wanted: tuple[Wanted, ...],
+    wanted: tuple[SlotRequest, ...],
     reserved: Reserved,
     sealed: tuple[BlockRef, ...],
     published: Done,
--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -14,8 +14,8 @@
     Importer,
     ImportRequest,
     ShardLookUp,
+    SlotRequest,
     StoreClient,
-    Wanted,
     shard_of,
 )
 from fireflyward.observe import Metrics
@@ -300,7 +300,8 @@
         owner = self._names.owner_tag(shape.account)
         shard = shard_of(shape.block_keys[0])
         wanted = tuple(
-            Wanted(shape.block_keys[place], place + 1, shard, owner) for place in places
+            SlotRequest(shape.block_keys[place], place + 1, shard, owner)
+            for place in places
         )
         order_id = f"{shape.run_id}-{store.name}-{places.start}"
         plan = ExportPlan(order_id, shape.model, shape.version, wanted)
--- a/fireflyward/kept/__init__.py
+++ b/fireflyward/kept/__init__.py
@@ -21,12 +21,12 @@
     ListQuery,
     Reserved,
     Room,
+    SlotRequest,
     SlotState,
     StoreChange,
     StoreClient,
     StoreUnavailable,
     Unfinished,
-    Wanted,
     shard_of,
 )
 from ._sweep import FreeStep, HeldLease, NotSwept, Sweeper, Swept
@@ -74,7 +74,7 @@
     "Swept",
     "Unfinished",
     "UnknownPrefix",
-    "Wanted",
+    "SlotRequest",
     "choose_victims",
     "holders_of",
     "shard_of",
--- a/fireflyward/kept/_export.py
+++ b/fireflyward/kept/_export.py
@@ -11,7 +11,7 @@
     Miss,
 )
 
-from ._stores import Reserved, StoreClient, StoreUnavailable, Wanted
+from ._stores import Reserved, SlotRequest, StoreClient, StoreUnavailable
 
 
 class ExportStep(Step):
@@ -30,7 +30,7 @@
     order_id: str
     model: str
     version: str
-    wanted: tuple[Wanted, ...]
+    wanted: tuple[SlotRequest, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/fireflyward/kept/_store_http.py
+++ b/fireflyward/kept/_store_http.py
@@ -16,10 +16,10 @@
     ListQuery,
     Reserved,
     Room,
+    SlotRequest,
     SlotState,
     StoreUnavailable,
     Unfinished,
-    Wanted,
 )
 
 _CONNECT_LIMIT_S = 1.0
@@ -38,7 +38,7 @@
 class ReserveBody(msgspec.Struct):
     """Blocks for which slots are asked."""
 
-    wanted: tuple[Wanted, ...]
+    wanted: tuple[SlotRequest, ...]
 
 
 class DescribeBody(msgspec.Struct):
@@ -94,7 +94,9 @@
     def __repr__(self) -> str:
         return f"HttpStore({self.name!r}, {self._base!r})"
 
-    async def reserve(self, wanted: tuple[Wanted, ...]) -> Reserved | StoreUnavailable:
+    async def reserve(
+        self, wanted: tuple[SlotRequest, ...]
+    ) -> Reserved | StoreUnavailable:
         return await self._post("/reserve", ReserveBody(wanted), Reserved)
 
     async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreUnavailable:
--- a/fireflyward/kept/_stores.py
+++ b/fireflyward/kept/_stores.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class SlotRequest:
     """A block for which a slot is asked.
 
     ``position`` counts from 1. ``shard`` is that of the prompt's first block, under
@@ -172,7 +172,7 @@
     name: str
 
     async def reserve(
-        self, wanted: tuple[Wanted, ...]
+        self, wanted: tuple[SlotRequest, ...]
     ) -> Reserved | StoreUnavailable: ...
 
     async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreUnavailable: ...
--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -10,10 +10,10 @@
     ListQuery,
     Reserved,
     Room,
+    SlotRequest,
     SlotState,
     StoreUnavailable,
     Unfinished,
-    Wanted,
 )
 from fireflyward.upstreams import Miss
 
@@ -31,7 +31,9 @@
         self.model = model
         self._clock = clock
 
-    async def reserve(self, wanted: tuple[Wanted, ...]) -> Reserved | StoreUnavailable:
+    async def reserve(
+        self, wanted: tuple[SlotRequest, ...]
+    ) -> Reserved | StoreUnavailable:
         return await self._call(
             lambda: self.model.reserve(self._clock.now_ms(), wanted)
         )
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -14,10 +14,10 @@
     ListQuery,
     Reserved,
     Room,
+    SlotRequest,
     SlotState,
     StoreChange,
     Unfinished,
-    Wanted,
 )
 from fireflyward.upstreams import Miss, MissReason, block_checksum
 
@@ -73,7 +73,7 @@
         """Return how many slots both tiers have."""
         return self.costs.memory_slots + self.costs.disk_slots
 
-    def reserve(self, now_ms: float, wanted: tuple[Wanted, ...]) -> Reserved:
+    def reserve(self, now_ms: float, wanted: tuple[SlotRequest, ...]) -> Reserved:
         """Give each block that is not kept yet a slot in a new generation."""
         refs, kept = [], []
         for item in wanted:
--- a/fireflyward/standins/_store_slots.py
+++ b/fireflyward/standins/_store_slots.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from fireflyward.kept import SlotState, StoreChange, Wanted
+from fireflyward.kept import SlotRequest, SlotState, StoreChange
 from fireflyward.upstreams import BlockRef
 
 
@@ -58,7 +58,7 @@
     read_at_ms: float = 0.0
     reads: int = 0
 
-    def fill(self, now_ms: float, generation: int, wanted: Wanted) -> None:
+    def fill(self, now_ms: float, generation: int, wanted: SlotRequest) -> None:
         """Begin a new generation for a block."""
         self.generation = generation
         self.state = SlotState.RESERVED
--- a/tests/daemon/test_kept_duty.py
+++ b/tests/daemon/test_kept_duty.py
@@ -8,7 +8,7 @@
 from fireflyward.bundles import Upstream
 from fireflyward.clock import Clock
 from fireflyward.demo import KEPT_KEY, DemoDeployment
-from fireflyward.kept import BlockNames, Importer, ImportRequest, Wanted
+from fireflyward.kept import BlockNames, Importer, ImportRequest, SlotRequest
 from fireflyward.routing import RunShape
 from fireflyward.standins import EngineCosts, StoreCosts, StoreModel, StoreServer
 from tests.kept.kv_fixtures import Until
@@ -90,7 +90,7 @@
 
     async def test_dead_writers_slots_are_swept_by_the_lease_holder_only(self):
         store = self.deployment.store.model
-        store.reserve(Clock().now_ms() - 120_000, (Wanted("aa" * 16, 1),))
+        store.reserve(Clock().now_ms() - 120_000, (SlotRequest("aa" * 16, 1),))
         nodes = list(self.deployment.node_by_name.values())
         async with asyncio.timeout(20):
             while store.used_slots():
--- a/tests/faults/_procedures.py
+++ b/tests/faults/_procedures.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from fireflyward.backing import Committed
-from fireflyward.kept import Wanted
+from fireflyward.kept import SlotRequest
 
 from ._callers import MODEL
 from ._world import ACCOUNTS, World
@@ -90,7 +90,7 @@
     """A write is left half done, and the sweep comes by."""
     for store in world.store_by_name.values():
         store.fill(_FILLING)
-        store.reserve(world.clock.now_ms(), (Wanted("ab" * 16, 1),))
+        store.reserve(world.clock.now_ms(), (SlotRequest("ab" * 16, 1),))
     await _kept(world)
     await world.clock.sleep_ms(_SWEEP_MS)
 
--- a/tests/faults/_stores.py
+++ b/tests/faults/_stores.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from fireflyward.checker import BlockFreed, BlockRead, BlockSealed
-from fireflyward.kept import Wanted
+from fireflyward.kept import SlotRequest
 from fireflyward.standins import EngineKv, StoreCosts, StoreModel, kv_payload
 from fireflyward.upstreams import block_checksum
 
@@ -44,7 +44,7 @@
     def fill(self, blocks: int) -> None:
         """Keep so many other blocks."""
         now_ms = self.world.clock.now_ms()
-        wanted = tuple(Wanted(f"{number:032x}", 1) for number in range(blocks))
+        wanted = tuple(SlotRequest(f"{number:032x}", 1) for number in range(blocks))
         for ref in self.reserve(now_ms, wanted).refs:
             payload = kv_payload(ref.key)
             self.write(ref, payload)
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -10,7 +10,7 @@
 from fireflyward.checker import BundleServed, Promise, UpstreamLeaving
 from fireflyward.daemon import Node
 from fireflyward.entry import _completions
-from fireflyward.kept import BlockNames, SlotState, Wanted
+from fireflyward.kept import BlockNames, SlotRequest, SlotState
 from fireflyward.outcomes import Answered, NotRun
 from fireflyward.routing import Router
 from fireflyward.runs import Permit, RunRecords, _service_task
@@ -63,7 +63,7 @@
 
 
 async def write(world, store, key) -> BlockRef:
-    [reserved] = store.reserve(world.clock.now_ms(), (Wanted(key, 1),)).refs
+    [reserved] = store.reserve(world.clock.now_ms(), (SlotRequest(key, 1),)).refs
     payload = _engine_kv.kv_payload(key)
     store.write(reserved, payload)
     checksum = _engine_kv.block_checksum(key, reserved.generation, payload)
--- a/tests/kept/test_export.py
+++ b/tests/kept/test_export.py
@@ -7,8 +7,8 @@
     ExportPlan,
     ExportStep,
     NotExported,
+    SlotRequest,
     Sweeper,
-    Wanted,
 )
 from tests.kept.kv_fixtures import (
     KEYS,
@@ -24,7 +24,7 @@
     "o1",
     MODEL,
     VERSION,
-    tuple(Wanted(key, at) for at, key in enumerate(KEYS[:4], start=1)),
+    tuple(SlotRequest(key, at) for at, key in enumerate(KEYS[:4], start=1)),
 )
 
 
--- a/tests/kept/test_import.py
+++ b/tests/kept/test_import.py
@@ -7,8 +7,8 @@
     Importer,
     ImportRequest,
     ImportStep,
+    SlotRequest,
     SlotState,
-    Wanted,
 )
 from fireflyward.upstreams import MissReason
 from tests.kept.kv_fixtures import (
@@ -30,7 +30,7 @@
         self.world.compute()
         self.store = self.world.store_by_name["s1"]
         self.version = VERSION
-        wanted = tuple(Wanted(key, at) for at, key in enumerate(KEYS, start=1))
+        wanted = tuple(SlotRequest(key, at) for at, key in enumerate(KEYS, start=1))
         plan = ExportPlan("o1", MODEL, VERSION, wanted)
         await self.run_ms(Exporter({}).export(plan, self.world.kv, self.store))
         self.kv = self.world.other_engine()
@@ -94,7 +94,7 @@
                 model = self.store.model
                 refs = model.describe(KEYS[:1]).refs
                 model.free(refs, state=SlotState.PUBLISHED, fencing=1)
-                model.reserve(0, (Wanted("ee" * 16, 1),))
+                model.reserve(0, (SlotRequest("ee" * 16, 1),))
 
         result = await self.load(self.importer(observe=reuse))
         self.assertEqual((result.blocks, result.reason), (0, MissReason.OLD_GENERATION))
--- a/tests/kept/test_life_cycle.py
+++ b/tests/kept/test_life_cycle.py
@@ -21,7 +21,7 @@
 )
 from hypothesis.strategies import booleans, integers, sampled_from
 
-from fireflyward.kept import BlockRef, Fenced, SlotState, Wanted
+from fireflyward.kept import BlockRef, Fenced, SlotRequest, SlotState
 from fireflyward.standins import StoreCosts, StoreModel, check_block, kv_payload
 from fireflyward.upstreams import block_checksum
 
@@ -54,7 +54,7 @@
 
     def take_slot(self, key):
         self.now_ms += 10
-        refs = self.store.reserve(self.now_ms, (Wanted(key, 1),)).refs
+        refs = self.store.reserve(self.now_ms, (SlotRequest(key, 1),)).refs
         for ref in refs:
             assert (ref.slot, ref.generation) not in self.given, "generation repeated"
             self.given.add((ref.slot, ref.generation))
--- a/tests/kept/test_readers.py
+++ b/tests/kept/test_readers.py
@@ -6,9 +6,9 @@
     EngineReader,
     HeldRun,
     PrefixIndex,
+    SlotRequest,
     SlotState,
     StoreReader,
-    Wanted,
     shard_of,
 )
 from fireflyward.standins import EngineCache, StoreCosts, StoreModel
@@ -20,7 +20,7 @@
 
 def keep(store, keys=KEYS):
     for position, key in enumerate(keys, start=1):
-        wanted = Wanted(key, position, shard_of(keys[0]))
+        wanted = SlotRequest(key, position, shard_of(keys[0]))
         for ref in store.reserve(0, (wanted,)).refs:
             store.write(ref, b"x")
             checksum = block_checksum(key, ref.generation, b"x")
--- a/tests/kept/test_sweep.py
+++ b/tests/kept/test_sweep.py
@@ -5,9 +5,9 @@
     FreeStep,
     NotSwept,
     Room,
+    SlotRequest,
     Sweeper,
     Swept,
-    Wanted,
     choose_victims,
 )
 from fireflyward.upstreams import BlockRef, block_checksum
@@ -21,7 +21,7 @@
         self.model = self.store.model
 
     async def begin_write(self, key):
-        reserved = await self.store.reserve((Wanted(key, 1),))
+        reserved = await self.store.reserve((SlotRequest(key, 1),))
         await self.world.clock.advance_ms(70_000)
         return reserved.refs[0]
 
@@ -33,7 +33,7 @@
 
     async def test_old_garbage_is_freed_and_a_young_write_is_not(self):
         await self.begin_write(KEYS[0])
-        await self.store.reserve((Wanted(KEYS[1], 1),))
+        await self.store.reserve((SlotRequest(KEYS[1], 1),))
         result = await Sweeper(lambda: Held(1)).sweep(self.store)
         self.assertEqual(result, Swept(1))
         self.assertEqual(self.model.used_slots(), 1)
@@ -88,7 +88,7 @@
     async def test_nearly_full_store_gets_room_from_its_coldest(self):
         keys = [f"{number:032x}" for number in range(16)]
         for key in keys:
-            reserved = await self.store.reserve((Wanted(key, 1),))
+            reserved = await self.store.reserve((SlotRequest(key, 1),))
             self.finish_write(reserved.refs[0])
             await self.world.clock.advance_ms(1_000)
         for key in keys[:2]:
--- a/tests/standins/test_engine_kv.py
+++ b/tests/standins/test_engine_kv.py
@@ -1,7 +1,7 @@
 import asyncio
 import unittest
 
-from fireflyward.kept import Wanted
+from fireflyward.kept import SlotRequest
 from fireflyward.standins import EngineCache, EventFaults
 from fireflyward.upstreams import (
     CacheChange,
@@ -22,7 +22,7 @@
 
     async def keep(self, keys=KEYS[:4]):
         self.world.compute(keys)
-        wanted = tuple(Wanted(key, at) for at, key in enumerate(keys, start=1))
+        wanted = tuple(SlotRequest(key, at) for at, key in enumerate(keys, start=1))
         reserved = await self.store.reserve(wanted)
         order = ExportOrder("o1", MODEL, VERSION, reserved.refs, {})
         report = await self.run_ms(self.world.kv.export_blocks(order))
@@ -86,7 +86,7 @@
         self.assertEqual(kv.engine.cache.prefix_blocks(KEYS), 2)
 
     async def test_block_that_left_the_cache_is_not_exported(self):
-        wanted = (Wanted(KEYS[0], 1),)
+        wanted = (SlotRequest(KEYS[0], 1),)
         reserved = await self.store.reserve(wanted)
         order = ExportOrder("o1", MODEL, VERSION, reserved.refs, {})
         report = await self.run_ms(self.world.kv.export_blocks(order))
--- a/tests/standins/test_store_model.py
+++ b/tests/standins/test_store_model.py
@@ -1,6 +1,6 @@
 import unittest
 
-from fireflyward.kept import BlockRef, Fenced, ListQuery, SlotState, Wanted
+from fireflyward.kept import BlockRef, Fenced, ListQuery, SlotRequest, SlotState
 from fireflyward.standins import StoreCosts, StoreModel
 from fireflyward.upstreams import Miss, MissReason, block_checksum
 
@@ -9,7 +9,7 @@
 
 def keep(store: StoreModel, key: str, payload: bytes = b"x", position: int = 1):
     """Take a block through every step and return its descriptor."""
-    (ref,) = store.reserve(0, (Wanted(key, position, position - 1),)).refs
+    (ref,) = store.reserve(0, (SlotRequest(key, position, position - 1),)).refs
     store.write(ref, payload)
     return store.publish(store.seal((sealed(ref, payload),)).refs).refs[0]
 
@@ -32,7 +32,7 @@
         self.store = StoreModel("s1", COSTS)
 
     def test_only_a_published_block_is_read(self):
-        (ref,) = self.store.reserve(0, (Wanted("aa", 1),)).refs
+        (ref,) = self.store.reserve(0, (SlotRequest("aa", 1),)).refs
         self.assertIsInstance(self.store.read(ref), Miss)
         self.store.write(ref, b"x")
         self.assertIsInstance(self.store.read(ref), Miss)
@@ -55,12 +55,12 @@
         """Symptom: half a block is read. Sequence: the writer dies in the middle of
         its write and another seals what is there. Cause: a seal that does not look
         at the bytes."""
-        (ref,) = self.store.reserve(0, (Wanted("aa", 1),)).refs
+        (ref,) = self.store.reserve(0, (SlotRequest("aa", 1),)).refs
         self.store.write(ref, b"ha")
         self.assertEqual(self.store.seal((sealed(ref, b"half"),)).refs, ())
 
     def test_seal_and_publish_may_be_repeated_after_a_lost_answer(self):
-        (ref,) = self.store.reserve(0, (Wanted("aa", 1),)).refs
+        (ref,) = self.store.reserve(0, (SlotRequest("aa", 1),)).refs
         self.store.write(ref, b"x")
         for _ in range(2):
             done = self.store.seal((sealed(ref, b"x"),))
@@ -70,7 +70,7 @@
 
     def test_second_writer_of_a_block_leaves_no_second_copy(self):
         first, second = (
-            self.store.reserve(0, (Wanted("aa", 1),)).refs[0] for _ in range(2)
+            self.store.reserve(0, (SlotRequest("aa", 1),)).refs[0] for _ in range(2)
         )
         for ref in (first, second):
             self.store.write(ref, b"x")
@@ -101,7 +101,7 @@
         self.assertEqual(self.store.read(ref), b"x")
 
     def test_slot_that_went_on_since_it_was_listed_is_not_freed(self):
-        (ref,) = self.store.reserve(0, (Wanted("aa", 1),)).refs
+        (ref,) = self.store.reserve(0, (SlotRequest("aa", 1),)).refs
         self.store.write(ref, b"x")
         self.store.publish(self.store.seal((sealed(ref, b"x"),)).refs)
         done = self.store.free((ref,), state=SlotState.RESERVED, fencing=5)
@@ -113,7 +113,7 @@
     def test_full_store_says_so_and_keeps_what_it_has(self):
         store = StoreModel("s1", COSTS)
         refs = [keep(store, f"a{number}") for number in range(4)]
-        self.assertTrue(store.reserve(0, (Wanted("ff", 1),)).is_full)
+        self.assertTrue(store.reserve(0, (SlotRequest("ff", 1),)).is_full)
         self.assertTrue(all(store.read(ref) == b"x" for ref in refs))
 
     def test_least_recently_read_blocks_are_on_disk_and_slower(self):
--- a/tests/standins/test_store_server.py
+++ b/tests/standins/test_store_server.py
@@ -6,9 +6,9 @@
     Fenced,
     HttpStore,
     ListQuery,
+    SlotRequest,
     SlotState,
     StoreUnavailable,
-    Wanted,
 )
 from fireflyward.standins import (
     EngineModel,
@@ -37,7 +37,7 @@
         first, second = (HttpKvEngine(self.session, item.url) for item in self.engines)
         for position, key in enumerate(KEYS, start=1):
             self.engines[0].model.cache.store(key, position)
-        wanted = tuple(Wanted(key, at) for at, key in enumerate(KEYS, start=1))
+        wanted = tuple(SlotRequest(key, at) for at, key in enumerate(KEYS, start=1))
         reserved = await self.store.reserve(wanted)
         urls = {"s1": self.server.url}
         order = ExportOrder("o1", "m", "v1", reserved.refs, urls)
@@ -52,7 +52,7 @@
         self.assertEqual(len(listing.changes), 2)
 
     async def test_conditional_free_fence_and_miss_pass_the_wire(self):
-        reserved = await self.store.reserve((Wanted(KEYS[0], 1),))
+        reserved = await self.store.reserve((SlotRequest(KEYS[0], 1),))
         await self.store.raise_fence(4)
         result = await self.store.free(
             reserved.refs, state=SlotState.RESERVED, fencing=3
