--- a/fireflyward/bench/measures/kept_wire.py
+++ b/fireflyward/bench/measures/kept_wire.py
@@ -5,9 +5,9 @@
 from fireflyward.bench import Bench, Figure
 from fireflyward.kept import (
     INDEX_STRIDE,
+    AppliedRefs,
     BlockNames,
     BlockRef,
-    Done,
     ListQuery,
     Reserved,
     SlotRequest,
@@ -81,7 +81,7 @@
     wanted: tuple[SlotRequest, ...],
     reserved: Reserved,
     sealed: tuple[BlockRef, ...],
-    published: Done,
+    published: AppliedRefs,
 ) -> list[object]:
     order = ExportOrder("run", "clauses", "v1", reserved.refs, _URLS)
     return [
@@ -94,7 +94,7 @@
     ]
 
 
-def _import(keys: tuple[str, ...], published: Done) -> list[object]:
+def _import(keys: tuple[str, ...], published: AppliedRefs) -> list[object]:
     order = ImportOrder("run", "clauses", "v1", published.refs, _URLS, 100, keys[0])
     return [DescribeBody(keys), published, order, ImportReport(_BLOCKS)]
 
--- a/fireflyward/kept/__init__.py
+++ b/fireflyward/kept/__init__.py
@@ -14,8 +14,8 @@
 from ._store_http import HttpStore
 from ._stores import (
     SHARDS,
+    AppliedRefs,
     Cold,
-    Done,
     Fenced,
     Listing,
     ListQuery,
@@ -38,7 +38,7 @@
     "BlockNames",
     "BlockRef",
     "Cold",
-    "Done",
+    "AppliedRefs",
     "EngineReader",
     "ExportPlan",
     "ExportStep",
--- a/fireflyward/kept/_import.py
+++ b/fireflyward/kept/_import.py
@@ -15,7 +15,7 @@
     MissReason,
 )
 
-from ._stores import Done, StoreClient, StoreUnavailable
+from ._stores import AppliedRefs, StoreClient, StoreUnavailable
 
 _CHUNK_BLOCKS = 8
 
@@ -169,7 +169,9 @@
         return Imported(blocks, bytes_read, reason)
 
 
-def _matching(keys: tuple[str, ...], found: Done) -> tuple[BlockRef, ...] | MissReason:
+def _matching(
+    keys: tuple[str, ...], found: AppliedRefs
+) -> tuple[BlockRef, ...] | MissReason:
     """Hold a store's answer against the question, key by key."""
     if not found.refs:
         return MissReason.NOT_KEPT
--- a/fireflyward/kept/_store_http.py
+++ b/fireflyward/kept/_store_http.py
@@ -9,8 +9,8 @@
 from fireflyward.upstreams import BlockRef, Miss, MissReason
 
 from ._stores import (
+    AppliedRefs,
     Cold,
-    Done,
     Fenced,
     Listing,
     ListQuery,
@@ -99,17 +99,21 @@
     ) -> Reserved | StoreUnavailable:
         return await self._post("/reserve", ReserveBody(wanted), Reserved)
 
-    async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreUnavailable:
-        return await self._call("PUT", _block_path(ref), payload, Done)
+    async def write(
+        self, ref: BlockRef, payload: bytes
+    ) -> AppliedRefs | StoreUnavailable:
+        return await self._call("PUT", _block_path(ref), payload, AppliedRefs)
 
-    async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
-        return await self._post("/seal", RefsBody(refs), Done)
+    async def seal(self, refs: tuple[BlockRef, ...]) -> AppliedRefs | StoreUnavailable:
+        return await self._post("/seal", RefsBody(refs), AppliedRefs)
 
-    async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
-        return await self._post("/publish", RefsBody(refs), Done)
+    async def publish(
+        self, refs: tuple[BlockRef, ...]
+    ) -> AppliedRefs | StoreUnavailable:
+        return await self._post("/publish", RefsBody(refs), AppliedRefs)
 
-    async def describe(self, keys: tuple[str, ...]) -> Done | StoreUnavailable:
-        return await self._post("/describe", DescribeBody(keys), Done)
+    async def describe(self, keys: tuple[str, ...]) -> AppliedRefs | StoreUnavailable:
+        return await self._post("/describe", DescribeBody(keys), AppliedRefs)
 
     async def read(self, ref: BlockRef) -> bytes | Miss | StoreUnavailable:
         result = await self._exchange("GET", _block_path(ref), b"")
@@ -123,16 +127,20 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return StoreUnavailable(f"answer could not be read: {error}")
 
-    async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
-        return await self._post("/abandon", RefsBody(refs), Done)
+    async def abandon(
+        self, refs: tuple[BlockRef, ...]
+    ) -> AppliedRefs | StoreUnavailable:
+        return await self._post("/abandon", RefsBody(refs), AppliedRefs)
 
-    async def raise_fence(self, fencing: int) -> Done | Fenced | StoreUnavailable:
-        return await self._post("/fence", FenceBody(fencing), Done)
+    async def raise_fence(
+        self, fencing: int
+    ) -> AppliedRefs | Fenced | StoreUnavailable:
+        return await self._post("/fence", FenceBody(fencing), AppliedRefs)
 
     async def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
-    ) -> Done | Fenced | StoreUnavailable:
-        return await self._post("/free", FreeBody(refs, state, fencing), Done)
+    ) -> AppliedRefs | Fenced | StoreUnavailable:
+        return await self._post("/free", FreeBody(refs, state, fencing), AppliedRefs)
 
     async def unfinished(
         self, min_age_ms: int
--- a/fireflyward/kept/_stores.py
+++ b/fireflyward/kept/_stores.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class AppliedRefs:
     """The descriptors for which the call took effect; the others were misses."""
 
     refs: tuple[BlockRef, ...]
@@ -175,26 +175,36 @@
         self, wanted: tuple[SlotRequest, ...]
     ) -> Reserved | StoreUnavailable: ...
 
-    async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreUnavailable: ...
+    async def write(
+        self, ref: BlockRef, payload: bytes
+    ) -> AppliedRefs | StoreUnavailable: ...
 
-    async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable: ...
+    async def seal(
+        self, refs: tuple[BlockRef, ...]
+    ) -> AppliedRefs | StoreUnavailable: ...
 
-    async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable: ...
+    async def publish(
+        self, refs: tuple[BlockRef, ...]
+    ) -> AppliedRefs | StoreUnavailable: ...
 
-    async def describe(self, keys: tuple[str, ...]) -> Done | StoreUnavailable:
+    async def describe(self, keys: tuple[str, ...]) -> AppliedRefs | StoreUnavailable:
         """Return descriptors of the longest prefix of ``keys`` that is kept."""
 
     async def read(self, ref: BlockRef) -> bytes | Miss | StoreUnavailable: ...
 
-    async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
+    async def abandon(
+        self, refs: tuple[BlockRef, ...]
+    ) -> AppliedRefs | StoreUnavailable:
         """Give back slots of this generation that were not published."""
 
-    async def raise_fence(self, fencing: int) -> Done | Fenced | StoreUnavailable:
+    async def raise_fence(
+        self, fencing: int
+    ) -> AppliedRefs | Fenced | StoreUnavailable:
         """Have the store refuse every smaller fencing number from now on."""
 
     async def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
-    ) -> Done | Fenced | StoreUnavailable:
+    ) -> AppliedRefs | Fenced | StoreUnavailable:
         """Free slots that still have this generation and this state."""
 
     async def unfinished(
--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -2,9 +2,9 @@
 
 from fireflyward.clock import Clock
 from fireflyward.kept import (
+    AppliedRefs,
     BlockRef,
     Cold,
-    Done,
     Fenced,
     Listing,
     ListQuery,
@@ -38,17 +38,21 @@
             lambda: self.model.reserve(self._clock.now_ms(), wanted)
         )
 
-    async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreUnavailable:
+    async def write(
+        self, ref: BlockRef, payload: bytes
+    ) -> AppliedRefs | StoreUnavailable:
         result = await self._call(lambda: self.model.write(ref, payload))
         return await self._after_transfer(ref, result)
 
-    async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
+    async def seal(self, refs: tuple[BlockRef, ...]) -> AppliedRefs | StoreUnavailable:
         return await self._call(lambda: self.model.seal(refs))
 
-    async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
+    async def publish(
+        self, refs: tuple[BlockRef, ...]
+    ) -> AppliedRefs | StoreUnavailable:
         return await self._call(lambda: self.model.publish(refs))
 
-    async def describe(self, keys: tuple[str, ...]) -> Done | StoreUnavailable:
+    async def describe(self, keys: tuple[str, ...]) -> AppliedRefs | StoreUnavailable:
         return await self._call(lambda: self.model.describe(keys))
 
     async def read(self, ref: BlockRef) -> bytes | Miss | StoreUnavailable:
@@ -59,15 +63,19 @@
             await self._clock.sleep_ms(wait_ms)
         return result
 
-    async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreUnavailable:
+    async def abandon(
+        self, refs: tuple[BlockRef, ...]
+    ) -> AppliedRefs | StoreUnavailable:
         return await self._call(lambda: self.model.abandon(refs))
 
-    async def raise_fence(self, fencing: int) -> Done | Fenced | StoreUnavailable:
+    async def raise_fence(
+        self, fencing: int
+    ) -> AppliedRefs | Fenced | StoreUnavailable:
         return await self._call(lambda: self.model.raise_fence(fencing))
 
     async def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
-    ) -> Done | Fenced | StoreUnavailable:
+    ) -> AppliedRefs | Fenced | StoreUnavailable:
         return await self._call(
             lambda: self.model.free(refs, state=state, fencing=fencing)
         )
@@ -101,7 +109,7 @@
         return result
 
     async def _after_transfer(self, ref: BlockRef, result):
-        if isinstance(result, Done) and result.refs:
+        if isinstance(result, AppliedRefs) and result.refs:
             await self._clock.sleep_ms(
                 self.model.transfer_ms(self._clock.now_ms(), ref)
             )
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from fireflyward.kept import (
+    AppliedRefs,
     BlockRef,
     Cold,
-    Done,
     Fenced,
     Listing,
     ListQuery,
@@ -88,30 +88,30 @@
             refs.append(slot.ref(self.name))
         return Reserved(tuple(refs), tuple(kept))
 
-    def write(self, ref: BlockRef, payload: bytes) -> Done:
+    def write(self, ref: BlockRef, payload: bytes) -> AppliedRefs:
         """Put bytes into a reserved slot; a second write replaces the first."""
         slot = self._slot(ref)
         if slot is None or slot.state is not SlotState.RESERVED:
-            return Done(())
+            return AppliedRefs(())
         slot.payload = payload
         self._memory[slot.number] = None
         self._demote()
         self.link_bytes += self.costs.block_bytes
-        return Done((slot.ref(self.name),))
+        return AppliedRefs((slot.ref(self.name),))
 
-    def seal(self, refs: tuple[BlockRef, ...]) -> Done:
+    def seal(self, refs: tuple[BlockRef, ...]) -> AppliedRefs:
         """Close slots whose bytes are whole by the length and checksum of each."""
         return self._each(refs, self._seal_slot)
 
-    def publish(self, refs: tuple[BlockRef, ...]) -> Done:
+    def publish(self, refs: tuple[BlockRef, ...]) -> AppliedRefs:
         """Let sealed blocks be read; of two copies of a block the first stays."""
         return self._each(refs, self._publish_slot)
 
-    def abandon(self, refs: tuple[BlockRef, ...]) -> Done:
+    def abandon(self, refs: tuple[BlockRef, ...]) -> AppliedRefs:
         """Free slots of exactly these generations that were not published."""
         return self._each(refs, self._abandon_slot)
 
-    def describe(self, keys: tuple[str, ...]) -> Done:
+    def describe(self, keys: tuple[str, ...]) -> AppliedRefs:
         """Return the descriptors of the longest prefix of ``keys`` that is kept."""
         refs = []
         for key in keys:
@@ -119,7 +119,7 @@
             if slot is None:
                 break
             refs.append(slot.ref(self.name))
-        return Done(tuple(refs))
+        return AppliedRefs(tuple(refs))
 
     def read(self, ref: BlockRef) -> bytes | Miss:
         """Return the bytes of a published block of exactly this generation.
@@ -147,16 +147,16 @@
             slot.reads += 1
             slot.read_at_ms = now_ms
 
-    def raise_fence(self, fencing: int) -> Done | Fenced:
+    def raise_fence(self, fencing: int) -> AppliedRefs | Fenced:
         """Refuse every smaller fencing number from now on."""
         if fencing < self._highest_fencing:
             return Fenced(self._highest_fencing)
         self._highest_fencing = fencing
-        return Done(())
+        return AppliedRefs(())
 
     def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
-    ) -> Done | Fenced:
+    ) -> AppliedRefs | Fenced:
         """Free slots that still have this generation and state.
 
         A sweeper that was paused past its lease acts on an old listing. Its
@@ -268,13 +268,13 @@
 
     def _each(
         self, refs: tuple[BlockRef, ...], act: Callable[[Slot, BlockRef], bool]
-    ) -> Done:
+    ) -> AppliedRefs:
         done = []
         for ref in refs:
             slot = self._slot(ref)
             if slot is not None and act(slot, ref):
                 done.append(slot.ref(self.name) if slot.key else ref)
-        return Done(tuple(done))
+        return AppliedRefs(tuple(done))
 
     def _seal_slot(self, slot: Slot, ref: BlockRef) -> bool:
         if slot.state is SlotState.SEALED:
--- a/fireflyward/standins/_store_server.py
+++ b/fireflyward/standins/_store_server.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from fireflyward.clock import Clock
-from fireflyward.kept import BlockRef, Done, Fenced, ListQuery, Reserved
+from fireflyward.kept import AppliedRefs, BlockRef, Fenced, ListQuery, Reserved
 from fireflyward.kept._store_http import (
     FENCED_STATUS,
     MISS_STATUS,
@@ -63,7 +63,7 @@
     def _reserve(self, body: ReserveBody) -> Reserved:
         return self.model.reserve(self._now_ms(), body.wanted)
 
-    def _free(self, body: FreeBody) -> Done | Fenced:
+    def _free(self, body: FreeBody) -> AppliedRefs | Fenced:
         return self.model.free(body.refs, state=body.state, fencing=body.fencing)
 
     def _now_ms(self) -> int:
