--- a/fireflyward/kept/__init__.py
+++ b/fireflyward/kept/__init__.py
@@ -15,7 +15,7 @@
 from ._stores import (
     SHARDS,
     AppliedRefs,
-    Cold,
+    ColdBlock,
     Fenced,
     Listing,
     ListQuery,
@@ -37,7 +37,7 @@
     "SHARDS",
     "BlockNames",
     "BlockRef",
-    "Cold",
+    "ColdBlock",
     "AppliedRefs",
     "EngineReader",
     "ExportPlan",
--- a/fireflyward/kept/_room.py
+++ b/fireflyward/kept/_room.py
@@ -4,12 +4,12 @@
 
 from fireflyward.upstreams import BlockRef
 
-from ._stores import Cold, Room
+from ._stores import ColdBlock, Room
 
 _OWNER_SHARE = 0.35
 
 
-def choose_victims(room: Room, coldest: tuple[Cold, ...]) -> tuple[BlockRef, ...]:
+def choose_victims(room: Room, coldest: tuple[ColdBlock, ...]) -> tuple[BlockRef, ...]:
     """Return what to free so that the store is no longer nearly full.
 
     Blocks of an owner that holds more than its share go first, so that one large
@@ -21,7 +21,7 @@
     used = Counter(room.used_by_owner)
     most_of_one = int(_OWNER_SHARE * room.capacity)
     victims: list[BlockRef] = []
-    waiting: list[Cold] = []
+    waiting: list[ColdBlock] = []
     for cold in sorted(coldest, key=_worth):
         if len(victims) >= to_free:
             break
@@ -34,5 +34,5 @@
     return tuple(victims)
 
 
-def _worth(cold: Cold) -> tuple[float, int]:
+def _worth(cold: ColdBlock) -> tuple[float, int]:
     return (cold.reads + 1) / (cold.idle_ms + 1), -cold.ref.position
--- a/fireflyward/kept/_store_http.py
+++ b/fireflyward/kept/_store_http.py
@@ -10,7 +10,7 @@
 
 from ._stores import (
     AppliedRefs,
-    Cold,
+    ColdBlock,
     Fenced,
     Listing,
     ListQuery,
@@ -154,9 +154,9 @@
     async def room(self) -> Room | StoreUnavailable:
         return await self._call("GET", "/room", b"", Room)
 
-    async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreUnavailable:
+    async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
         path = f"/coldest?limit={limit}"
-        return await self._call("GET", path, b"", tuple[Cold, ...])
+        return await self._call("GET", path, b"", tuple[ColdBlock, ...])
 
     async def _post(self, path: str, body: object, answer_type: Any) -> Any:
         return await self._call("POST", path, msgspec.json.encode(body), answer_type)
--- a/fireflyward/kept/_stores.py
+++ b/fireflyward/kept/_stores.py
@@ -157,7 +157,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cold:
+class ColdBlock:
     """A published block that was not read for ``idle_ms``."""
 
     ref: BlockRef
@@ -215,5 +215,5 @@
 
     async def room(self) -> Room | StoreUnavailable: ...
 
-    async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreUnavailable:
+    async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
         """Return published blocks, those that were read longest ago first."""
--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -4,7 +4,7 @@
 from fireflyward.kept import (
     AppliedRefs,
     BlockRef,
-    Cold,
+    ColdBlock,
     Fenced,
     Listing,
     ListQuery,
@@ -93,7 +93,7 @@
     async def room(self) -> Room | StoreUnavailable:
         return await self._call(self.model.room)
 
-    async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreUnavailable:
+    async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
         return await self._call(lambda: self.model.coldest(self._clock.now_ms(), limit))
 
     async def _call(self, act):
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -8,7 +8,7 @@
 from fireflyward.kept import (
     AppliedRefs,
     BlockRef,
-    Cold,
+    ColdBlock,
     Fenced,
     Listing,
     ListQuery,
@@ -191,11 +191,11 @@
         )
         return Room(used.total(), self.capacity(), dict(used))
 
-    def coldest(self, now_ms: float, limit: int) -> tuple[Cold, ...]:
+    def coldest(self, now_ms: float, limit: int) -> tuple[ColdBlock, ...]:
         """Return the blocks that were read longest ago."""
         slots = self._published_by_key.values()
         return tuple(
-            Cold(
+            ColdBlock(
                 slot.ref(self.name),
                 slot.owner,
                 slot.reads,
--- a/tests/kept/test_sweep.py
+++ b/tests/kept/test_sweep.py
@@ -1,7 +1,7 @@
 import unittest
 
 from fireflyward.kept import (
-    Cold,
+    ColdBlock,
     FreeStep,
     NotSwept,
     Room,
@@ -103,7 +103,7 @@
 class VictimTests(unittest.TestCase):
     def cold(self, number, owner, reads=0, idle_ms=1_000, position=1):
         ref = BlockRef(f"{number:032x}", "s1", number, 1, position=position)
-        return Cold(ref, owner, reads, idle_ms)
+        return ColdBlock(ref, owner, reads, idle_ms)
 
     def test_owner_above_its_share_gives_way_first(self):
         """Symptom: small accounts' kept work is gone each evening. Sequence: one
