--- a/fireflyward/kept/_room.py
+++ b/fireflyward/kept/_room.py
@@ -4,12 +4,14 @@
 
 from fireflyward.upstreams import BlockRef
 
-from ._stores import ColdBlock, Room
+from ._stores import ColdBlock, StoreUsage
 
 _OWNER_SHARE = 0.35
 
 
-def choose_victims(room: Room, coldest: tuple[ColdBlock, ...]) -> tuple[BlockRef, ...]:
+def choose_victims(
+    room: StoreUsage, coldest: tuple[ColdBlock, ...]
+) -> tuple[BlockRef, ...]:
     """Return what to free so that the store is no longer nearly full.
 
     Blocks of an owner that holds more than its share go first, so that one large
--- a/fireflyward/kept/_store_http.py
+++ b/fireflyward/kept/_store_http.py
@@ -15,10 +15,10 @@
     Listing,
     ListQuery,
     Reserved,
-    Room,
     SlotRequest,
     SlotState,
     StoreUnavailable,
+    StoreUsage,
     Unfinished,
 )
 
@@ -151,8 +151,8 @@
     async def list(self, query: ListQuery) -> Listing | StoreUnavailable:
         return await self._post("/list", query, Listing)
 
-    async def room(self) -> Room | StoreUnavailable:
-        return await self._call("GET", "/room", b"", Room)
+    async def room(self) -> StoreUsage | StoreUnavailable:
+        return await self._call("GET", "/room", b"", StoreUsage)
 
     async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
         path = f"/coldest?limit={limit}"
--- a/fireflyward/kept/_stores.py
+++ b/fireflyward/kept/_stores.py
@@ -140,7 +140,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class StoreUsage:
     """How many of a store's slots are used, in all and by each owner."""
 
     used: int
@@ -213,7 +213,7 @@
 
     async def list(self, query: ListQuery) -> Listing | StoreUnavailable: ...
 
-    async def room(self) -> Room | StoreUnavailable: ...
+    async def room(self) -> StoreUsage | StoreUnavailable: ...
 
     async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
         """Return published blocks, those that were read longest ago first."""
--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -9,10 +9,10 @@
     Listing,
     ListQuery,
     Reserved,
-    Room,
     SlotRequest,
     SlotState,
     StoreUnavailable,
+    StoreUsage,
     Unfinished,
 )
 from fireflyward.upstreams import Miss
@@ -90,7 +90,7 @@
     async def list(self, query: ListQuery) -> Listing | StoreUnavailable:
         return await self._call(lambda: self.model.list(query))
 
-    async def room(self) -> Room | StoreUnavailable:
+    async def room(self) -> StoreUsage | StoreUnavailable:
         return await self._call(self.model.room)
 
     async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -13,10 +13,10 @@
     Listing,
     ListQuery,
     Reserved,
-    Room,
     SlotRequest,
     SlotState,
     StoreChange,
+    StoreUsage,
     Unfinished,
 )
 from fireflyward.upstreams import Miss, MissReason, block_checksum
@@ -182,14 +182,14 @@
         found.sort(key=lambda item: -item.age_ms)
         return tuple(found[:_MAX_UNFINISHED])
 
-    def room(self) -> Room:
+    def room(self) -> StoreUsage:
         """Return how much of the store is used, and by whom."""
         used = Counter(
             slot.owner
             for slot in self._slot_by_number.values()
             if slot.state is not SlotState.FREE
         )
-        return Room(used.total(), self.capacity(), dict(used))
+        return StoreUsage(used.total(), self.capacity(), dict(used))
 
     def coldest(self, now_ms: float, limit: int) -> tuple[ColdBlock, ...]:
         """Return the blocks that were read longest ago."""
--- a/tests/kept/test_sweep.py
+++ b/tests/kept/test_sweep.py
@@ -4,8 +4,8 @@
     ColdBlock,
     FreeStep,
     NotSwept,
-    Room,
     SlotRequest,
+    StoreUsage,
     Sweeper,
     Swept,
     choose_victims,
@@ -108,7 +108,7 @@
     def test_owner_above_its_share_gives_way_first(self):
         """Symptom: small accounts' kept work is gone each evening. Sequence: one
         large account exports all day. Cause: eviction by age over all accounts."""
-        room = Room(100, 100, {"large": 90, "small": 10})
+        room = StoreUsage(100, 100, {"large": 90, "small": 10})
         coldest = (
             *(self.cold(n, "small", idle_ms=9_000) for n in range(10)),
             *(self.cold(n, "large") for n in range(10, 100)),
@@ -118,7 +118,7 @@
         self.assertTrue(all(ref.slot >= 10 for ref in victims))
 
     def test_later_blocks_of_a_prompt_go_before_earlier_ones(self):
-        room = Room(20, 20, {"a": 4, "b": 4, "c": 4, "d": 4, "e": 4})
+        room = StoreUsage(20, 20, {"a": 4, "b": 4, "c": 4, "d": 4, "e": 4})
         coldest = tuple(self.cold(n, "a", position=n + 1) for n in range(4))
         victims = choose_victims(room, coldest)
         self.assertEqual([ref.position for ref in victims], [4, 3])
