--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -156,7 +156,7 @@
                 listing = await store.list(reader.query(shards))
                 if isinstance(listing, StoreUnavailable):
                     break
-                if not reader.take(listing, self.index):
+                if not reader.apply(listing, self.index):
                     break
         self._metrics.gauge("kept_index_entries", len(self.index))
 
@@ -186,7 +186,7 @@
         after = reader.after(self._clock.now_ms(), shards)
         events = await engine.cache_events(after, stride=INDEX_STRIDE)
         if not isinstance(events, Broken):
-            reader.take(events, self.index)
+            reader.apply(events, self.index)
 
     def _add_store(self, name: str, url: str) -> None:
         if name in self.store_by_name:
--- a/fireflyward/kept/_readers.py
+++ b/fireflyward/kept/_readers.py
@@ -42,7 +42,7 @@
             self._epoch, self._after, INDEX_STRIDE, shards, self._start_slot
         )
 
-    def take(self, listing: Listing, index: PrefixIndex) -> bool:
+    def apply(self, listing: Listing, index: PrefixIndex) -> bool:
         """Put a listing into the index; return whether to ask again at once."""
         if not listing.is_whole:
             index.apply(self.name, listing.changes)
@@ -100,7 +100,7 @@
             return ALL_EVENTS
         return max(0, self._after)
 
-    def take(self, events: CacheEvents, index: PrefixIndex) -> None:
+    def apply(self, events: CacheEvents, index: PrefixIndex) -> None:
         """Put events into the index."""
         if events.is_whole:
             index.forget(self.name)
--- a/tests/daemon/test_kept_work.py
+++ b/tests/daemon/test_kept_work.py
@@ -83,7 +83,7 @@
             await self.world.clock.advance_ms(1_500)
             await self.run_ms(self.work.export_due())
         listing = await self.store.list(self.reader.query(ALL_SHARDS))
-        self.reader.take(listing, self.index)
+        self.reader.apply(listing, self.index)
 
     def held_by_second(self):
         return self.second.engine.cache.prefix_blocks(KEYS)
--- a/tests/kept/test_readers.py
+++ b/tests/kept/test_readers.py
@@ -36,7 +36,7 @@
 
     def read(self, shards=ALL_SHARDS, between=lambda: None):
         asked = 1
-        while self.reader.take(self.store.list(self.reader.query(shards)), self.index):
+        while self.reader.apply(self.store.list(self.reader.query(shards)), self.index):
             between()
             asked += 1
         return asked
@@ -93,7 +93,7 @@
 
     def read(self, now_ms):
         after = self.reader.after(now_ms, ALL_SHARDS)
-        self.reader.take(self.cache.events(after, stride=INDEX_STRIDE), self.index)
+        self.reader.apply(self.cache.events(after, stride=INDEX_STRIDE), self.index)
 
     def test_doubled_and_late_events_give_the_same_index(self):
         self.read(0)
