--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -229,7 +229,7 @@
 
     def _shards(self) -> frozenset[int]:
         shards = shards_held_by(self._members.own, self._domain_members())
-        self.index.keep_shards(shards)
+        self.index.retain_shards(shards)
         return shards
 
     def _domain_members(self) -> tuple[Member, ...]:
--- a/fireflyward/kept/_index.py
+++ b/fireflyward/kept/_index.py
@@ -89,7 +89,7 @@
             for entry in [key for key, bits in entries.items() if bits & bit]:
                 self._set(entries, entry, entries[entry] & ~bit)
 
-    def keep_shards(self, shards: frozenset[int]) -> None:
+    def retain_shards(self, shards: frozenset[int]) -> None:
         """Drop the shards that other nodes hold from now on."""
         for shard in self._entries_by_shard.keys() - shards:
             self._entries -= len(self._entries_by_shard.pop(shard))
--- a/tests/kept/test_index.py
+++ b/tests/kept/test_index.py
@@ -61,5 +61,5 @@
 
     def test_shards_of_others_are_dropped(self):
         self.index.apply("s1", changes(8))
-        self.index.keep_shards(frozenset({SHARD + 1}))
+        self.index.retain_shards(frozenset({SHARD + 1}))
         self.assertEqual((len(self.index), self.index.find(KEYS)), (0, ()))
