--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -130,7 +130,7 @@
         followed = self._followed(bundle)
         for name in self._engine_reader_by_name.keys() - followed:
             del self._engine_reader_by_name[name]
-            self.index.forget(name)
+            self.index.remove_holder(name)
         for name in followed - self._engine_reader_by_name.keys():
             self._engine_reader_by_name[name] = EngineReader(name)
         self.work.prefixes.followed = followed
@@ -207,7 +207,7 @@
 
     def _drop_store(self, name: str) -> None:
         """Forget a store that the bundle no longer has; nothing is asked of it."""
-        self.index.forget(name)
+        self.index.remove_holder(name)
         del self.store_by_name[name], self.url_by_store[name]
         del self._store_reader_by_name[name], self._lease_by_store[name]
         self._lease_loops.pop(name).cancel()
--- a/fireflyward/kept/_index.py
+++ b/fireflyward/kept/_index.py
@@ -80,7 +80,7 @@
             elif bits & bit:
                 self._set(entries, entry, bits & ~bit)
 
-    def forget(self, holder: str) -> None:
+    def remove_holder(self, holder: str) -> None:
         """Take a holder out of every entry, as one that lost its content."""
         bit = self._bit_by_holder.get(holder)
         if bit is None:
--- a/fireflyward/kept/_readers.py
+++ b/fireflyward/kept/_readers.py
@@ -52,7 +52,7 @@
             self._restart()
             return True
         if not self._start_slot:
-            index.forget(self.name)
+            index.remove_holder(self.name)
             self._epoch = listing.epoch
             self._after = listing.next_sequence
         index.apply(self.name, listing.changes)
@@ -103,13 +103,13 @@
     def apply(self, events: CacheEvents, index: PrefixIndex) -> None:
         """Put events into the index."""
         if events.is_whole:
-            index.forget(self.name)
+            index.remove_holder(self.name)
             index.apply(self.name, self._changes(events.events))
             self._epoch, self._after = events.epoch, events.last
             self._needs_whole = False
             return
         if events.epoch != self._epoch:
-            index.forget(self.name)
+            index.remove_holder(self.name)
             self._epoch, self._after = events.epoch, 0
             self._needs_whole = True
         index.apply(self.name, self._changes(self._new(events)))
--- a/tests/daemon/test_kept_work.py
+++ b/tests/daemon/test_kept_work.py
@@ -152,7 +152,7 @@
         until they are done."""
         await self.serve_and_export()
         self.store.model.restart_empty(2)
-        self.index.forget("s1")
+        self.index.remove_holder("s1")
         self.world.compute(KEYS)
         await self.run_ms(self.work.prepare("A", CALL, shape_of()))
         await self.world.clock.advance_ms(1_500)
--- a/tests/kept/test_index.py
+++ b/tests/kept/test_index.py
@@ -38,7 +38,7 @@
     def test_holder_that_lost_everything_is_in_no_entry(self):
         self.index.apply("s1", changes(8, 16))
         self.index.apply("s2", changes(8))
-        self.index.forget("s1")
+        self.index.remove_holder("s1")
         self.assertEqual(self.index.find(KEYS), (HeldRun("s2", 0, 8),))
 
     def test_full_index_takes_no_more_and_serves_what_it_has(self):
