--- a/tests/daemon/test_kept_duty.py
+++ b/tests/daemon/test_kept_duty.py
@@ -11,7 +11,7 @@
 from fireflyward.kept import BlockNames, Importer, ImportRequest, SlotRequest
 from fireflyward.routing import RunShape
 from fireflyward.standins import EngineCosts, StoreCosts, StoreModel, StoreServer
-from tests.kept.kv_fixtures import Until
+from tests.kept.kv_fixtures import FixedLimit
 
 PROMPT = "Clause 8.4: connections shall be detailed as follows. " * 600
 BLOCK_BYTES = 8 << 20
@@ -111,7 +111,7 @@
             node.clock, node.kept.url_by_store, lambda model, version: True
         )
         store = node.kept.store_by_name["store-1"]
-        limit = Until(node.clock.now_ms() + 30_000)
+        limit = FixedLimit(node.clock.now_ms() + 30_000)
         for name, engine in node.kept.kv_by_replica.items():
             ask = ImportRequest(name, "clauses", "v1", self.keys()[:96])
             result = await importer.load(ask, engine, store, limit)
--- a/tests/kept/kv_fixtures.py
+++ b/tests/kept/kv_fixtures.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class Until:
+class FixedLimit:
     """An import's limit that does not move."""
 
     at_ms: float
--- a/tests/kept/test_import.py
+++ b/tests/kept/test_import.py
@@ -15,9 +15,9 @@
     KEYS,
     MODEL,
     VERSION,
+    FixedLimit,
     KvWorld,
     ProcessDied,
-    Until,
     die_at,
 )
 
@@ -47,7 +47,7 @@
         )
 
     async def load(self, importer=None, *, limit_ms=1_000.0, ask=ASK):
-        limit = Until(self.world.clock.now_ms() + limit_ms)
+        limit = FixedLimit(self.world.clock.now_ms() + limit_ms)
         importer = importer or self.importer()
         return await self.run_ms(importer.load(ask, self.kv, self.store, limit))
 
