--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -75,7 +75,7 @@
 
     async def look_up(self, shape: RunShape) -> None:
         """Ask the holders of the prompt's shard, if this node is none."""
-        await self._look_up.ask(shape.block_keys)
+        await self._look_up.fetch(shape.block_keys)
         self._last = None
 
     def _find(self, shape: RunShape) -> PrefixLocations:
--- a/fireflyward/kept/_look_up.py
+++ b/fireflyward/kept/_look_up.py
@@ -44,7 +44,7 @@
         self.failed = 0
         link.register(KIND, LookUp, self._answer)
 
-    async def ask(self, block_keys: tuple[str, ...]) -> None:
+    async def fetch(self, block_keys: tuple[str, ...]) -> None:
         """Look a prompt up at a holder of its shard, unless this node is one."""
         members = self._domain_members()
         if len(members) <= SMALL_DOMAIN or len(block_keys) < INDEX_STRIDE:
--- a/tests/kept/test_look_up.py
+++ b/tests/kept/test_look_up.py
@@ -51,7 +51,7 @@
 
     async def test_node_without_the_shard_asks_a_holder(self):
         self.assertEqual(self.asker.find(KEYS), ())
-        await self.asker.ask(KEYS)
+        await self.asker.fetch(KEYS)
         self.assertEqual(
             self.asker.find(KEYS), (HeldRun("s1", 0, 16), HeldRun("s1", 24, 8))
         )
@@ -63,12 +63,12 @@
         for link in self.links:
             if link.node_name in self.holders:
                 await link.stop()
-        await self.asker.ask(KEYS)
+        await self.asker.fetch(KEYS)
         self.assertEqual((self.asker.find(KEYS), self.asker.failed), ((), 1))
 
     async def test_holder_asks_nobody(self):
         holder = self.look_up_by_node[self.holders[0]]
         sent = [link.bytes_sent for link in self.links]
-        await holder.ask(KEYS)
+        await holder.fetch(KEYS)
         self.assertEqual([link.bytes_sent for link in self.links], sent)
         self.assertEqual(len(holder.find(KEYS)), 2)
