--- a/fireflyward/entry/_prefixes.py
+++ b/fireflyward/entry/_prefixes.py
@@ -25,7 +25,7 @@
     the object store is away; the answer then carries no reference.
     """
     if prompt.prefix_text and prompt.keep:
-        ref = await parts.prefixes.name(
+        ref = await parts.prefixes.store_text(
             _scope(identity), prompt.keep, prompt.prefix_text
         )
         if isinstance(ref, str):
--- a/fireflyward/kept/_prefix_texts.py
+++ b/fireflyward/kept/_prefix_texts.py
@@ -72,7 +72,9 @@
         self._cache_bytes = cache_bytes
         self._cached_bytes = 0
 
-    async def name(self, scope: PrefixScope, name: str, text: str) -> str | Unavailable:
+    async def store_text(
+        self, scope: PrefixScope, name: str, text: str
+    ) -> str | Unavailable:
         """Store a text and return the reference to it."""
         data = text.encode()
         object_name = self._object_name(scope, data)
--- a/tests/kept/test_prefix_texts.py
+++ b/tests/kept/test_prefix_texts.py
@@ -15,7 +15,7 @@
         self.texts = PrefixTexts(self.objects, SECRET)
 
     async def test_any_node_resolves_what_another_named(self):
-        ref = await self.texts.name(ANDES, "clauses", CLAUSES)
+        ref = await self.texts.store_text(ANDES, "clauses", CLAUSES)
         other_node = PrefixTexts(self.objects, SECRET)
         self.assertEqual(await other_node.resolve(ANDES, ref), PrefixText(CLAUSES))
 
@@ -23,14 +23,14 @@
         """Symptom: an account reads another's clauses. Sequence: a caller sends a
         reference that it found in another's log. Cause: a reference that is a name
         and not bound to who may use it."""
-        ref = await self.texts.name(PrefixScope("andes", "review"), "c", CLAUSES)
+        ref = await self.texts.store_text(PrefixScope("andes", "review"), "c", CLAUSES)
         for scope in (PrefixScope("nota"), ANDES, PrefixScope("andes", "drafting")):
             with self.subTest(scope=scope):
                 found = await self.texts.resolve(scope, ref)
                 self.assertEqual(found, UnknownPrefix())
 
     async def test_changed_reference_is_unknown(self):
-        ref = await self.texts.name(ANDES, "clauses", CLAUSES)
+        ref = await self.texts.store_text(ANDES, "clauses", CLAUSES)
         for place in range(0, len(ref), 7):
             changed = (
                 ref[:place] + ("A" if ref[place] != "A" else "B") + ref[place + 1 :]
@@ -40,17 +40,17 @@
             self.assertEqual(await self.texts.resolve(ANDES, junk), UnknownPrefix())
 
     async def test_object_does_not_show_the_text_and_is_one_however_often_named(self):
-        await self.texts.name(ANDES, "clauses", CLAUSES)
+        await self.texts.store_text(ANDES, "clauses", CLAUSES)
         first = dict(self.objects.body_by_name)
-        await PrefixTexts(self.objects, SECRET).name(ANDES, "again", CLAUSES)
+        await PrefixTexts(self.objects, SECRET).store_text(ANDES, "again", CLAUSES)
         self.assertEqual(self.objects.body_by_name, first)
         (body,) = first.values()
         self.assertNotIn(b"Clause", body)
 
     async def test_changed_or_exchanged_object_is_unknown(self):
-        ref = await self.texts.name(ANDES, "clauses", CLAUSES)
+        ref = await self.texts.store_text(ANDES, "clauses", CLAUSES)
         (name,) = self.objects.body_by_name
-        await self.texts.name(ANDES, "other", "other text")
+        await self.texts.store_text(ANDES, "other", "other text")
         (other,) = self.objects.body_by_name.keys() - {name}
         exchanged = self.objects.body_by_name[other]
         for body in (b"", b"x" * 40, exchanged):
@@ -59,15 +59,15 @@
             self.assertEqual(await node.resolve(ANDES, ref), UnknownPrefix())
 
     async def test_store_away_is_told_and_used_texts_go_on(self):
-        ref = await self.texts.name(ANDES, "clauses", CLAUSES)
+        ref = await self.texts.store_text(ANDES, "clauses", CLAUSES)
         self.objects.away = True
         self.assertEqual(await self.texts.resolve(ANDES, ref), PrefixText(CLAUSES))
         node = PrefixTexts(self.objects, SECRET)
         self.assertIsInstance(await node.resolve(ANDES, ref), Unavailable)
-        self.assertIsInstance(await node.name(ANDES, "c", CLAUSES), Unavailable)
+        self.assertIsInstance(await node.store_text(ANDES, "c", CLAUSES), Unavailable)
 
     async def test_cache_is_bounded(self):
         texts = PrefixTexts(self.objects, SECRET, cache_bytes=100)
         for number in range(10):
-            await texts.name(ANDES, "n", f"{number}" * 40)
+            await texts.store_text(ANDES, "n", f"{number}" * 40)
         self.assertLessEqual(texts._cached_bytes, 100)
