--- a/fireflyward/kept/__init__.py
+++ b/fireflyward/kept/__init__.py
@@ -7,10 +7,10 @@
 from ._index import INDEX_STRIDE, HeldRun, PrefixIndex
 from ._keys import BlockNames
 from ._look_up import ShardLookUp
-from ._owners import ALL_SHARDS, holders_of, shards_held_by
 from ._prefix_texts import PrefixScope, PrefixText, PrefixTexts, UnknownPrefix
 from ._readers import EngineReader, StoreReader
 from ._room import choose_victims
+from ._shard_holders import ALL_SHARDS, holders_of, shards_held_by
 from ._store_http import HttpStore
 from ._stores import (
     SHARDS,
--- a/fireflyward/kept/_look_up.py
+++ b/fireflyward/kept/_look_up.py
@@ -9,7 +9,7 @@
 
 from ._index import INDEX_STRIDE, HeldRun, PrefixIndex, entries_of, runs_at
 from ._kept_structs import Found, LookUp
-from ._owners import SMALL_DOMAIN, holders_of
+from ._shard_holders import SMALL_DOMAIN, holders_of
 from ._stores import shard_of
 
 KIND = "kept.look_up"
