--- a/fireflyward/kept/__init__.py
+++ b/fireflyward/kept/__init__.py
@@ -2,6 +2,7 @@
 
 from fireflyward.upstreams import BlockRef
 
+from ._eviction import choose_victims
 from ._export import Exported, Exporter, ExportPlan, ExportStep, NotExported
 from ._import import Imported, Importer, ImportLimit, ImportRequest, ImportStep
 from ._index import INDEX_STRIDE, HeldRun, PrefixIndex
@@ -9,7 +10,6 @@
 from ._look_up import ShardLookUp
 from ._prefix_texts import PrefixScope, PrefixText, PrefixTexts, UnknownPrefix
 from ._readers import EngineReader, StoreReader
-from ._room import choose_victims
 from ._shard_holders import ALL_SHARDS, holders_of, shards_held_by
 from ._store_http import HttpStore
 from ._stores import (
--- a/fireflyward/kept/_sweep.py
+++ b/fireflyward/kept/_sweep.py
@@ -8,7 +8,7 @@
 from fireflyward.steps import Step, StepObserver, ignore_step
 from fireflyward.upstreams import BlockRef
 
-from ._room import choose_victims
+from ._eviction import choose_victims
 from ._stores import Fenced, SlotState, StoreClient, StoreUnavailable
 
 log = logging.getLogger("fireflyward.kept")
