--- a/tests/reach/test_task.py
+++ b/tests/reach/test_task.py
@@ -6,7 +6,7 @@
 from fireflyward.clock import ManualClock
 from fireflyward.http1 import NotConnected
 from fireflyward.reach import DomainCheck, ReachTask
-from fireflyward.replicas import Chooser, ReplicaDirectory, SlotRequest
+from fireflyward.replicas import Chooser, ReplicaDirectory, Wanted
 from tests.replicas.makers import entry
 
 
@@ -85,7 +85,7 @@
         await asyncio.gather(*self.task.tasks, return_exceptions=True)
 
     def chosen_domains(self):
-        chosen = [self.chooser.choose(0, SlotRequest("s")) for _ in range(60)]
+        chosen = [self.chooser.choose(0, Wanted("s")) for _ in range(60)]
         return {choice.replica.entry.failure_domain for choice in chosen}
 
     async def test_a_domain_that_is_cut_off_is_a_last_resort_at_once(self):
@@ -212,7 +212,7 @@
         self.on_silent("b0")
         await self.clock.advance_ms(151)
         without = frozenset(entry(f"a{n}", zone="a").number for n in range(6))
-        self.assertIsNotNone(self.chooser.choose(0, SlotRequest("s"), without=without))
+        self.assertIsNotNone(self.chooser.choose(0, Wanted("s"), without=without))
 
     async def test_a_domain_of_which_nothing_is_listed_any_more_is_forgotten(self):
         self.silence(*(f"b{n}" for n in range(6)))
