--- a/fireflyward/kept/__init__.py
+++ b/fireflyward/kept/__init__.py
@@ -1,4 +1,4 @@
-"""Kept work: KV blocks of prompts that will return."""
+"""Stores KV blocks of prompts, so that later prompts need not recompute them."""
 
 from fireflyward.upstreams import BlockRef
 
--- a/fireflyward/kept/_eviction.py
+++ b/fireflyward/kept/_eviction.py
@@ -1,4 +1,4 @@
-"""Which published blocks give way when a store fills."""
+"""Chooses the published blocks to evict from a nearly full store."""
 
 from collections import Counter
 
@@ -6,35 +6,37 @@
 
 from ._stores import ColdBlock, StoreUsage
 
-_OWNER_SHARE = 0.35
+_MAX_OWNER_SHARE = 0.35
 
 
 def choose_victims(
-    room: StoreUsage, coldest: tuple[ColdBlock, ...]
+    usage: StoreUsage, coldest: tuple[ColdBlock, ...]
 ) -> tuple[BlockRef, ...]:
-    """Return what to free so that the store is no longer nearly full.
+    """Return the blocks to free so that the store is no longer nearly full.
 
-    Blocks of an owner that holds more than its share go first, so that one large
-    account cannot wash out the rest; then those that were read least for their idle
-    time. Of equal ones the later of a prompt goes first, since the blocks behind a
-    freed one are of no use.
+    Blocks of an owner that has more than its share are evicted first, so that one
+    large account cannot evict the blocks of all others. Then follow the blocks with
+    the fewest reads in relation to their idle time. Of equal blocks, the later one in
+    a prompt is evicted first, since the blocks after an evicted one are useless.
     """
-    to_free = room.above_target()
-    used = Counter(room.used_by_owner)
-    most_of_one = int(_OWNER_SHARE * room.capacity)
+    to_free = usage.slots_to_free()
+    used = Counter(usage.used_by_owner)
+    max_per_owner = int(_MAX_OWNER_SHARE * usage.capacity)
     victims: list[BlockRef] = []
-    waiting: list[ColdBlock] = []
-    for cold in sorted(coldest, key=_worth):
+    other_candidates: list[ColdBlock] = []
+    for candidate in sorted(coldest, key=_retention_value):
         if len(victims) >= to_free:
             break
-        if used[cold.owner] <= most_of_one:
-            waiting.append(cold)
+        if used[candidate.owner] <= max_per_owner:
+            other_candidates.append(candidate)
             continue
-        used[cold.owner] -= 1
-        victims.append(cold.ref)
-    victims.extend(cold.ref for cold in waiting[: to_free - len(victims)])
+        used[candidate.owner] -= 1
+        victims.append(candidate.ref)
+    victims.extend(
+        candidate.ref for candidate in other_candidates[: to_free - len(victims)]
+    )
     return tuple(victims)
 
 
-def _worth(cold: ColdBlock) -> tuple[float, int]:
-    return (cold.reads + 1) / (cold.idle_ms + 1), -cold.ref.position
+def _retention_value(candidate: ColdBlock) -> tuple[float, int]:
+    return (candidate.reads + 1) / (candidate.idle_ms + 1), -candidate.ref.position
--- a/fireflyward/kept/_export.py
+++ b/fireflyward/kept/_export.py
@@ -15,7 +15,7 @@
 
 
 class ExportStep(Step):
-    """Points at which the writer of kept blocks may die."""
+    """Steps of an export, at each of which the exporting node may crash."""
 
     CHOSEN = "export: chosen"
     RESERVED = "export: reserved"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExportPlan:
-    """Consecutive blocks of one prompt that an engine has and a store should keep."""
+    """Consecutive blocks of one prompt that an engine has, to be written to a store."""
 
     order_id: str
     model: str
@@ -35,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Exported:
-    """What the store has now; ``missing`` blocks were not written.
+    """The blocks that the store now has; ``missing`` blocks were not written.
 
-    ``blocks`` counts from the first wanted block, without a hole, since a block is
-    of no use without those before it.
+    ``blocks`` counts the stored blocks from the first wanted one up to the first gap,
+    since a block is useless without the blocks before it.
     """
 
     blocks: int
@@ -49,18 +49,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NotExported:
-    """Nothing is known to have been kept; a sweep finds what was left."""
+    """The export failed; a sweep frees any slots that it left behind."""
 
     detail: str
 
 
 class Exporter:
-    """Takes blocks through reserve, write, seal and publish.
+    """Executes the steps reserve, write, seal and publish for the blocks of a plan.
 
-    The node orders; the engine writes and seals. Should this process die at any
-    step, the slots stay reserved or sealed. Nobody reads them, and the sweep frees
-    them by their age. Should the engine go on writing after that, its descriptor
-    names a generation that the slot no longer has, and the write is a miss.
+    The node sends the orders; the engine writes and seals. If this process crashes
+    at any step, the slots stay reserved or sealed. Such slots are never read, and the
+    sweep frees them by their age. If the engine continues to write after that, its
+    descriptor names a generation that the slot no longer has, and the store rejects
+    the write.
     """
 
     __slots__ = ("_observe", "_url_by_store")
@@ -74,7 +75,7 @@
     async def export(
         self, plan: ExportPlan, engine: KvEngine, store: StoreClient
     ) -> Exported | NotExported:
-        """Keep what can be kept of a plan."""
+        """Export as many blocks of a plan as possible."""
         self._observe(ExportStep.CHOSEN)
         reserved = await store.reserve(plan.wanted)
         if isinstance(reserved, StoreUnavailable):
@@ -87,12 +88,12 @@
             await store.abandon(reserved.refs)
             return NotExported(f"engine: {report.detail}")
         self._observe(ExportStep.SEALED)
-        whole = _without_hole(plan, reserved, report.sealed)
-        published = await store.publish(whole)
+        contiguous = _contiguous_prefix(plan, reserved, report.sealed)
+        published = await store.publish(contiguous)
         if isinstance(published, StoreUnavailable):
             return NotExported(f"{store.name}: {published.detail}")
         self._observe(ExportStep.PUBLISHED)
-        await self._give_back(reserved, whole, store)
+        await self._abandon_unused(reserved, contiguous, store)
         return _exported(plan, reserved, published.refs, report.missing)
 
     def _order(
@@ -103,7 +104,7 @@
             plan.order_id, plan.model, plan.version, reserved.refs, url_by_store
         )
 
-    async def _give_back(
+    async def _abandon_unused(
         self, reserved: Reserved, published: tuple[BlockRef, ...], store: StoreClient
     ) -> None:
         used = {ref.slot for ref in published}
@@ -112,19 +113,19 @@
             await store.abandon(unused)
 
 
-def _without_hole(
+def _contiguous_prefix(
     plan: ExportPlan, reserved: Reserved, sealed: tuple[BlockRef, ...]
 ) -> tuple[BlockRef, ...]:
-    """Return the sealed blocks before the first that is neither sealed nor kept."""
-    kept = {ref.key for ref in reserved.already_kept}
+    """Return the sealed blocks before the first block that the store lacks."""
+    already_kept_keys = {ref.key for ref in reserved.already_kept}
     sealed_by_key = {ref.key: ref for ref in sealed}
-    whole = []
+    contiguous = []
     for item in plan.wanted:
         if item.key in sealed_by_key:
-            whole.append(sealed_by_key[item.key])
-        elif item.key not in kept:
+            contiguous.append(sealed_by_key[item.key])
+        elif item.key not in already_kept_keys:
             break
-    return tuple(whole)
+    return tuple(contiguous)
 
 
 def _exported(
@@ -133,10 +134,10 @@
     published: tuple[BlockRef, ...],
     missing: tuple[Miss, ...],
 ) -> Exported:
-    there = {ref.key for ref in (*reserved.already_kept, *published)}
+    stored_keys = {ref.key for ref in (*reserved.already_kept, *published)}
     blocks = 0
     for item in plan.wanted:
-        if item.key not in there:
+        if item.key not in stored_keys:
             break
         blocks += 1
     return Exported(blocks, published, missing, reserved.is_full)
--- a/fireflyward/kept/_import.py
+++ b/fireflyward/kept/_import.py
@@ -1,4 +1,4 @@
-"""Loading kept blocks into an engine before a prompt is sent to it."""
+"""Loads stored blocks into an engine before a prompt is sent to it."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 
 from ._stores import AppliedRefs, StoreClient, StoreUnavailable
 
-_CHUNK_BLOCKS = 8
+_BLOCKS_PER_ORDER = 8
 
 
 class ImportStep(Step):
-    """Points of an import; a version may be swapped at each."""
+    """Steps of an import, at each of which the weight version may change."""
 
     CHOSEN = "import: chosen"
     DESCRIBED = "import: described"
@@ -30,7 +30,7 @@
 
 
 class ImportLimit(Protocol):
-    """Until when an import may go on; it grows while blocks arrive."""
+    """The time limit of an import, which is extended while blocks arrive."""
 
     def abort_at_ms(self) -> float: ...
 
@@ -41,8 +41,8 @@
 class ImportRequest:
     """Consecutive blocks of one prompt, and the version that the prompt is for.
 
-    ``block_ms`` is what computing one block takes; each that is loaded gives the
-    rest so much more time.
+    ``block_ms`` is the time to compute one block; every loaded block extends the limit
+    for the remaining ones by it.
     """
 
     order_id: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Imported:
-    """How many blocks, from the first, the engine has now, and why not more."""
+    """How many blocks, from the first, were loaded, and why the others were not."""
 
     blocks: int
     bytes_read: int = 0
@@ -65,11 +65,12 @@
 class Importer:
     """Loads blocks in small orders for as long as the limit allows.
 
-    Nothing here can keep a prompt from being computed: every failure ends the
-    import with a reason, which is counted, and what was loaded stays usable. Whether
-    new requests are still served by the version is asked again after the store has
-    answered, since a bundle may have come into force meanwhile; the engine compares
-    its own once more before it uses a block.
+    A failed import never prevents a prompt from being computed: every failure ends
+    the import with a reason, which is counted, and blocks that were loaded stay
+    usable. After the store has answered, the importer checks again whether new
+    requests are still served by this version, since a new bundle may have come into
+    force in the meantime. The engine compares its own version again before it uses a
+    block.
     """
 
     __slots__ = ("_clock", "_is_served", "_observe", "_url_by_store", "misses")
@@ -90,89 +91,89 @@
 
     async def load(
         self,
-        ask: ImportRequest,
+        request: ImportRequest,
         engine: KvEngine,
         store: StoreClient,
         limit: ImportLimit,
     ) -> Imported:
-        """Load what can be loaded in time."""
+        """Load as many blocks as possible within the limit."""
         self._observe(ImportStep.CHOSEN)
-        found = await self._describe(ask, store, limit)
+        found = await self._describe(request, store, limit)
         if isinstance(found, MissReason):
-            return self._ended(0, 0, found)
+            return self._aborted(0, 0, found)
         self._observe(ImportStep.DESCRIBED)
         blocks = bytes_read = 0
-        for start in range(0, len(found), _CHUNK_BLOCKS):
-            chunk = found[start : start + _CHUNK_BLOCKS]
-            report = await self._load_chunk(ask, engine, store.name, chunk, limit)
+        for start in range(0, len(found), _BLOCKS_PER_ORDER):
+            chunk = found[start : start + _BLOCKS_PER_ORDER]
+            report = await self._load_chunk(request, engine, store.name, chunk, limit)
             if isinstance(report, MissReason):
-                return self._ended(blocks, bytes_read, report)
+                return self._aborted(blocks, bytes_read, report)
             blocks += report.blocks
             bytes_read += report.bytes_read
             limit.on_blocks(report.blocks)
             if report.blocks < len(chunk):
-                return self._ended(blocks, bytes_read, _reason(report))
-        if len(found) < len(ask.block_keys):
-            return self._ended(blocks, bytes_read, MissReason.NOT_KEPT)
+                return self._aborted(blocks, bytes_read, _first_miss_reason(report))
+        if len(found) < len(request.block_keys):
+            return self._aborted(blocks, bytes_read, MissReason.NOT_KEPT)
         self._observe(ImportStep.LOADED)
         return Imported(blocks, bytes_read)
 
     async def _describe(
-        self, ask: ImportRequest, store: StoreClient, limit: ImportLimit
+        self, request: ImportRequest, store: StoreClient, limit: ImportLimit
     ) -> tuple[BlockRef, ...] | MissReason:
-        work = store.describe(ask.block_keys)
-        found = await within_ms(self._clock, self._left_ms(limit), work)
+        work = store.describe(request.block_keys)
+        found = await within_ms(self._clock, self._remaining_ms(limit), work)
         if isinstance(found, TimedOut):
             return MissReason.DEADLINE
         if isinstance(found, StoreUnavailable):
             return MissReason.STORE_AWAY
-        return _matching(ask.block_keys, found)
+        return _check_refs(request.block_keys, found)
 
     async def _load_chunk(
         self,
-        ask: ImportRequest,
+        request: ImportRequest,
         engine: KvEngine,
         store_name: str,
         refs: tuple[BlockRef, ...],
         limit: ImportLimit,
     ) -> ImportReport | MissReason:
-        if not self._is_served(ask.model, ask.version):
+        if not self._is_served(request.model, request.version):
             return MissReason.WRONG_VERSION
         self._observe(ImportStep.VERSION_CHECKED)
-        left_ms = self._left_ms(limit)
-        if left_ms <= 0:
+        remaining_ms = self._remaining_ms(limit)
+        if remaining_ms <= 0:
             return MissReason.DEADLINE
         order = ImportOrder(
-            ask.order_id,
-            ask.model,
-            ask.version,
+            request.order_id,
+            request.model,
+            request.version,
             refs,
             {store_name: self._url_by_store.get(store_name, "")},
-            int(left_ms),
-            ask.first_key,
-            ask.block_ms,
+            int(remaining_ms),
+            request.first_key,
+            request.block_ms,
         )
-        # The engine keeps the limit too; this one holds when the engine is silent.
-        most_ms = left_ms + ask.block_ms * len(refs)
-        report = await within_ms(self._clock, most_ms, engine.import_blocks(order))
+        # The engine observes the limit too; this timeout covers a silent engine.
+        max_ms = remaining_ms + request.block_ms * len(refs)
+        report = await within_ms(self._clock, max_ms, engine.import_blocks(order))
         if isinstance(report, TimedOut):
             return MissReason.DEADLINE
         if not isinstance(report, ImportReport):
             return MissReason.ENGINE_AWAY
         return report
 
-    def _left_ms(self, limit: ImportLimit) -> float:
+    def _remaining_ms(self, limit: ImportLimit) -> float:
         return max(0.0, limit.abort_at_ms() - self._clock.now_ms())
 
-    def _ended(self, blocks: int, bytes_read: int, reason: MissReason) -> Imported:
+    def _aborted(self, blocks: int, bytes_read: int, reason: MissReason) -> Imported:
         self.misses[reason] += 1
         return Imported(blocks, bytes_read, reason)
 
 
-def _matching(
+def _check_refs(
     keys: tuple[str, ...], found: AppliedRefs
 ) -> tuple[BlockRef, ...] | MissReason:
-    """Hold a store's answer against the question, key by key."""
+    """Check that a store's answer contains the requested keys, in order."""
     if not found.refs:
         return MissReason.NOT_KEPT
     for key, ref in zip(keys, found.refs, strict=False):
@@ -181,5 +182,5 @@
     return found.refs[: len(keys)]
 
 
-def _reason(report: ImportReport) -> MissReason:
+def _first_miss_reason(report: ImportReport) -> MissReason:
     return report.misses[0].reason if report.misses else MissReason.NOT_KEPT
--- a/fireflyward/kept/_index.py
+++ b/fireflyward/kept/_index.py
@@ -1,4 +1,4 @@
-"""Which stores and replicas probably have which beginnings of prompts."""
+"""An index of the stores and replicas that probably have the prefix of a prompt."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -23,14 +23,14 @@
 
 
 class PrefixIndex:
-    """An index of prompts' beginnings in memory; a hint, never a promise.
+    """An in-memory index of prompt prefixes, whose results are only hints.
 
-    Every eighth block of a prompt has an entry that tells its holders, stores and
-    replicas alike, as bits of one number. Since a block's key covers all tokens
-    before it, the entry of the eighth block stands for the seven before it too.
-    All entries of a prompt lie in the shard of its first block, so one look at one
-    node finds them. An entry is wrong after a loss that was not told yet; the
-    store's descriptors, and the engine's check of the bytes, decide.
+    Every eighth block of a prompt has an entry with its holders, both stores and
+    replicas, as the bits of one number. Since a block's key covers all tokens before
+    it, the entry of the eighth block also represents the seven blocks before it. All
+    entries of a prompt are in the shard of its first block, so a single request to
+    one node finds them. An entry is wrong between a loss and its report; therefore
+    the store's descriptors and the engine's check of the bytes are authoritative.
 
     >>> index = PrefixIndex()
     >>> keys = tuple(f"{number:032x}" for number in range(8))
@@ -54,15 +54,15 @@
         return f"PrefixIndex({self._entries} entries)"
 
     def apply(self, holder: str, changes: Iterable[StoreChange]) -> None:
-        """Take what a holder gained or lost; repeating it changes nothing.
+        """Apply a holder's added and removed blocks; repeated changes have no effect.
 
-        Lines that cannot be right are left out: a store that answers nonsense must
-        not end the reading of all others.
+        Invalid lines are skipped: a store with invalid answers must not stop the
+        reading of all other stores.
 
-        Above its limit the index takes no new entry. What is not in it is
-        recomputed, where a node without memory would answer nobody.
+        At its limit the index accepts no new entries. A prompt without an entry is
+        recomputed, whereas a node that runs out of memory would serve no requests.
         """
-        bit = self._bit(holder)
+        bit = self._bit_of(holder)
         for change in changes:
             try:
                 entry = _entry_of(change.key)
@@ -81,7 +81,7 @@
                 self._set(entries, entry, bits & ~bit)
 
     def remove_holder(self, holder: str) -> None:
-        """Take a holder out of every entry, as one that lost its content."""
+        """Remove a holder, which has lost its content, from every entry."""
         bit = self._bit_by_holder.get(holder)
         if bit is None:
             return
@@ -90,12 +90,12 @@
                 self._set(entries, entry, entries[entry] & ~bit)
 
     def retain_shards(self, shards: frozenset[int]) -> None:
-        """Drop the shards that other nodes hold from now on."""
+        """Drop all other shards, which other nodes now hold."""
         for shard in self._entries_by_shard.keys() - shards:
             self._entries -= len(self._entries_by_shard.pop(shard))
 
     def find(self, block_keys: tuple[str, ...]) -> tuple[HeldRun, ...]:
-        """Return each holder's runs of a prompt's blocks, first to last."""
+        """Return each holder's runs of a prompt's blocks, in order."""
         if len(block_keys) < INDEX_STRIDE:
             return ()
         entries = entries_of(block_keys)
@@ -107,21 +107,21 @@
         )
 
     def places(self, shard: int, entries: Sequence[int]) -> dict[str, int]:
-        """Return by holder which of the entries it has, as bits by their place."""
-        known = self._entries_by_shard.get(shard)
-        if not known:
+        """Return by holder a bit set of the positions of the entries that it has."""
+        entry_bits = self._entries_by_shard.get(shard)
+        if not entry_bits:
             return {}
-        bits_at = [known.get(entry, 0) for entry in entries]
-        seen = 0
+        bits_at = [entry_bits.get(entry, 0) for entry in entries]
+        all_bits = 0
         for bits in bits_at:
-            seen |= bits
+            all_bits |= bits
         return {
             holder: sum(1 << place for place, bits in enumerate(bits_at) if bits & bit)
             for holder, bit in self._bit_by_holder.items()
-            if bit & seen
+            if bit & all_bits
         }
 
-    def _bit(self, holder: str) -> int:
+    def _bit_of(self, holder: str) -> int:
         bit = self._bit_by_holder.get(holder)
         if bit is None:
             bit = self._bit_by_holder[holder] = 1 << len(self._bit_by_holder)
@@ -136,12 +136,12 @@
 
 
 def entries_of(block_keys: tuple[str, ...]) -> list[int]:
-    """Return the entries of a prompt, those of every eighth block."""
+    """Return the entries of a prompt, one for every eighth block."""
     return [_entry_of(key) for key in block_keys[INDEX_STRIDE - 1 :: INDEX_STRIDE]]
 
 
 def runs_at(holder: str, places: int, entries: int) -> list[HeldRun]:
-    """Return the runs of a holder that has the entries at these places."""
+    """Return the runs of a holder that has the entries at these positions."""
     runs: list[HeldRun] = []
     first = None
     for place in range(entries + 1):
@@ -155,5 +155,5 @@
 
 
 def _entry_of(key: str) -> int:
-    """Return 60 bits of a key; two keys that share them cost one wrong hint."""
+    """Return 60 bits of a key; a collision of two keys only causes a wrong hint."""
     return int(key[:_ENTRY_DIGITS], 16)
--- a/fireflyward/kept/_keys.py
+++ b/fireflyward/kept/_keys.py
@@ -1,4 +1,4 @@
-"""Names of KV blocks: a keyed hash chain that no other account can compute."""
+"""Keys of KV blocks: a keyed hash chain that no other account can compute."""
 
 import hashlib
 
@@ -15,10 +15,11 @@
 class BlockNames:
     """Derives the block keys of a prompt.
 
-    The chain starts from the deployment's secret, the client account, the model,
-    the weight version and the adapter, so a block of another account or version
-    cannot even be named; each key covers all tokens before it. Where an account
-    does not share prefixes among its callers, ``caller`` is part of the start too.
+    The hash chain starts with the deployment's secret, the client account, the model,
+    the weight version and the adapter, so it is impossible to compute the key of
+    another account's or version's block. Each key covers all tokens before it. If an
+    account does not share prefixes among its callers, the chain starts with
+    ``caller`` as well.
 
     >>> names = BlockNames(b"secret")
     >>> names.of_prompt("a", "m", "v1", "", "x" * 256) == names.of_prompt(
@@ -30,8 +31,8 @@
 
     def __init__(self, key: bytes) -> None:
         key = key[:_MAX_KEY_BYTES]
-        self._root_hash = _keyed(key, _ROOT)
-        self._block_hash = _keyed(key, _BLOCK)
+        self._root_hash = _keyed_hash(key, _ROOT)
+        self._block_hash = _keyed_hash(key, _BLOCK)
 
     def of_prompt(
         self,
@@ -43,15 +44,15 @@
         *,
         caller: str = "",
     ) -> tuple[str, ...]:
-        """Return the keys of the full blocks of ``prompt``, first to last.
+        """Return the keys of the full blocks of ``prompt``, in order.
 
-        An empty ``caller`` means that all callers of the account share.
+        An empty ``caller`` means that all callers of the account share their blocks.
         """
         parent = self._root(account, caller, model, version, adapter)
         keys = []
         for block in split_blocks(prompt):
-            # Copying a hash that has taken the key in already saves hashing the
-            # key once for each block, a quarter of the work.
+            # Copying a hash object that already contains the key avoids hashing the
+            # key for each block, which is a quarter of the work.
             block_hash = self._block_hash.copy()
             block_hash.update(parent)
             block_hash.update(block)
@@ -60,14 +61,14 @@
         return tuple(keys)
 
     def owner_tag(self, account: str) -> str:
-        """Return what stands for an account at a store, which learns no name."""
+        """Return the tag that identifies an account at a store without its name."""
         return self._root(_OWNER, account).hex()
 
     def _root(self, *parts: str) -> bytes:
-        """Hash the parts so that no two different lists are hashed alike.
+        """Hash the parts so that different lists of parts give different inputs.
 
-        Roots and blocks are hashed under different personalities; otherwise an
-        account with a long name could stand for a parent with a block.
+        Roots and blocks are hashed with different personalization strings; otherwise
+        an account with a long name could produce the hash of a parent and a block.
         """
         root_hash = self._root_hash.copy()
         for part in parts:
@@ -76,5 +77,5 @@
         return root_hash.digest()
 
 
-def _keyed(key: bytes, purpose: bytes) -> "hashlib.blake2b":
+def _keyed_hash(key: bytes, purpose: bytes) -> "hashlib.blake2b":
     return hashlib.blake2b(key=key, digest_size=_NAME_BYTES, person=purpose)
--- a/fireflyward/kept/_look_up.py
+++ b/fireflyward/kept/_look_up.py
@@ -1,4 +1,4 @@
-"""Finding a prompt in a shard of the index that another node holds."""
+"""Looks up prompts in index shards that other nodes hold."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -9,22 +9,22 @@
 
 from ._index import INDEX_STRIDE, HeldRun, PrefixIndex, entries_of, runs_at
 from ._kept_structs import Found, LookUp
-from ._shard_holders import SMALL_DOMAIN, holders_of
+from ._shard_holders import MAX_NODES_WITH_ALL_SHARDS, holders_of
 from ._stores import shard_of
 
 KIND = "kept.look_up"
-_LIMIT_S = 0.02
-_REMEMBERED = 4_096
+_TIMEOUT_S = 0.02
+_MAX_CACHED_PROMPTS = 4_096
 _MAX_ENTRIES = 4_096
 
 
 class ShardLookUp:
-    """Asks the holders of a shard, and answers others about the shards held here.
+    """Queries the holders of a shard, and answers queries for local shards.
 
-    In a failure domain of up to four nodes every node holds every shard and nothing
-    is asked. No answer within ``limit_s`` is an empty one: the prompt is computed as
-    if nothing had been kept. The second holder is not asked after that, since the
-    caller has waited long enough.
+    In a failure domain of up to four nodes every node holds every shard, so no
+    queries are sent. If no answer arrives within ``limit_s``, the prompt is computed
+    as if no blocks had been stored. The second holder is not queried then, since the
+    caller has already waited for the first one.
     """
 
     def __init__(
@@ -33,28 +33,28 @@
         index: PrefixIndex,
         domain_members: Callable[[], tuple[Member, ...]],
         *,
-        limit_s: float = _LIMIT_S,
+        limit_s: float = _TIMEOUT_S,
     ) -> None:
         self._link = link
         self._limit_s = limit_s
         self._index = index
         self._domain_members = domain_members
         self._runs_by_last_key: OrderedDict[str, tuple[HeldRun, ...]] = OrderedDict()
-        self._turn = 0
+        self._fetches = 0
         self.failed = 0
         link.register(KIND, LookUp, self._answer)
 
     async def fetch(self, block_keys: tuple[str, ...]) -> None:
-        """Look a prompt up at a holder of its shard, unless this node is one."""
+        """Query a holder of the prompt's shard, unless this node is a holder."""
         members = self._domain_members()
-        if len(members) <= SMALL_DOMAIN or len(block_keys) < INDEX_STRIDE:
+        if len(members) <= MAX_NODES_WITH_ALL_SHARDS or len(block_keys) < INDEX_STRIDE:
             return
         shard = shard_of(block_keys[0])
         holders = holders_of(shard, members)
         if any(holder.name == self._link.node_name for holder in holders):
             return
-        self._turn += 1
-        holder = holders[self._turn % len(holders)]
+        self._fetches += 1
+        holder = holders[self._fetches % len(holders)]
         entries = entries_of(block_keys)[:_MAX_ENTRIES]
         message = LookUp(shard=shard, entries=entries)
         found = await self._link.call(
@@ -63,19 +63,19 @@
         if isinstance(found, CallFailed):
             self.failed += 1
             return
-        self._remember(block_keys[-1], _runs_of(found, len(entries)))
+        self._cache_runs(block_keys[-1], _runs_of(found, len(entries)))
 
     def find(self, block_keys: tuple[str, ...]) -> tuple[HeldRun, ...]:
-        """Return what this node's shards or the last answer say of a prompt."""
+        """Return a prompt's runs from the local shards or from the last answer."""
         if not block_keys:
             return ()
-        asked = self._runs_by_last_key.get(block_keys[-1], ())
-        return self._index.find(block_keys) or asked
+        cached = self._runs_by_last_key.get(block_keys[-1], ())
+        return self._index.find(block_keys) or cached
 
-    def _remember(self, last_key: str, runs: tuple[HeldRun, ...]) -> None:
+    def _cache_runs(self, last_key: str, runs: tuple[HeldRun, ...]) -> None:
         self._runs_by_last_key[last_key] = runs
         self._runs_by_last_key.move_to_end(last_key)
-        while len(self._runs_by_last_key) > _REMEMBERED:
+        while len(self._runs_by_last_key) > _MAX_CACHED_PROMPTS:
             self._runs_by_last_key.popitem(last=False)
 
     async def _answer(self, sender: str, message: Any) -> Any:
--- a/fireflyward/kept/_prefix_texts.py
+++ b/fireflyward/kept/_prefix_texts.py
@@ -1,4 +1,4 @@
-"""Texts that a caller names once and refers to afterwards."""
+"""Texts that a caller stores once and then refers to in later requests."""
 
 import base64
 import hashlib
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixScope:
-    """Who may use a prefix: an account, or one caller where it does not share."""
+    """Who may use a prefix: an account, or one caller if the account shares none."""
 
     account: str
     caller: str = ""
@@ -29,32 +29,32 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixText:
-    """The text that a reference stands for."""
+    """The text that a reference refers to."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownPrefix:
-    """The reference is not from this account, or its text is gone."""
+    """The reference is not of this account, or its text no longer exists."""
 
 
 class _Ref(msgspec.Struct, array_like=True):
-    """What a reference seals."""
+    """The encrypted content of a reference."""
 
     name: str
     object_name: str
 
 
 class PrefixTexts:
-    """Keeps named texts in the object store, sealed for their account.
-
-    A reference is what the caller carries. It holds the object's name under
-    authenticated encryption that is bound to the account, so nobody can forge one,
-    read it or use another account's; no node and no table row remembers it. The
-    object is sealed by a key of its account, too, and its name is a keyed hash of
-    the text, so the same text is one object however often it is named. Nodes keep
-    texts that were used lately, within ``cache_bytes``.
+    """Stores named texts in the object store, encrypted for their account.
+
+    The caller keeps a reference to its text; nodes and tables do not store it. A
+    reference contains the object's name under authenticated encryption that is bound
+    to the account, so it cannot be forged, read or used by another account. The
+    object is encrypted with a key of its account as well. Its name is a keyed hash of
+    the text, so storing a text repeatedly creates a single object. Nodes cache
+    recently used texts, up to ``cache_bytes``.
     """
 
     __slots__ = ("_cache", "_cache_bytes", "_cached_bytes", "_objects", "_secret")
@@ -83,14 +83,14 @@
             stored = await self._objects.put(object_name, sealed)
             if not isinstance(stored, Stored):
                 return Unavailable(stored.detail)
-            self._remember(object_name, text)
+            self._cache_text(object_name, text)
         ref = msgspec.msgpack.encode(_Ref(name, object_name))
         return base64.urlsafe_b64encode(self._seal(scope, b"ref", ref)).decode()
 
     async def resolve(
         self, scope: PrefixScope, ref: str
     ) -> PrefixText | UnknownPrefix | Unavailable:
-        """Return the text of a reference."""
+        """Return the text that a reference refers to."""
         opened = self._open_ref(scope, ref)
         if opened is None:
             return UnknownPrefix()
@@ -105,7 +105,7 @@
         if data is None or self._object_name(scope, data) != opened.object_name:
             return UnknownPrefix()
         text = data.decode()
-        self._remember(opened.object_name, text)
+        self._cache_text(opened.object_name, text)
         return PrefixText(text)
 
     def _open_ref(self, scope: PrefixScope, ref: str) -> _Ref | None:
@@ -118,7 +118,7 @@
         except (ValueError, msgspec.DecodeError):
             return None
 
-    def _remember(self, object_name: str, text: str) -> None:
+    def _cache_text(self, object_name: str, text: str) -> None:
         if object_name in self._cache:
             return
         self._cache[object_name] = text
@@ -132,10 +132,10 @@
         return f"prefixes/{digest.hex()}"
 
     def _seal(self, scope: PrefixScope, purpose: bytes, data: bytes) -> bytes:
-        """Encrypt data; the nonce follows from it, so equal data is equal bytes.
+        """Encrypt data with a nonce derived from it, so equal data gives equal bytes.
 
-        An object is written once and stays as it is. With a random nonce each
-        naming would write other bytes under the same name.
+        Objects are written once and never change. With a random nonce, storing the
+        same text again would write different bytes under the same name.
         """
         nonce = self._derive(scope, purpose + b" nonce", data, size=_NONCE_BYTES)
         return nonce + self._cipher(scope, purpose).encrypt(nonce, data, purpose)
--- a/fireflyward/kept/_store_http.py
+++ b/fireflyward/kept/_store_http.py
@@ -1,4 +1,4 @@
-"""A store VM over HTTP, as docs/platform/store.md writes its interface."""
+"""Client of a store VM over HTTP, as specified in docs/platform/store.md."""
 
 from typing import Any
 
@@ -22,27 +22,27 @@
     Unfinished,
 )
 
-_CONNECT_LIMIT_S = 1.0
-_CALL_LIMIT_MS = 2_000
+_CONNECT_TIMEOUT_S = 1.0
+_CALL_TIMEOUT_MS = 2_000
 _MS_PER_SECOND = 1_000
 FENCED_STATUS = 412
 MISS_STATUS = 409
 
 
 class RefsBody(msgspec.Struct):
-    """Descriptors, asked or done."""
+    """Descriptors in a request, or those for which the call took effect."""
 
     refs: tuple[BlockRef, ...]
 
 
 class ReserveBody(msgspec.Struct):
-    """Blocks for which slots are asked."""
+    """Blocks for which slots are requested."""
 
     wanted: tuple[SlotRequest, ...]
 
 
 class DescribeBody(msgspec.Struct):
-    """Keys of a prompt's blocks, first to last."""
+    """Keys of a prompt's blocks, in order."""
 
     keys: tuple[str, ...]
 
@@ -56,13 +56,13 @@
 
 
 class FenceBody(msgspec.Struct):
-    """A fencing number: one to be raised to, or the highest seen."""
+    """A fencing number: the new one in a request, or the highest one in an answer."""
 
     fencing: int
 
 
 class MissBody(msgspec.Struct):
-    """Why a read found nothing."""
+    """Why a read did not find its block."""
 
     reason: MissReason
 
@@ -70,8 +70,8 @@
 class HttpStore:
     """One store VM behind a base URL.
 
-    A call that gets no whole answer within ``limit_ms`` ends as ``StoreUnavailable``; a
-    write may have taken effect then, and the sweep finds what it left.
+    A call without a complete answer within ``limit_ms`` returns ``StoreUnavailable``.
+    A write may have taken effect then, and a sweep frees any slots that it left.
     """
 
     __slots__ = ("_base", "_session", "_timeout", "name")
@@ -82,13 +82,13 @@
         name: str,
         base_url: str,
         *,
-        limit_ms: int = _CALL_LIMIT_MS,
+        limit_ms: int = _CALL_TIMEOUT_MS,
     ) -> None:
         self.name = name
         self._session = session
         self._base = base_url
         self._timeout = aiohttp.ClientTimeout(
-            total=limit_ms / _MS_PER_SECOND, sock_connect=_CONNECT_LIMIT_S
+            total=limit_ms / _MS_PER_SECOND, sock_connect=_CONNECT_TIMEOUT_S
         )
 
     def __repr__(self) -> str:
--- a/fireflyward/kept/_stores.py
+++ b/fireflyward/kept/_stores.py
@@ -1,4 +1,4 @@
-"""What the product needs of a store VM, and the values that pass."""
+"""The interface of a store VM, with the values that it exchanges."""
 
 import enum
 import re
@@ -10,12 +10,12 @@
 SHARDS = 256
 _SHARD_DIGITS = 2
 _BLOCK_KEY = re.compile(r"[0-9a-f]{32}", re.ASCII)
-_NEARLY_FULL = 0.95
-_TARGET = 0.90
+_NEARLY_FULL_RATIO = 0.95
+_TARGET_RATIO = 0.90
 
 
 def is_block_key(text: str) -> bool:
-    """Tell whether a text that came from outside can be a block key."""
+    """Return whether a text from outside has the format of a block key."""
     return _BLOCK_KEY.fullmatch(text) is not None
 
 
@@ -25,7 +25,7 @@
 
 
 class SlotState(enum.StrEnum):
-    """How far the write of a slot has come; only published blocks are read."""
+    """The progress of writing a slot; only published blocks can be read."""
 
     FREE = "free"
     RESERVED = "reserved"
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """A block for which a slot is asked.
+    """A block for which a slot is requested.
 
-    ``position`` counts from 1. ``shard`` is that of the prompt's first block, under
-    which the index keeps the whole prompt. ``owner`` stands for the client account
-    without naming it, so that a store can tell how much each holds.
+    ``position`` counts from 1. ``shard`` is that of the prompt's first block, in
+    which the index keeps all entries of the prompt. ``owner`` identifies the client
+    account without its name, so that a store can count the slots of each account.
     """
 
     key: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reserved:
-    """Slots for the blocks that are not kept yet; fewer than asked when full."""
+    """Slots for the blocks that the store lacks; fewer if the store is full."""
 
     refs: tuple[BlockRef, ...]
     already_kept: tuple[BlockRef, ...] = ()
@@ -59,21 +59,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedRefs:
-    """The descriptors for which the call took effect; the others were misses."""
+    """The descriptors for which the call took effect; it failed for the others."""
 
     refs: tuple[BlockRef, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """Nothing was done: the store has seen a newer fencing number."""
+    """The call had no effect: the store has received a higher fencing number."""
 
     highest: int
 
 
 @dataclass(frozen=True, slots=True)
 class StoreUnavailable:
-    """No answer. ``may_have_acted`` is false only if the call never arrived."""
+    """No answer; ``may_have_acted`` is false only if the call never arrived."""
 
     detail: str
     may_have_acted: bool = True
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChange:
-    """One line of a store's listing: a block that is kept, or no longer is."""
+    """One line of a store's listing: a block that is stored, or no longer is."""
 
     key: str
     position: int
@@ -91,11 +91,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListQuery:
-    """What of a store's listing is asked.
+    """A query for a part of a store's listing.
 
     Only blocks whose position is a multiple of ``stride`` and whose shard is in
-    ``shards`` are listed; an empty set means all. ``epoch`` and ``after`` come
-    from the last listing, ``start_slot`` from its page when it was whole.
+    ``shards`` are listed; an empty set means all shards. ``epoch`` and ``after`` are
+    taken from the last listing, and ``start_slot`` from the last page of a full
+    listing.
     """
 
     epoch: int = 0
@@ -105,7 +106,7 @@
     start_slot: int = 0
 
     def wants(self, change: StoreChange) -> bool:
-        """Tell whether a line belongs into the answer."""
+        """Return whether a line belongs to the answer."""
         if change.position % self.stride:
             return False
         return not self.shards or change.shard in self.shards
@@ -113,13 +114,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """Published blocks, or what changed after the asked sequence.
+    """The published blocks, or the changes after the requested sequence number.
 
-    ``epoch`` is new when the store has lost its content. ``is_whole`` means that
-    the listing replaces what was known before, because the asked sequence was too
-    old for the store to tell only the changes; it then goes on at ``next_slot``
-    unless that is 0. ``next_sequence`` is to be asked for next, and ``has_more``
-    tells whether anything is there already.
+    ``epoch`` changes when the store has lost its content. ``is_whole`` means that the
+    listing is a full one, which replaces all earlier ones, because the requested
+    sequence number was too old to list only the changes. A full listing continues at
+    ``next_slot``, or is complete if that is 0. The next query starts after
+    ``next_sequence``, and ``has_more`` means that more changes are already available.
     """
 
     epoch: int
@@ -132,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unfinished:
-    """A slot whose write was begun and not published, and how long ago."""
+    """A slot whose write was begun but not published, with its age."""
 
     ref: BlockRef
     state: SlotState
@@ -141,24 +142,24 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreUsage:
-    """How many of a store's slots are used, in all and by each owner."""
+    """The number of used slots of a store, in total and by owner."""
 
     used: int
     capacity: int
     used_by_owner: dict[str, int]
 
     def is_nearly_full(self) -> bool:
-        """Tell whether room should be made before writers are refused."""
-        return self.used > _NEARLY_FULL * self.capacity
+        """Return whether blocks should be evicted before the store rejects writes."""
+        return self.used > _NEARLY_FULL_RATIO * self.capacity
 
-    def above_target(self) -> int:
-        """Return how many slots to free."""
-        return max(0, self.used - int(_TARGET * self.capacity))
+    def slots_to_free(self) -> int:
+        """Return how many slots to free to reach the target."""
+        return max(0, self.used - int(_TARGET_RATIO * self.capacity))
 
 
 @dataclass(frozen=True, slots=True)
 class ColdBlock:
-    """A published block that was not read for ``idle_ms``."""
+    """A published block that has not been read for ``idle_ms``."""
 
     ref: BlockRef
     owner: str
@@ -167,7 +168,7 @@
 
 
 class StoreClient(Protocol):
-    """One store VM; docs/platform/store.md writes the contract."""
+    """One store VM; docs/platform/store.md specifies the contract."""
 
     name: str
 
@@ -188,19 +189,19 @@
     ) -> AppliedRefs | StoreUnavailable: ...
 
     async def describe(self, keys: tuple[str, ...]) -> AppliedRefs | StoreUnavailable:
-        """Return descriptors of the longest prefix of ``keys`` that is kept."""
+        """Return descriptors of the longest prefix of ``keys`` that is stored."""
 
     async def read(self, ref: BlockRef) -> bytes | Miss | StoreUnavailable: ...
 
     async def abandon(
         self, refs: tuple[BlockRef, ...]
     ) -> AppliedRefs | StoreUnavailable:
-        """Give back slots of this generation that were not published."""
+        """Release slots of this generation that were not published."""
 
     async def raise_fence(
         self, fencing: int
     ) -> AppliedRefs | Fenced | StoreUnavailable:
-        """Have the store refuse every smaller fencing number from now on."""
+        """Have the store reject every smaller fencing number from now on."""
 
     async def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
@@ -216,4 +217,4 @@
     async def room(self) -> StoreUsage | StoreUnavailable: ...
 
     async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
-        """Return published blocks, those that were read longest ago first."""
+        """Return published blocks, in the order of their last reads, oldest first."""
--- a/fireflyward/kept/_sweep.py
+++ b/fireflyward/kept/_sweep.py
@@ -1,4 +1,4 @@
-"""Freeing what dead writers left, and making room in a store that fills."""
+"""Frees slots that crashed writers left behind, and evicts from full stores."""
 
 import logging
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 log = logging.getLogger("fireflyward.kept")
 
 DEFAULT_GARBAGE_AGE_MS = 60_000
-_COLDEST = 1_024
+_MAX_EVICTION_CANDIDATES = 1_024
 
 
 class FreeStep(Step):
-    """Points of a sweep; its holder may be paused past its lease at each."""
+    """Steps of a sweep, at each of which its node may be paused past its lease."""
 
     HELD = "free: lease held"
     FENCED = "free: fence raised"
@@ -29,7 +29,7 @@
 
 
 class HeldLease(Protocol):
-    """A lease that is held now, with its fencing number."""
+    """A lease that this node currently holds, with its fencing number."""
 
     @property
     def fencing(self) -> int: ...
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Swept:
-    """How many slots were freed of garbage and of blocks that gave way."""
+    """How many slots with garbage and with evicted blocks were freed."""
 
     garbage: int
     evicted: int = 0
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSwept:
-    """Why the sweep ended early; what it freed by then stays freed."""
+    """Why the sweep was aborted; slots that it has already freed stay free."""
 
     detail: str
 
@@ -53,31 +53,32 @@
 class Sweeper:
     """Sweeps one store under a lease.
 
-    The fence is raised before anything is listed, so that from then on an earlier
-    holder, however long it was paused, is refused by the store itself. Every free
-    names generation and state as listed: a slot that its slow writer published
-    meanwhile, or that was used again, is left alone even by the rightful holder.
+    The sweeper raises the fencing number before it lists any slots. From then on the
+    store itself rejects an earlier lease holder, however long that was paused. Every
+    call to free a slot contains the generation and the state from the listing, so
+    that a slot which a slow writer has published in the meantime, or which was used
+    again, is not freed by the current lease holder either.
     """
 
-    __slots__ = ("_claim", "_garbage_age_ms", "_observe")
+    __slots__ = ("_held_lease", "_garbage_age_ms", "_observe")
 
     def __init__(
         self,
-        claim: Callable[[], HeldLease | None],
+        held_lease: Callable[[], HeldLease | None],
         *,
         garbage_age_ms: int = DEFAULT_GARBAGE_AGE_MS,
         observe: StepObserver = ignore_step,
     ) -> None:
-        self._claim = claim
+        self._held_lease = held_lease
         self._garbage_age_ms = garbage_age_ms
         self._observe = observe
 
     async def sweep(self, store: StoreClient) -> Swept | NotSwept:
-        """Free garbage by its age, then make room if the store is nearly full."""
-        held = self._claim()
-        if held is None:
+        """Free garbage by its age, then evict blocks if the store is nearly full."""
+        lease = self._held_lease()
+        if lease is None:
             return NotSwept("the lease is not held")
-        fencing = held.fencing
+        fencing = lease.fencing
         self._observe(FreeStep.HELD)
         fence = await store.raise_fence(fencing)
         if isinstance(fence, Fenced | StoreUnavailable):
@@ -86,7 +87,7 @@
         garbage = await self._free_garbage(store, fencing)
         if isinstance(garbage, NotSwept):
             return garbage
-        evicted = await self._make_room(store, fencing)
+        evicted = await self._evict_if_nearly_full(store, fencing)
         if isinstance(evicted, NotSwept):
             return evicted
         return Swept(garbage, evicted)
@@ -106,13 +107,15 @@
         self._observe(FreeStep.FREED)
         return freed
 
-    async def _make_room(self, store: StoreClient, fencing: int) -> int | NotSwept:
+    async def _evict_if_nearly_full(
+        self, store: StoreClient, fencing: int
+    ) -> int | NotSwept:
         room = await store.room()
         if isinstance(room, StoreUnavailable):
             return _not_swept(store, room)
         if not room.is_nearly_full():
             return 0
-        coldest = await store.coldest(_COLDEST)
+        coldest = await store.coldest(_MAX_EVICTION_CANDIDATES)
         if isinstance(coldest, StoreUnavailable):
             return _not_swept(store, coldest)
         self._observe(FreeStep.COLDEST_LISTED)
@@ -133,10 +136,10 @@
     return len(done.refs)
 
 
-def _not_swept(store: StoreClient, why: Fenced | StoreUnavailable) -> NotSwept:
-    if isinstance(why, Fenced):
+def _not_swept(store: StoreClient, cause: Fenced | StoreUnavailable) -> NotSwept:
+    if isinstance(cause, Fenced):
         log.warning(
-            "kept: sweep of %s refused, number %d was there", store.name, why.highest
+            "kept: sweep of %s refused, number %d was there", store.name, cause.highest
         )
-        return NotSwept(f"{store.name} has seen fencing number {why.highest}")
-    return NotSwept(f"{store.name}: {why.detail}")
+        return NotSwept(f"{store.name} has seen fencing number {cause.highest}")
+    return NotSwept(f"{store.name}: {cause.detail}")
--- a/tests/kept/kv_fixtures.py
+++ b/tests/kept/kv_fixtures.py
@@ -1,4 +1,4 @@
-"""Stores and engines in memory, as the tests of kept work need them."""
+"""Stores and engines in memory for the tests of stored KV blocks."""
 
 from dataclasses import dataclass
 
@@ -42,43 +42,43 @@
         )
 
     def compute(self, keys: tuple[str, ...] = KEYS) -> None:
-        """Have the engine hold these blocks, as after a run."""
+        """Put these blocks into the engine's cache, as a run would."""
         for position, key in enumerate(keys, start=1):
             self.engine.cache.store(key, position)
 
     async def advance_until(self, task, step_ms: float = 1.0, steps: int = 5_000):
-        """Move time on until a task is done, and return its result."""
+        """Advance the clock until a task is done, and return its result."""
         for _ in range(steps):
             if task.done():
                 return task.result()
             await self.clock.advance_ms(step_ms)
-        raise AssertionError("the task never ended")
+        raise AssertionError("the task did not end")
 
 
-class ProcessDied(Exception):
-    """Raised by an observer in place of the process's death."""
+class ProcessCrashed(Exception):
+    """Raised by an observer to simulate a crash of the process."""
 
 
-def die_at(fatal):
-    """Return an observer that ends the procedure at a step."""
+def crash_at(crash_step):
+    """Return an observer that raises ``ProcessCrashed`` at a step."""
 
     def observe(step):
-        if step is fatal:
-            raise ProcessDied(step)
+        if step is crash_step:
+            raise ProcessCrashed(step)
 
     return observe
 
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """A lease that is held, with its fencing number."""
+    """A lease with its fencing number."""
 
     fencing: int
 
 
 @dataclass(slots=True)
 class FixedLimit:
-    """An import's limit that does not move."""
+    """A time limit of an import that is not extended."""
 
     at_ms: float
     blocks: int = 0
--- a/tests/kept/test_export.py
+++ b/tests/kept/test_export.py
@@ -16,8 +16,8 @@
     VERSION,
     Held,
     KvWorld,
-    ProcessDied,
-    die_at,
+    ProcessCrashed,
+    crash_at,
 )
 
 PLAN = ExportPlan(
@@ -39,44 +39,48 @@
         work = exporter.export(plan, self.world.kv, self.store)
         return await self.world.advance_until(asyncio.ensure_future(work))
 
-    async def test_all_blocks_are_kept_and_a_second_export_writes_nothing(self):
+    async def test_all_blocks_are_stored_and_a_second_export_writes_nothing(self):
         first = await self.export()
         self.assertEqual((first.blocks, len(first.published)), (4, 4))
         second = await self.export()
         self.assertEqual((second.blocks, second.published), (4, ()))
 
-    async def test_writer_that_dies_at_any_step_leaves_only_what_a_sweep_finds(self):
-        """Symptom: a store fills with slots that nobody uses, or gives out a block
-        that was never finished. Sequence: the node dies between two steps of an
-        export. Cause: a slot that is neither published nor found by its age."""
+    async def test_slots_of_a_crash_at_any_step_are_freed_by_a_sweep(self):
+        """Guards against unused slots that are never freed and unfinished blocks.
+
+        The node crashes between two steps of an export, and leaves a slot that is not
+        published. A sweep must find such a slot by its age.
+        """
         for step in ExportStep:
             with self.subTest(step=step):
                 self.setUp()
-                with self.assertRaises(ProcessDied):
-                    await self.export(die_at(step))
+                with self.assertRaises(ProcessCrashed):
+                    await self.export(crash_at(step))
                 kept = len(self.store.model.describe(KEYS[:4]).refs)
                 self.assertEqual(kept, 4 if step is ExportStep.PUBLISHED else 0)
                 await self.world.clock.advance_ms(70_000)
                 await Sweeper(lambda: Held(1)).sweep(self.store)
                 self.assertEqual(self.store.model.used_slots(), kept)
 
-    async def test_hole_ends_what_is_published_and_the_rest_is_given_back(self):
+    async def test_blocks_after_a_missing_one_are_abandoned(self):
         self.world.engine.cache._place_by_key.pop(KEYS[2])
         result = await self.export()
         self.assertEqual(result.blocks, 2)
         self.assertEqual(self.store.model.used_slots(), 2)
 
-    async def test_store_that_is_away_or_full_costs_nothing(self):
+    async def test_export_to_an_unavailable_or_full_store_stores_nothing(self):
         self.store.model.faults.dead = True
         self.assertIsInstance(await self.export(), NotExported)
         self.store.model.faults.dead = False
         self.store.model.faults.full = True
         self.assertEqual(await self.export(), Exported(0, is_full=True))
 
-    async def test_answer_lost_after_publishing_doubles_nothing(self):
-        """Symptom: a block lies twice in a store. Sequence: the publish takes
-        effect, its answer is lost, the export is tried again. Cause: a retry that
-        does not find what the first try did."""
+    async def test_response_lost_after_publishing_duplicates_no_block(self):
+        """Guards against a block that occupies two slots of a store.
+
+        The publish call takes effect, its response is lost, and the export is retried.
+        The retry must find the blocks of the first attempt.
+        """
         reserved = await self.store.reserve(PLAN.wanted)
         self.assertEqual(len(reserved.refs), 4)
         await self.store.abandon(reserved.refs)
--- a/tests/kept/test_import.py
+++ b/tests/kept/test_import.py
@@ -17,11 +17,11 @@
     VERSION,
     FixedLimit,
     KvWorld,
-    ProcessDied,
-    die_at,
+    ProcessCrashed,
+    crash_at,
 )
 
-ASK = ImportRequest("o2", MODEL, VERSION, KEYS)
+REQUEST = ImportRequest("o2", MODEL, VERSION, KEYS)
 
 
 class ImporterTests(unittest.IsolatedAsyncioTestCase):
@@ -46,16 +46,16 @@
             **options,
         )
 
-    async def load(self, importer=None, *, limit_ms=1_000.0, ask=ASK):
+    async def load(self, importer=None, *, limit_ms=1_000.0, request=REQUEST):
         limit = FixedLimit(self.world.clock.now_ms() + limit_ms)
         importer = importer or self.importer()
-        return await self.run_ms(importer.load(ask, self.kv, self.store, limit))
+        return await self.run_ms(importer.load(request, self.kv, self.store, limit))
 
-    async def test_whole_prefix_is_loaded(self):
+    async def test_complete_prefix_is_loaded(self):
         result = await self.load()
         self.assertEqual((result.blocks, result.reason), (len(KEYS), None))
 
-    async def test_store_faults_cost_recomputation_and_are_counted(self):
+    async def test_store_faults_cause_recomputation_and_are_counted(self):
         cases = {
             "dead": MissReason.STORE_AWAY,
             "wrong_bytes": MissReason.WRONG_CHECKSUM,
@@ -71,9 +71,11 @@
                 self.assertEqual(importer.misses, {reason: 1})
                 self.assertEqual(len(self.kv.engine.cache), 0)
 
-    async def test_late_store_is_given_up_at_the_limit(self):
-        """Symptom: an answer comes later than if nothing had been kept. Sequence:
-        the store takes seconds to answer. Cause: an import without a limit."""
+    async def test_import_from_a_slow_store_ends_at_the_limit(self):
+        """Guards against an answer that is later than without stored blocks.
+
+        The store needs seconds to answer, and imports had no limit.
+        """
         self.store.model.faults.late_ms = 60_000
         began_ms = self.world.clock.now_ms()
         result = await self.load(limit_ms=25)
@@ -88,7 +90,7 @@
         result = await self.load(self.importer(observe=restart))
         self.assertEqual((result.blocks, result.reason), (0, MissReason.OLD_GENERATION))
 
-    async def test_slot_freed_and_filled_again_after_the_choice_is_a_miss(self):
+    async def test_slot_freed_and_reused_after_the_choice_is_a_miss(self):
         def reuse(step):
             if step is ImportStep.VERSION_CHECKED:
                 model = self.store.model
@@ -99,28 +101,30 @@
         result = await self.load(self.importer(observe=reuse))
         self.assertEqual((result.blocks, result.reason), (0, MissReason.OLD_GENERATION))
 
-    async def test_swap_at_any_step_before_the_order_imports_nothing(self):
-        """Symptom: a new request runs on the old version's blocks. Sequence: a
-        bundle with a new version comes into force after the store was chosen.
-        Cause: a version that was compared only when the run was planned."""
-        for fatal in (ImportStep.CHOSEN, ImportStep.DESCRIBED):
-            with self.subTest(step=fatal):
+    async def test_version_swap_at_any_step_before_the_order_imports_nothing(self):
+        """Guards against a new request that runs on blocks of the old version.
+
+        A bundle with a new version comes into force after the store was chosen. The
+        version was compared only when the run was planned.
+        """
+        for trigger in (ImportStep.CHOSEN, ImportStep.DESCRIBED):
+            with self.subTest(step=trigger):
                 self.version = VERSION
 
-                def swap(step, fatal=fatal):
-                    if step is fatal:
+                def swap(step, trigger=trigger):
+                    if step is trigger:
                         self.version = "v2"
 
                 result = await self.load(self.importer(observe=swap))
                 self.assertEqual(result.reason, MissReason.WRONG_VERSION)
                 self.assertEqual(len(self.kv.engine.cache), 0)
 
-    async def test_importer_that_dies_at_any_step_leaves_whole_blocks_only(self):
+    async def test_crash_at_any_step_leaves_only_complete_blocks(self):
         for step in ImportStep:
             with self.subTest(step=step):
                 self.kv = self.world.other_engine()
-                with self.assertRaises(ProcessDied):
-                    await self.load(self.importer(observe=die_at(step)))
+                with self.assertRaises(ProcessCrashed):
+                    await self.load(self.importer(observe=crash_at(step)))
                 held = self.kv.engine.cache.prefix_blocks(KEYS)
                 self.assertEqual(held, len(self.kv.engine.cache))
                 self.assertEqual(self.store.model.used_slots(), len(KEYS))
--- a/tests/kept/test_life_cycle.py
+++ b/tests/kept/test_life_cycle.py
@@ -1,9 +1,9 @@
 """The life cycle of a block under writers, readers, sweepers and crashes.
 
-The machine keeps its own account of what was sealed under which slot and
-generation, what was published and what was freed. Whatever the interleaving, a
-read gives exactly the bytes of its own generation while that is published, and an
-engine uses nothing else even when the store lies.
+The state machine records by slot and generation which blocks were sealed, published
+and freed. In any interleaving, a read returns exactly the bytes of its own generation
+while that is published, and an engine uses no other bytes even if the store returns
+wrong ones.
 """
 
 import unittest
@@ -46,7 +46,7 @@
         self.given: set[tuple[int, int]] = set()
         self.listings: list[tuple[int, tuple]] = []
 
-    # Writers. One that dies is one whose next rule is never drawn.
+    # Writers. A writer crashes if Hypothesis never draws its next rule.
 
     @rule(target=reserved, key=sampled_from(KEYS))
     def reserve(self, key):
@@ -95,7 +95,7 @@
 
     @rule(target=held, key=sampled_from(KEYS), is_torn=booleans(), listing=booleans())
     def keep_block(self, key, is_torn, listing):
-        """Take every step of a write at once, so that the rest is reached often."""
+        """Do all steps of a write, so that the other rules often have blocks to use."""
         self.keep(key, is_torn, listing)
         return self.hold(key)
 
@@ -114,7 +114,7 @@
         for ref in refs:
             self.published[ref.slot, ref.generation] = ref
 
-    # Readers hold descriptors for as long as they like.
+    # Readers may keep descriptors for any length of time.
 
     @rule(target=held, key=sampled_from(KEYS))
     def describe(self, key):
@@ -131,11 +131,13 @@
             found = self.store.read(ref)
             if isinstance(found, bytes):
                 place = (ref.slot, ref.generation)
-                assert place in self.published, "freed block was read"
-                assert found == kv_payload(ref.key), "other bytes than were sealed"
+                assert place in self.published, "a freed block was read"
+                assert found == kv_payload(ref.key), (
+                    "the bytes differ from the sealed ones"
+                )
 
     @invariant()
-    def an_engine_uses_nothing_of_a_store_that_lies(self):
+    def an_engine_uses_no_wrong_bytes_of_a_store(self):
         faults = self.store.faults
         for ref in self.known:
             for faults.damaged_bytes in (False, True):
@@ -145,7 +147,7 @@
                     assert found == kv_payload(ref.key), "an engine used other bytes"
         faults.damaged_bytes = faults.wrong_bytes = False
 
-    # Sweepers. Each listing remembers the number of the lease it was made under.
+    # Sweepers. Each listing is recorded with the fencing number of its lease.
 
     @rule()
     def list_garbage(self):
@@ -168,7 +170,7 @@
             done = self.store.free((ref,), state=state, fencing=fencing)
             if fencing < self.fencing:
                 was_refused = isinstance(done, Fenced) or not done.refs
-                assert was_refused, "a paused holder was obeyed"
+                assert was_refused, "a call of an earlier lease holder took effect"
             elif was_published:
                 assert not done.refs, "a published block was swept as garbage"
 
@@ -184,7 +186,7 @@
 
     @rule(ref=held, key=sampled_from(KEYS))
     def evict_and_fill(self, ref, key):
-        """Free a block and give its slot to the next writer."""
+        """Free a block and write another one, which may reuse its slot."""
         self.evict(ref)
         self.keep(key, False, False)
 
@@ -195,7 +197,7 @@
         self.published.clear()
 
     @invariant()
-    def a_block_is_published_in_one_slot_and_whole(self):
+    def a_published_block_is_complete(self):
         for key in KEYS:
             for ref in self.store.describe((key,)).refs:
                 payload = kv_payload(key)
@@ -203,7 +205,7 @@
                 assert (ref.length, ref.checksum) == (len(payload), checksum)
 
     @invariant()
-    def a_block_has_one_copy(self):
+    def a_block_is_published_in_a_single_slot(self):
         keys = [ref.key for ref in self.published.values()]
         assert len(keys) == len(set(keys))
 
@@ -219,7 +221,9 @@
 
 
 class LifeCycleTests(LifeCycle.TestCase, unittest.TestCase):
-    """Symptom: an engine computes on KV that is not the prompt's. Sequence: any
-    interleaving of the rules above. Cause: a read that does not compare the
-    generation, a publish without a seal, a seal that does not look at the bytes, a
-    free that does not compare state or fencing number."""
+    """Guards against an engine that computes on KV blocks of another prompt.
+
+    Any interleaving of the rules above could cause this, if a read did not compare the
+    generation, if a block could be published without a seal or sealed without a check
+    of its bytes, or if freeing did not compare state and fencing number.
+    """
--- a/tests/kept/test_look_up.py
+++ b/tests/kept/test_look_up.py
@@ -39,35 +39,39 @@
             )
             for link in self.links
         }
-        self.holders = [item.name for item in holders_of(SHARD, self.members)]
-        for name in self.holders:
+        self.holder_names = [item.name for item in holders_of(SHARD, self.members)]
+        for name in self.holder_names:
             changes = [StoreChange(KEYS[at - 1], at, True, SHARD) for at in (8, 16, 32)]
             self.index_by_node[name].apply("s1", changes)
-        self.asker = next(
+        self.remote_look_up = next(
             look_up
             for name, look_up in self.look_up_by_node.items()
-            if name not in self.holders
+            if name not in self.holder_names
         )
 
-    async def test_node_without_the_shard_asks_a_holder(self):
-        self.assertEqual(self.asker.find(KEYS), ())
-        await self.asker.fetch(KEYS)
+    async def test_node_without_the_shard_queries_a_holder(self):
+        self.assertEqual(self.remote_look_up.find(KEYS), ())
+        await self.remote_look_up.fetch(KEYS)
         self.assertEqual(
-            self.asker.find(KEYS), (HeldRun("s1", 0, 16), HeldRun("s1", 24, 8))
+            self.remote_look_up.find(KEYS), (HeldRun("s1", 0, 16), HeldRun("s1", 24, 8))
         )
 
-    async def test_holder_that_died_is_an_empty_answer(self):
-        """Symptom: a prompt waits for a node that is gone. Sequence: the holder of
-        its shard dies and membership has not noticed. Cause: a look-up without a
-        limit, or one that raises."""
+    async def test_query_to_a_crashed_holder_finds_nothing(self):
+        """Guards against a prompt that waits for a crashed node.
+
+        The holder of its shard crashes, and membership has not detected that yet. A
+        look-up must have a time limit and must not raise an error.
+        """
         for link in self.links:
-            if link.node_name in self.holders:
+            if link.node_name in self.holder_names:
                 await link.stop()
-        await self.asker.fetch(KEYS)
-        self.assertEqual((self.asker.find(KEYS), self.asker.failed), ((), 1))
+        await self.remote_look_up.fetch(KEYS)
+        self.assertEqual(
+            (self.remote_look_up.find(KEYS), self.remote_look_up.failed), ((), 1)
+        )
 
-    async def test_holder_asks_nobody(self):
-        holder = self.look_up_by_node[self.holders[0]]
+    async def test_holder_sends_no_query(self):
+        holder = self.look_up_by_node[self.holder_names[0]]
         sent = [link.bytes_sent for link in self.links]
         await holder.fetch(KEYS)
         self.assertEqual([link.bytes_sent for link in self.links], sent)
--- a/tests/kept/test_prefix_texts.py
+++ b/tests/kept/test_prefix_texts.py
@@ -14,15 +14,17 @@
         self.objects = MemoryObjects()
         self.texts = PrefixTexts(self.objects, SECRET)
 
-    async def test_any_node_resolves_what_another_named(self):
+    async def test_any_node_resolves_a_reference_of_another_node(self):
         ref = await self.texts.store_text(ANDES, "clauses", CLAUSES)
         other_node = PrefixTexts(self.objects, SECRET)
         self.assertEqual(await other_node.resolve(ANDES, ref), PrefixText(CLAUSES))
 
     async def test_reference_of_another_account_or_caller_is_unknown(self):
-        """Symptom: an account reads another's clauses. Sequence: a caller sends a
-        reference that it found in another's log. Cause: a reference that is a name
-        and not bound to who may use it."""
+        """Guards against reading the text of another account.
+
+        A caller sends a reference that it found in another account's log. References
+        were plain names that were not bound to an account.
+        """
         ref = await self.texts.store_text(PrefixScope("andes", "review"), "c", CLAUSES)
         for scope in (PrefixScope("nota"), ANDES, PrefixScope("andes", "drafting")):
             with self.subTest(scope=scope):
@@ -39,7 +41,7 @@
         for junk in ("", "x", "é" * 9, "A" * 5_000):
             self.assertEqual(await self.texts.resolve(ANDES, junk), UnknownPrefix())
 
-    async def test_object_does_not_show_the_text_and_is_one_however_often_named(self):
+    async def test_text_is_encrypted_and_stored_as_a_single_object(self):
         await self.texts.store_text(ANDES, "clauses", CLAUSES)
         first = dict(self.objects.body_by_name)
         await PrefixTexts(self.objects, SECRET).store_text(ANDES, "again", CLAUSES)
@@ -47,7 +49,7 @@
         (body,) = first.values()
         self.assertNotIn(b"Clause", body)
 
-    async def test_changed_or_exchanged_object_is_unknown(self):
+    async def test_reference_to_a_changed_or_exchanged_object_is_unknown(self):
         ref = await self.texts.store_text(ANDES, "clauses", CLAUSES)
         (name,) = self.objects.body_by_name
         await self.texts.store_text(ANDES, "other", "other text")
@@ -58,7 +60,7 @@
             node = PrefixTexts(self.objects, SECRET)
             self.assertEqual(await node.resolve(ANDES, ref), UnknownPrefix())
 
-    async def test_store_away_is_told_and_used_texts_go_on(self):
+    async def test_unavailable_store_is_reported_and_cached_texts_still_resolve(self):
         ref = await self.texts.store_text(ANDES, "clauses", CLAUSES)
         self.objects.away = True
         self.assertEqual(await self.texts.resolve(ANDES, ref), PrefixText(CLAUSES))
--- a/tests/kept/test_readers.py
+++ b/tests/kept/test_readers.py
@@ -18,7 +18,7 @@
 COSTS = StoreCosts(memory_slots=100, disk_slots=0, log_changes=50, page=12)
 
 
-def keep(store, keys=KEYS):
+def write_blocks(store, keys=KEYS):
     for position, key in enumerate(keys, start=1):
         wanted = SlotRequest(key, position, shard_of(keys[0]))
         for ref in store.reserve(0, (wanted,)).refs:
@@ -35,14 +35,14 @@
         self.reader = StoreReader("s1")
 
     def read(self, shards=ALL_SHARDS, between=lambda: None):
-        asked = 1
+        requests = 1
         while self.reader.apply(self.store.list(self.reader.query(shards)), self.index):
             between()
-            asked += 1
-        return asked
+            requests += 1
+        return requests
 
-    def test_index_follows_pages_then_changes(self):
-        keep(self.store)
+    def test_reader_applies_pages_and_then_changes(self):
+        write_blocks(self.store)
         self.assertEqual(self.read(), 4)
         self.assertEqual(self.index.find(KEYS), (HeldRun("s1", 0, 40),))
         refs = self.store.describe(KEYS).refs[8:16]
@@ -53,10 +53,12 @@
         )
 
     def test_block_freed_between_two_pages_is_not_left_in_the_index(self):
-        """Symptom: imports of one prompt always miss. Sequence: the store frees a
-        block of a page that was read while the next is still asked for. Cause: a
-        listing whose changes are followed from its last page on."""
-        keep(self.store)
+        """Guards against imports of one prompt that always miss.
+
+        The store frees a block of a page that was already read while the next page is
+        requested. The reader followed changes only from the last page on.
+        """
+        write_blocks(self.store)
 
         def free():
             refs = self.store.describe(KEYS).refs[:8]
@@ -66,15 +68,15 @@
         self.read()
         self.assertEqual(self.index.find(KEYS), (HeldRun("s1", 8, 32),))
 
-    def test_restarted_store_is_forgotten(self):
-        keep(self.store)
+    def test_restarted_store_is_removed_from_the_index(self):
+        write_blocks(self.store)
         self.read()
         self.store.restart_empty(2)
         self.read()
         self.assertEqual(len(self.index), 0)
 
-    def test_new_shards_are_read_whole(self):
-        keep(self.store)
+    def test_new_shards_cause_a_full_listing(self):
+        write_blocks(self.store)
         self.read(frozenset({shard_of(KEYS[0]) + 1}))
         self.assertEqual(len(self.index), 0)
         self.read(ALL_SHARDS)
@@ -87,7 +89,7 @@
         self.index = PrefixIndex()
         self.reader = EngineReader("e1")
 
-    def hold(self, keys=KEYS):
+    def cache_blocks(self, keys=KEYS):
         for position, key in enumerate(keys, start=1):
             self.cache.store(key, position, keys[0])
 
@@ -95,27 +97,29 @@
         after = self.reader.after(now_ms, ALL_SHARDS)
         self.reader.apply(self.cache.events(after, stride=INDEX_STRIDE), self.index)
 
-    def test_doubled_and_late_events_give_the_same_index(self):
+    def test_duplicate_and_late_events_give_the_same_index(self):
         self.read(0)
         self.cache.faults.doubled = True
         self.cache.faults.late = 10
-        self.hold()
+        self.cache_blocks()
         self.read(500)
         self.cache.faults.late = 0
         self.read(1_000)
         self.assertEqual(self.index.find(KEYS), (HeldRun("e1", 0, 40),))
         self.assertEqual(self.reader.gaps, 0)
 
-    def test_gap_is_noticed_and_healed(self):
-        """Symptom: prompts are sent to a replica that evicted them long ago.
-        Sequence: an eviction's event is lost. Cause: a reader that takes the next
-        event as if nothing were missing."""
+    def test_gap_is_detected_and_repaired(self):
+        """Guards against prompts for a replica that evicted their blocks long ago.
+
+        An eviction's event is lost. The reader applied the next event as if no event
+        were missing.
+        """
         self.read(0)
-        self.hold()
+        self.cache_blocks()
         self.read(500)
         self.assertEqual(self.reader.gaps, 0)
         self.cache.faults.drop_every = 1
-        self.hold(tuple(f"{number:032x}" for number in range(64)))
+        self.cache_blocks(tuple(f"{number:032x}" for number in range(64)))
         self.read(1_000)
         self.cache.faults.drop_every = 0
         self.assertEqual(self.index.find(KEYS), (HeldRun("e1", 0, 40),))
@@ -123,8 +127,8 @@
         self.assertGreater(self.reader.gaps, 0)
         self.assertEqual(self.index.find(KEYS), ())
 
-    def test_restarted_engine_is_forgotten(self):
-        self.hold()
+    def test_restarted_engine_is_removed_from_the_index(self):
+        self.cache_blocks()
         self.read(0)
         self.cache.lose_all("2")
         self.read(500)
--- a/tests/kept/test_sweep.py
+++ b/tests/kept/test_sweep.py
@@ -11,7 +11,7 @@
     choose_victims,
 )
 from fireflyward.upstreams import BlockRef, block_checksum
-from tests.kept.kv_fixtures import KEYS, Held, KvWorld, ProcessDied, die_at
+from tests.kept.kv_fixtures import KEYS, Held, KvWorld, ProcessCrashed, crash_at
 
 
 class SweeperTests(unittest.IsolatedAsyncioTestCase):
@@ -31,25 +31,27 @@
         sealed = BlockRef(ref.key, ref.store, ref.slot, ref.generation, 1, checksum)
         return self.model.publish(self.model.seal((sealed,)).refs).refs
 
-    async def test_old_garbage_is_freed_and_a_young_write_is_not(self):
+    async def test_old_garbage_is_freed_and_a_recent_write_is_not(self):
         await self.begin_write(KEYS[0])
         await self.store.reserve((SlotRequest(KEYS[1], 1),))
         result = await Sweeper(lambda: Held(1)).sweep(self.store)
         self.assertEqual(result, Swept(1))
         self.assertEqual(self.model.used_slots(), 1)
 
-    async def test_paused_holder_frees_nothing_after_the_next_one_came(self):
-        """Symptom: a kept block vanishes, or worse, a slot in use is freed.
-        Sequence: a holder lists garbage and is paused past its lease; the next
-        holder sweeps; the first goes on. Cause: a free that trusts its caller's
-        belief in the lease."""
-        for fatal in (FreeStep.FENCED, FreeStep.LISTED):
-            with self.subTest(step=fatal):
+    async def test_paused_lease_holder_frees_nothing_after_the_next_one_started(self):
+        """Guards against freeing a stored block or a slot that is in use.
+
+        A lease holder lists garbage and is paused past its lease, the next holder
+        sweeps, and then the first one continues. Freeing must not depend on the
+        caller's assumption that it still holds the lease.
+        """
+        for trigger in (FreeStep.FENCED, FreeStep.LISTED):
+            with self.subTest(step=trigger):
                 self.setUp()
                 await self.begin_write(KEYS[0])
 
-                def next_holder(step, fatal=fatal):
-                    if step is fatal:
+                def next_holder(step, trigger=trigger):
+                    if step is trigger:
                         self.model.raise_fence(2)
 
                 paused = Sweeper(lambda: Held(1), observe=next_holder)
@@ -57,9 +59,11 @@
                 self.assertEqual(self.model.used_slots(), 1)
 
     async def test_slow_writer_that_finishes_during_the_sweep_keeps_its_block(self):
-        """Symptom: a block that was just published is gone. Sequence: a slow writer
-        publishes between the sweep's listing and its free. Cause: a free that
-        compares the generation and not the state."""
+        """Guards against freeing a block that was just published.
+
+        A slow writer publishes between the sweep's listing and its call to free the
+        slot. Freeing compared only the generation and not the state.
+        """
         ref = await self.begin_write(KEYS[0])
 
         def finish(step):
@@ -70,22 +74,22 @@
         self.assertEqual(result, Swept(0))
         self.assertEqual(len(self.model.describe(KEYS[:1]).refs), 1)
 
-    async def test_sweep_that_dies_at_any_step_can_be_done_again(self):
+    async def test_sweep_can_be_repeated_after_a_crash_at_any_step(self):
         for step in (FreeStep.HELD, FreeStep.FENCED, FreeStep.LISTED, FreeStep.FREED):
             with self.subTest(step=step):
                 self.setUp()
                 await self.begin_write(KEYS[0])
-                with self.assertRaises(ProcessDied):
-                    sweeper = Sweeper(lambda: Held(1), observe=die_at(step))
+                with self.assertRaises(ProcessCrashed):
+                    sweeper = Sweeper(lambda: Held(1), observe=crash_at(step))
                     await sweeper.sweep(self.store)
                 await Sweeper(lambda: Held(2)).sweep(self.store)
                 self.assertEqual(self.model.used_slots(), 0)
 
-    async def test_without_the_lease_nothing_is_asked(self):
+    async def test_sweep_without_the_lease_is_aborted(self):
         result = await Sweeper(lambda: None).sweep(self.store)
         self.assertIsInstance(result, NotSwept)
 
-    async def test_nearly_full_store_gets_room_from_its_coldest(self):
+    async def test_coldest_blocks_of_a_nearly_full_store_are_evicted(self):
         keys = [f"{number:032x}" for number in range(16)]
         for key in keys:
             reserved = await self.store.reserve((SlotRequest(key, 1),))
@@ -96,29 +100,32 @@
             self.model.note_read(self.world.clock.now_ms(), ref)
         result = await Sweeper(lambda: Held(1)).sweep(self.store)
         self.assertEqual(result, Swept(0, 2))
-        gone = [key for key in keys if not self.model.describe((key,)).refs]
-        self.assertEqual(gone, keys[2:4])
+        evicted_keys = [key for key in keys if not self.model.describe((key,)).refs]
+        self.assertEqual(evicted_keys, keys[2:4])
 
 
 class VictimTests(unittest.TestCase):
-    def cold(self, number, owner, reads=0, idle_ms=1_000, position=1):
+    def cold_block(self, number, owner, reads=0, idle_ms=1_000, position=1):
         ref = BlockRef(f"{number:032x}", "s1", number, 1, position=position)
         return ColdBlock(ref, owner, reads, idle_ms)
 
-    def test_owner_above_its_share_gives_way_first(self):
-        """Symptom: small accounts' kept work is gone each evening. Sequence: one
-        large account exports all day. Cause: eviction by age over all accounts."""
-        room = StoreUsage(100, 100, {"large": 90, "small": 10})
+    def test_blocks_of_an_owner_above_its_share_are_evicted_first(self):
+        """Guards against evicting the blocks of small accounts every day.
+
+        One large account exports all day, and blocks of all accounts were evicted by
+        age only.
+        """
+        usage = StoreUsage(100, 100, {"large": 90, "small": 10})
         coldest = (
-            *(self.cold(n, "small", idle_ms=9_000) for n in range(10)),
-            *(self.cold(n, "large") for n in range(10, 100)),
+            *(self.cold_block(n, "small", idle_ms=9_000) for n in range(10)),
+            *(self.cold_block(n, "large") for n in range(10, 100)),
         )
-        victims = choose_victims(room, coldest)
+        victims = choose_victims(usage, coldest)
         self.assertEqual(len(victims), 10)
         self.assertTrue(all(ref.slot >= 10 for ref in victims))
 
-    def test_later_blocks_of_a_prompt_go_before_earlier_ones(self):
-        room = StoreUsage(20, 20, {"a": 4, "b": 4, "c": 4, "d": 4, "e": 4})
-        coldest = tuple(self.cold(n, "a", position=n + 1) for n in range(4))
-        victims = choose_victims(room, coldest)
+    def test_later_blocks_of_a_prompt_are_evicted_first(self):
+        usage = StoreUsage(20, 20, {"a": 4, "b": 4, "c": 4, "d": 4, "e": 4})
+        coldest = tuple(self.cold_block(n, "a", position=n + 1) for n in range(4))
+        victims = choose_victims(usage, coldest)
         self.assertEqual([ref.position for ref in victims], [4, 3])
