--- a/fireflyward/daemon/_serve.py
+++ b/fireflyward/daemon/_serve.py
@@ -6,7 +6,7 @@
 import signal
 
 from fireflyward.connections import within
-from fireflyward.invariants import InvariantBroken, listen
+from fireflyward.invariants import InvariantBroken, add_listener
 from fireflyward.settings import Settings
 
 from ._node import Node
@@ -28,7 +28,7 @@
         node.metrics.count("invariants_broken_total", invariant=found.invariant.name)
         broken.set()
 
-    stop_listening = listen(on_broken)
+    stop_listening = add_listener(on_broken)
     try:
         return await _serve(node, broken)
     finally:
--- a/fireflyward/invariants/__init__.py
+++ b/fireflyward/invariants/__init__.py
@@ -1,5 +1,5 @@
 """What can only be false if the program is wrong; then the process stops."""
 
-from ._invariants import Invariant, InvariantBroken, listen, require
+from ._invariants import Invariant, InvariantBroken, add_listener, require
 
-__all__ = ["Invariant", "InvariantBroken", "listen", "require"]
+__all__ = ["Invariant", "InvariantBroken", "add_listener", "require"]
--- a/fireflyward/invariants/_invariants.py
+++ b/fireflyward/invariants/_invariants.py
@@ -56,7 +56,7 @@
     raise broken
 
 
-def listen(listener: Listener) -> Callable[[], None]:
+def add_listener(listener: Listener) -> Callable[[], None]:
     """Have ``listener`` told of a broken invariant; return what ends that."""
     _listeners.append(listener)
     return lambda: _listeners.remove(listener)
--- a/tests/invariants/test_invariants.py
+++ b/tests/invariants/test_invariants.py
@@ -1,14 +1,14 @@
 import unittest
 
 from fireflyward.bundles import Bundle, BundleHolder
-from fireflyward.invariants import Invariant, InvariantBroken, listen, require
+from fireflyward.invariants import Invariant, InvariantBroken, add_listener, require
 from fireflyward.limits import Admission, AdmissionRequest
 
 
 class RequireTests(unittest.TestCase):
     def setUp(self):
         self.told = []
-        self.addCleanup(listen(self.told.append))
+        self.addCleanup(add_listener(self.told.append))
 
     def broken_by(self, work):
         with self.assertLogs("fireflyward.invariants", "CRITICAL") as logs:
