--- a/fireflyward/clock/__init__.py
+++ b/fireflyward/clock/__init__.py
@@ -1,4 +1,4 @@
-"""Time, in milliseconds, behind one small type that tests can replace."""
+"""Time in milliseconds, through a small class that tests can replace."""
 
 from ._clock import Clock, ManualClock, Timer
 from ._within import TimedOut, within_ms
--- a/fireflyward/clock/_clock.py
+++ b/fireflyward/clock/_clock.py
@@ -1,4 +1,4 @@
-"""The project's only source of time."""
+"""The clocks from which the project reads the time."""
 
 import asyncio
 import heapq
@@ -9,22 +9,22 @@
 
 _NANOSECONDS_PER_MS = 1_000_000
 _MS_PER_SECOND = 1_000
-_COUNTING_SUSPENSION = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_CLOCK_INCLUDING_SUSPENSION = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 class Timer(Protocol):
-    """What ``call_later_ms`` returns."""
+    """A scheduled call, as returned by ``call_later_ms``."""
 
     def cancel(self) -> object:
-        """Take the call back; of one that was made this does nothing."""
+        """Cancel the call; this has no effect if it was already made."""
 
 
 class Clock:
     """Milliseconds of the machine's monotonic and wall clocks.
 
-    Decisions take ``now_ms`` as an argument and never read a clock; tasks own a
-    ``Clock`` and hand its reading to them. ``wall_ms`` is only for people and for
-    values that another VM reads; nothing that must hold depends on it, because an
+    Code that makes decisions gets ``now_ms`` as an argument and never reads a clock;
+    tasks own a ``Clock`` and pass its time to that code. ``wall_ms`` is only for people
+    and for values that another VM reads. No guarantee may depend on it, because an
     operator or a time daemon may set it back.
 
     >>> Clock().now_ms() <= Clock().now_ms()
@@ -34,16 +34,16 @@
     __slots__ = ()
 
     def now_ms(self) -> int:
-        """Return monotonic milliseconds; they never go back.
+        """Return monotonic milliseconds, which never decrease.
 
-        A VM that is suspended and wakes again finds the time that it slept
-        counted: by the steady clock, which stands still meanwhile, it would go on
-        believing in leases and deadlines that have long passed.
+        The time includes periods in which the VM was suspended. ``CLOCK_MONOTONIC``
+        stops during a suspension, so a resumed VM would still treat leases and
+        deadlines as valid that expired long ago.
         """
-        return time.clock_gettime_ns(_COUNTING_SUSPENSION) // _NANOSECONDS_PER_MS
+        return time.clock_gettime_ns(_CLOCK_INCLUDING_SUSPENSION) // _NANOSECONDS_PER_MS
 
     def wall_ms(self) -> int:
-        """Return milliseconds since 1970, which may jump either way."""
+        """Return milliseconds since 1970, which may jump forward or back."""
         return time.time_ns() // _NANOSECONDS_PER_MS
 
     async def sleep_ms(self, duration_ms: float) -> None:
@@ -53,9 +53,9 @@
     def call_later_ms(self, duration_ms: float, callback: Callable[[], None]) -> Timer:
         """Call ``callback`` after ``duration_ms``, unless the timer is cancelled.
 
-        On the machine's clock this is the event loop's own timer and costs no task,
-        which counts where every request sets one. A subclass with another
-        ``sleep_ms`` keeps its timers by that.
+        This uses the event loop's timer and needs no task, which saves time where
+        every request sets a timer. A subclass that overrides ``sleep_ms`` gets timers
+        that use its ``sleep_ms``.
         """
         if type(self).sleep_ms is not Clock.sleep_ms:
             return asyncio.ensure_future(self._call_after(duration_ms, callback))
@@ -70,15 +70,16 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when it is told to.
+    """A clock that advances only on demand, for tests.
 
-    ``await clock.advance_ms(50)`` wakes sleepers in the order of their times and
-    lets the event loop settle after each, so that a test sees every step.
+    ``await clock.advance_ms(50)`` wakes sleepers in the order of their times. After
+    each one it runs the event loop for some iterations, so that the tasks that are
+    ready finish their work at that time.
     """
 
     __slots__ = ("_now_ms", "_order", "_sleepers", "_wall_offset_ms")
 
-    _SETTLE_TURNS = 20
+    _LOOP_ITERATIONS = 20
 
     def __init__(self, now_ms: int = 0, wall_offset_ms: int = 0) -> None:
         self._now_ms = now_ms
@@ -96,7 +97,7 @@
         return int(self._now_ms) + self._wall_offset_ms
 
     def jump_wall_ms(self, by_ms: int) -> None:
-        """Set the wall clock forward or back, as an operator might."""
+        """Set the wall clock forward or back, as an operator may do."""
         self._wall_offset_ms += by_ms
 
     async def sleep_ms(self, duration_ms: float) -> None:
@@ -109,17 +110,17 @@
         await future
 
     async def advance_ms(self, duration_ms: float) -> None:
-        """Move time on, waking every sleeper that falls due on the way."""
+        """Advance the time, and wake every sleeper whose time has come."""
         target_ms = self._now_ms + duration_ms
-        await self._settle()
+        await self._run_ready_tasks()
         while self._sleepers and self._sleepers[0][0] <= target_ms:
             wake_at_ms, _, future = heapq.heappop(self._sleepers)
             self._now_ms = max(self._now_ms, wake_at_ms)
             if not future.done():
                 future.set_result(None)
-            await self._settle()
+            await self._run_ready_tasks()
         self._now_ms = target_ms
 
-    async def _settle(self) -> None:
-        for _ in range(self._SETTLE_TURNS):
+    async def _run_ready_tasks(self) -> None:
+        for _ in range(self._LOOP_ITERATIONS):
             await asyncio.sleep(0)
--- a/fireflyward/clock/_within.py
+++ b/fireflyward/clock/_within.py
@@ -1,4 +1,4 @@
-"""A limit on waiting that follows the project's clock."""
+"""A timeout that uses the project's clock."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedOut:
-    """The limit passed first; the work was cancelled."""
+    """The limit passed before the work was done; the work was cancelled."""
 
     limit_ms: float
 
@@ -22,8 +22,8 @@
 ) -> T | TimedOut:
     """Return what ``work`` returns, or ``TimedOut`` after ``limit_ms``.
 
-    ``asyncio.timeout`` reads the event loop's time; a test on a ``ManualClock``
-    would never see it pass.
+    ``asyncio.timeout`` uses the event loop's time, which a test's ``ManualClock`` does
+    not advance.
     """
     task = asyncio.ensure_future(work)
     limit = asyncio.ensure_future(clock.sleep_ms(limit_ms))
--- a/fireflyward/invariants/__init__.py
+++ b/fireflyward/invariants/__init__.py
@@ -1,4 +1,4 @@
-"""What can only be false if the program is wrong; then the process stops."""
+"""Checks that fail only because of a program error; the process then stops."""
 
 from ._invariants import Invariant, InvariantBroken, add_listener, require
 
--- a/fireflyward/invariants/_invariants.py
+++ b/fireflyward/invariants/_invariants.py
@@ -1,10 +1,10 @@
-"""Cheap checks in the serving path.
+"""Cheap checks in the request path.
 
-Faults of others (a bundle that does not verify, an answer of another run, a block
-of other bytes) are outcomes, and they are met as values. An invariant is about this
-process's own state. When one is broken, nothing that the process would do next can
-be trusted, and another node is there to serve; so the process says what broke,
-counts it and stops.
+Faults of other components (a bundle with an invalid signature, an answer to another
+run, a block with wrong bytes) are expected, and the code handles them as ordinary
+values. An invariant concerns the state of this process only. When an invariant is
+broken, the process can no longer be trusted, and other nodes can serve its requests;
+so the process logs the broken invariant, counts it and stops.
 """
 
 import enum
@@ -15,7 +15,7 @@
 
 
 class Invariant(enum.StrEnum):
-    """Each invariant in words."""
+    """The invariants, each with its description."""
 
     BUNDLE_FORWARD = "the bundle in force never steps back"
     IN_FLIGHT = "no client account has fewer than no requests in flight"
@@ -27,8 +27,8 @@
 class InvariantBroken(BaseException):
     """Raised where an invariant is broken.
 
-    It is no ``Exception``, so that no handler which turns errors into responses
-    goes on serving with it.
+    It does not derive from ``Exception``, so that a handler which turns errors into
+    responses does not catch it and continue serving.
     """
 
     def __init__(self, invariant: Invariant, detail: str) -> None:
@@ -41,9 +41,9 @@
 
 
 def require(holds: bool, invariant: Invariant, detail: str, *values: object) -> None:
-    """Tell every listener and raise ``InvariantBroken`` unless ``holds``.
+    """Call every listener and raise ``InvariantBroken``, unless ``holds`` is true.
 
-    ``detail`` is formatted with ``values`` only when it is needed.
+    ``detail`` is formatted with ``values`` only if the invariant is broken.
 
     >>> require(True, Invariant.IN_FLIGHT, "%s has %d", "bridge", 1)
     """
@@ -57,6 +57,6 @@
 
 
 def add_listener(listener: Listener) -> Callable[[], None]:
-    """Have ``listener`` told of a broken invariant; return what ends that."""
+    """Call ``listener`` for broken invariants; return a function that removes it."""
     _listeners.append(listener)
     return lambda: _listeners.remove(listener)
--- a/fireflyward/outcomes/_outcomes.py
+++ b/fireflyward/outcomes/_outcomes.py
@@ -1,11 +1,11 @@
-"""Outcomes are values; a request ends with exactly one of them."""
+"""The outcomes of requests, as values; each request ends with exactly one."""
 
 import enum
 from dataclasses import dataclass
 
 
 class Reason(enum.StrEnum):
-    """Why a request was not answered, in the words that callers see."""
+    """Why a request was not answered; callers receive these values."""
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Token counts of one answer; ``cached_tokens`` were not recomputed."""
+    """Token counts of one answer; ``cached_tokens`` came from the KV cache."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The caller has the whole answer, end marker included."""
+    """The caller has received the complete answer, including the end marker."""
 
     usage: Usage = Usage()
 
@@ -52,10 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request certainly never reached an upstream that could run it.
+    """The request certainly never ran on any upstream.
 
-    ``retry_after_ms`` tells the caller when asking again may help; zero means
-    that asking again unchanged will not.
+    ``retry_after_ms`` is the time after which the caller can retry the request; zero
+    means that a retry of the unchanged request cannot succeed.
     """
 
     reason: Reason
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may have run; its effect must be looked up, not repeated."""
+    """The request may have run; the caller must check its effect before a retry."""
 
     reason: Reason
     detail: str = ""
--- a/fireflyward/steps/__init__.py
+++ b/fireflyward/steps/__init__.py
@@ -1,4 +1,4 @@
-"""Named points in the work of each duty, at which tests bring faults about."""
+"""Named steps in the work of each component, at which tests inject faults."""
 
 from ._steps import Step, StepObserver, ignore_step
 
--- a/fireflyward/steps/_steps.py
+++ b/fireflyward/steps/_steps.py
@@ -1,10 +1,10 @@
-"""Steps: the code names them, and the fault matrix visits each.
+"""Steps, which the code declares and at each of which the fault matrix injects faults.
 
-A duty declares its steps as a subclass of ``Step`` and calls its observer when it
-reaches one. In the product the observer is ``ignore_step``. The fault matrix gives
-its own, which stops a stand-in, cuts a link or raises as if the process had died;
-it finds every step through ``Step.__subclasses__()``, so that a step which nobody
-thought of testing makes the matrix fail.
+A component declares its steps as a subclass of ``Step`` and calls its observer when
+it reaches a step. In production the observer is ``ignore_step``. The fault matrix
+passes its own observer, which stops a stand-in, cuts a link, or raises an exception
+to simulate a crash of the process. The matrix finds every step through
+``Step.__subclasses__()`` and fails if it does not cover a step.
 
     class PromptStep(Step):
         ROUTED = "prompt: routed"
@@ -17,11 +17,11 @@
 
 
 class Step(enum.StrEnum):
-    """Base of the steps of a duty."""
+    """Base class of the steps of a component."""
 
 
 StepObserver = Callable[[Step], None]
 
 
 def ignore_step(step: Step) -> None:
-    """Do nothing: the observer of a process that serves."""
+    """Do nothing; this is the observer in production."""
--- a/tests/invariants/test_invariants.py
+++ b/tests/invariants/test_invariants.py
@@ -7,33 +7,33 @@
 
 class RequireTests(unittest.TestCase):
     def setUp(self):
-        self.told = []
-        self.addCleanup(add_listener(self.told.append))
+        self.reported = []
+        self.addCleanup(add_listener(self.reported.append))
 
-    def broken_by(self, work):
+    def broken_by(self, check):
         with self.assertLogs("fireflyward.invariants", "CRITICAL") as logs:
             with self.assertRaises(InvariantBroken) as caught:
-                work()
+                check()
         self.assertIn(str(caught.exception), logs.output[0])
-        self.assertEqual(self.told, [caught.exception])
+        self.assertEqual(self.reported, [caught.exception])
         return caught.exception.invariant
 
-    def test_a_broken_one_is_told_logged_and_raised(self):
-        work = require, False, Invariant.ONE_END, "%s ended twice", "r"
-        found = self.broken_by(lambda: work[0](*work[1:]))
+    def test_a_broken_invariant_is_reported_logged_and_raised(self):
+        check = require, False, Invariant.ONE_END, "%s ended twice", "r"
+        found = self.broken_by(lambda: check[0](*check[1:]))
         self.assertIs(found, Invariant.ONE_END)
 
-    def test_no_handler_of_errors_goes_on_with_it(self):
+    def test_handlers_of_exception_do_not_catch_it(self):
         self.assertFalse(issubclass(InvariantBroken, Exception))
 
-    def test_leaving_more_often_than_entering(self):
+    def test_admission_that_is_left_twice(self):
         admission = Admission()
         ticket = admission.enter(0, AdmissionRequest("bridge", "clauses", 1.0, 2, 100))
         admission.leave(ticket)
         found = self.broken_by(lambda: admission.leave(ticket))
         self.assertIs(found, Invariant.IN_FLIGHT)
 
-    def test_a_way_around_the_comparison_of_bundles(self):
+    def test_older_bundle_set_without_comparing_numbers(self):
         holder = BundleHolder()
         holder.offer(Bundle("demo", 2, {}, {}, {}))
         old = Bundle("demo", 1, {}, {}, {})
