--- a/fireflyward/feeds/__init__.py
+++ b/fireflyward/feeds/__init__.py
@@ -1,7 +1,7 @@
 """Following a table of the platform's store, through gaps and outages."""
 
 from ._copy import CARRIED_MS
-from ._follower import FeedFollower, Followed
+from ._follower import FeedFollower, TableUpdate
 from ._messages import Changes, HistoryLost, Pace, Snapshot, TableRow
 from ._seen_rows import SeenRows
 from ._sharing import SharedTables
@@ -10,7 +10,7 @@
     "CARRIED_MS",
     "Changes",
     "FeedFollower",
-    "Followed",
+    "TableUpdate",
     "HistoryLost",
     "Pace",
     "SeenRows",
--- a/fireflyward/feeds/_copy.py
+++ b/fireflyward/feeds/_copy.py
@@ -2,7 +2,7 @@
 
 from fireflyward.backing import Position
 
-from ._follower import Followed
+from ._follower import TableUpdate
 from ._messages import HistoryLost, TableRow
 
 # For so long after the store came back from an older copy a row that it lacks may still
@@ -15,7 +15,7 @@
 
     >>> copy = TableCopy()
     >>> row = TableRow("k", b"1", Position(1, 4))
-    >>> copy.take(Followed((row,), True, 1_000, position=Position(1, 5)))
+    >>> copy.take(TableUpdate((row,), True, 1_000, position=Position(1, 5)))
     >>> copy.after(Position(1, 5)), copy.after(Position(1, 4))
     ((), HistoryLost())
 
@@ -44,7 +44,7 @@
         self.position: Position | None = None
         self.as_of_ms = 0
 
-    def take(self, news: Followed) -> None:
+    def take(self, news: TableUpdate) -> None:
         """Bring the copy up to date; deleted rows stay, marked as such."""
         if news.is_new_era or self.position is None:
             self._carried_until_ms = news.as_of_ms + CARRIED_MS
--- a/fireflyward/feeds/_follower.py
+++ b/fireflyward/feeds/_follower.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Followed:
+class TableUpdate:
     """News of a table, ``as_of_ms`` of this node's clock.
 
     With ``is_whole`` the rows are all there are, and whatever else was known is
@@ -86,7 +86,7 @@
         *,
         reader: TableReader,
         clock: Clock,
-        on_news: Callable[[Followed], None],
+        on_news: Callable[[TableUpdate], None],
         pace: Callable[[], Pace],
     ) -> None:
         self.as_of_ms: int | None = None
@@ -165,7 +165,7 @@
         rows = self._seen.marked(result.rows) if is_whole else result.rows
         if not is_whole:
             self._seen.note(rows)
-        news = Followed(
+        news = TableUpdate(
             rows,
             is_whole,
             as_of_ms,
@@ -182,7 +182,7 @@
         self.as_of_ms = as_of_ms
         self._on_news(news)
 
-    def _log_new_era(self, news: Followed) -> None:
+    def _log_new_era(self, news: TableUpdate) -> None:
         log.info(
             "feeds: %s read at %s: %d rows, %d of them as in an earlier era",
             self._table,
--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -14,7 +14,7 @@
 
 from ._copy import TableCopy
 from ._feeds_structs import FeedAnswer, FeedAsk, FeedRow
-from ._follower import Followed, TableReader, proven_ms
+from ._follower import TableReader, TableUpdate, proven_ms
 from ._messages import Changes, HistoryLost, Snapshot, TableRow
 
 log = logging.getLogger("fireflyward.feeds")
@@ -91,11 +91,11 @@
     def kept(
         self,
         table: str,
-        on_news: Callable[[Followed], None],
+        on_news: Callable[[TableUpdate], None],
         *,
         old_ms: int | None = None,
         carries: bool = False,
-    ) -> Callable[[Followed], None]:
+    ) -> Callable[[TableUpdate], None]:
         """Return a listener that keeps news for others before it passes them on.
 
         ``old_ms`` is for a table of which others may know older news than of most, and
@@ -106,7 +106,7 @@
             self._old_ms_by_table[table] = old_ms
         self._changed_by_table[table] = asyncio.Event()
 
-        def take(news: Followed) -> None:
+        def take(news: TableUpdate) -> None:
             copy.take(news)
             if news.rows:
                 self._changed_by_table[table].set()
@@ -178,7 +178,7 @@
         as_of_ms = proven_ms(result, asked_ms, self._clock.now_ms(), wait_ms)
         return Changes(result.rows, result.position, as_of_ms)
 
-    async def carried(self, table: str) -> list[Followed]:
+    async def carried(self, table: str) -> list[TableUpdate]:
         """Ask a few other nodes for rows of earlier eras that the store has not again.
 
         Each item is what one node knows, if it knows any.
@@ -316,11 +316,11 @@
     )
 
 
-def _changes_of(answer: Any, now_ms: int) -> Followed:
+def _changes_of(answer: Any, now_ms: int) -> TableUpdate:
     """Return an answer that came within the slack as changes of the table."""
     position = Position(answer.era, answer.version)
     as_of_ms = now_ms - answer.age_ms - _SLACK_MS
-    return Followed(_rows_of(answer), False, as_of_ms, position=position)
+    return TableUpdate(_rows_of(answer), False, as_of_ms, position=position)
 
 
 def _is_answered(copy: TableCopy, after: Position) -> bool:
--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -6,7 +6,7 @@
 from fireflyward.aggregators import Aggregators
 from fireflyward.clock import Clock, within_ms
 from fireflyward.deployment import FleetSettings
-from fireflyward.feeds import FeedFollower, Followed, Pace, SharedTables
+from fireflyward.feeds import FeedFollower, Pace, SharedTables, TableUpdate
 from fireflyward.peers import Address, PeerCodec, PeerLink
 
 from ._paces import nodes_pace
@@ -36,7 +36,7 @@
         tables: SharedTables,
         aggregators: Aggregators,
         on_nodes: Callable[[Collection[str]], None],
-        on_rows: Callable[[Followed], None],
+        on_rows: Callable[[TableUpdate], None],
         on_link: Callable[[PeerLink], Callable[[], None]],
     ) -> None:
         self.link: PeerLink | None = None
@@ -81,7 +81,7 @@
         await within_ms(self._clock, pause_ms, self._is_wanted_soon.wait())
         self._is_wanted_soon.clear()
 
-    def _on_news(self, news: Followed) -> None:
+    def _on_news(self, news: TableUpdate) -> None:
         self._register.on_news(news)
         self._on_rows(news)
 
--- a/fireflyward/fleet/_lost_rows.py
+++ b/fireflyward/fleet/_lost_rows.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from fireflyward.clock import Clock
-from fireflyward.feeds import Followed, SharedTables
+from fireflyward.feeds import SharedTables, TableUpdate
 
 log = logging.getLogger("fireflyward.feeds")
 
@@ -28,7 +28,7 @@
         *,
         tables: SharedTables,
         clock: Clock,
-        on_news: Callable[[Followed], None],
+        on_news: Callable[[TableUpdate], None],
     ) -> None:
         self._table = table
         self._tables = tables
@@ -37,7 +37,7 @@
         self._era = 0
         self._is_wanted = asyncio.Event()
 
-    def heard_by(self, news: Followed) -> None:
+    def heard_by(self, news: TableUpdate) -> None:
         """Take news of the table, and look once for what each era may lack."""
         self._on_news(news)
         if news.position.era > self._era:
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -8,7 +8,7 @@
 from fireflyward.aggregators import Aggregators
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, FleetSettings
-from fireflyward.feeds import FeedFollower, Followed, Pace, SharedTables
+from fireflyward.feeds import FeedFollower, Pace, SharedTables, TableUpdate
 from fireflyward.forwarding import Forwarder, WeightBook
 from fireflyward.http1 import ConnectionPool
 from fireflyward.leases import Gained, LeaseNews, LeaseTask, Lost
@@ -332,13 +332,13 @@
         )
 
     def _kept(
-        self, table: str, on_news: Callable[[Followed], None]
-    ) -> Callable[[Followed], None]:
+        self, table: str, on_news: Callable[[TableUpdate], None]
+    ) -> Callable[[TableUpdate], None]:
         """Keep a table's news for others; the last one needed opens the gate."""
         is_operators = table == CONFIGURATION_TABLE
         take = self._tables.kept(table, on_news, carries=is_operators)
 
-        def take_and_note(news: Followed) -> None:
+        def take_and_note(news: TableUpdate) -> None:
             # An aggregator may tell of a new era before the store itself does.
             self._store.eras.note(news.position.era)
             take(news)
--- a/fireflyward/fleet/_peers.py
+++ b/fireflyward/fleet/_peers.py
@@ -7,7 +7,7 @@
 
 from fireflyward.aggregators import Member
 from fireflyward.backing import Committed, Position
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.platform import StoreClient
 from fireflyward.rendezvous import rendezvous_rank
 
@@ -119,7 +119,7 @@
         self._own = own
         self._first_by_duty.clear()
 
-    def on_news(self, news: Followed) -> None:
+    def on_news(self, news: TableUpdate) -> None:
         """Take what changed in the table."""
         self._era = news.position.era
         if news.is_whole:
--- a/fireflyward/fleet/_start_gate.py
+++ b/fireflyward/fleet/_start_gate.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from fireflyward.clock import Clock, within_ms
-from fireflyward.feeds import Followed
+from fireflyward.feeds import TableUpdate
 
 # Tables are read a tenth of a second after a node listens; one that needs longer does
 # not know for how long, and its callers do better elsewhere.
@@ -26,11 +26,11 @@
         self._is_open = asyncio.Event()
 
     def opened_by(
-        self, take: Callable[[Followed], None], *, is_ready: Callable[[], bool]
-    ) -> Callable[[Followed], None]:
+        self, take: Callable[[TableUpdate], None], *, is_ready: Callable[[], bool]
+    ) -> Callable[[TableUpdate], None]:
         """Return a listener that opens the gate once its news make this node ready."""
 
-        def take_and_look(news: Followed) -> None:
+        def take_and_look(news: TableUpdate) -> None:
             take(news)
             if is_ready():
                 self.open()
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -6,7 +6,7 @@
 
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, ReplicaEntry
-from fireflyward.feeds import CARRIED_MS, Followed, TableRow
+from fireflyward.feeds import CARRIED_MS, TableRow, TableUpdate
 from fireflyward.forwarding import WeightBook
 from fireflyward.http1 import ConnectionPool
 from fireflyward.platform import (
@@ -51,7 +51,7 @@
         self._carried: set[str] = set()
         self._carried_until_ms = 0
 
-    def on_news(self, news: Followed) -> None:
+    def on_news(self, news: TableUpdate) -> None:
         """Put newer rows in force and note how fresh the configuration is."""
         for row in news.rows:
             if not row.is_deleted:
@@ -66,7 +66,7 @@
         elif row.key.startswith(WEIGHTS_PREFIX):
             self._take_target(row, at_start=at_start)
 
-    def _take_evacuations(self, news: Followed) -> None:
+    def _take_evacuations(self, news: TableUpdate) -> None:
         """Stop or resume sending to failure domains as their rows come and go."""
         before = self._directory.evacuated
         now_ms = self._clock.now_ms()
@@ -146,7 +146,7 @@
         self._outage_end_ms: int | None = None
         self.is_known = False
 
-    def on_news(self, news: Followed) -> None:
+    def on_news(self, news: TableUpdate) -> None:
         """Bring the directory up to date."""
         now_ms = self._clock.now_ms()
         if news.away_ms or news.is_new_era:
--- a/fireflyward/quarantine/_rows.py
+++ b/fireflyward/quarantine/_rows.py
@@ -13,7 +13,7 @@
     Uncertain,
 )
 from fireflyward.clock import Clock
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.platform import StoreClient
 
 from ._messages import SuspectRow, Trial, TrialRow
@@ -64,7 +64,7 @@
         self._era = 0
         self._trial_until_ms = 0
 
-    def on_news(self, news: Followed) -> list[str]:
+    def on_news(self, news: TableUpdate) -> list[str]:
         """Take what changed in the table; return whose rows this node writes again."""
         self._era = max(self._era, news.position.era)
         returned = []
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from fireflyward.clock import Clock, within_ms
-from fireflyward.feeds import Followed
+from fireflyward.feeds import TableUpdate
 from fireflyward.http1 import ConnectionPool, NotConnected
 from fireflyward.peers import Address, PeerLink
 from fireflyward.platform import StoreClient
@@ -95,7 +95,7 @@
         """Tell and hear of ends over a link from now on."""
         self._news.use(link)
 
-    def on_news(self, news: Followed) -> None:
+    def on_news(self, news: TableUpdate) -> None:
         """Take what changed in the table."""
         to_write_again = self._rows.on_news(news)
         if to_write_again:
--- a/tests/feeds/test_eras.py
+++ b/tests/feeds/test_eras.py
@@ -7,11 +7,11 @@
 from fireflyward.clock import ManualClock
 from fireflyward.feeds import (
     Changes,
-    Followed,
     HistoryLost,
     SeenRows,
     Snapshot,
     TableRow,
+    TableUpdate,
 )
 from fireflyward.feeds._copy import TableCopy
 from tests.positions import at
@@ -201,7 +201,7 @@
         self.take(deleted("l", 9), at=at(9, 1), is_whole=False)
 
     def take(self, *rows, at, is_whole=True, as_of_ms=0, is_new_era=False):
-        news = Followed(rows, is_whole, as_of_ms, position=at, is_new_era=is_new_era)
+        news = TableUpdate(rows, is_whole, as_of_ms, position=at, is_new_era=is_new_era)
         self.copy.take(news)
 
     @property
--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -2,7 +2,7 @@
 
 import json
 
-from fireflyward.feeds import Followed
+from fireflyward.feeds import TableUpdate
 from fireflyward.reach._reach_structs import SilenceNews
 from tests.platform_standins import StoreManner
 from tests.positions import at
@@ -107,7 +107,7 @@
 
     async def test_an_era_that_an_aggregator_tells_of_counts_for_writes(self):
         """Guards against conditions of an earlier era that are sent meanwhile."""
-        news = Followed((), False, 0, position=at(1, 5))
+        news = TableUpdate((), False, 0, position=at(1, 5))
         self.node._followers[0]._on_news(news)
         self.assertEqual(self.node._store.eras.latest, 5)
 
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from fireflyward.backing import Committed
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.fleet._peers import NodeRow, PeerRegister
 from tests.positions import at
 
@@ -31,7 +31,7 @@
     found = PeerRegister(store or _Store(), name)
     if own is not None:
         found.announce(own)
-    found.on_news(Followed(tuple(rows), True, 0))
+    found.on_news(TableUpdate(tuple(rows), True, 0))
     return found
 
 
@@ -134,7 +134,7 @@
         found = register("n0", [KEY, listed("n1", row)])
         with self.assertLogs("fireflyward.peers", "ERROR"):
             news = (TableRow("node/n1", b"no row", at(3)),)
-            found.on_news(Followed(news, False, 0))
+            found.on_news(TableUpdate(news, False, 0))
         self.assertEqual(found.others(), [])
 
     async def test_a_key_that_no_node_drew_is_replaced(self):
@@ -165,7 +165,7 @@
         self.found = register("n0", table, own=self.own, store=self.store)
 
     def come_back(self, *rows):
-        news = Followed(rows, True, 0, position=at(9, 2), is_new_era=True)
+        news = TableUpdate(rows, True, 0, position=at(9, 2), is_new_era=True)
         self.found.on_news(news)
 
     async def test_the_own_row_is_written_again(self):
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -8,7 +8,7 @@
 from fireflyward.backing import Committed, Conflict, Unavailable, Uncertain
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, Evacuation, ReplicaEntry, WeightTarget
-from fireflyward.feeds import Changes, Followed, HistoryLost, Snapshot, TableRow
+from fireflyward.feeds import Changes, HistoryLost, Snapshot, TableRow, TableUpdate
 from fireflyward.fleet._peers import PeerRegister
 from fireflyward.fleet._views import OperatorView, ReplicaView
 from fireflyward.forwarding import WeightBook
@@ -131,7 +131,7 @@
     @fuzz(60)
     @given(st.lists(st.tuples(names, bodies()), max_size=4), st.booleans())
     def test_what_follows_tables_goes_on(self, rows, is_whole):
-        news = Followed(
+        news = TableUpdate(
             tuple(
                 TableRow(f"{prefix}{key}", value, at(number))
                 for number, (key, value) in enumerate(rows)
@@ -170,7 +170,7 @@
         suspects, clock = Suspects(), Clock()
         rows = SuspectRows(suspects, store=None, table="t", node="n", clock=clock)
         found = (TableRow("suspect/a", value, at(1)), TableRow("trial", value, at(1)))
-        rows.on_news(Followed(found, False, 0, position=at(1)))
+        rows.on_news(TableUpdate(found, False, 0, position=at(1)))
         verdict = suspects.verdict(clock.now_ms(), "a")
         self.assertIsInstance(verdict, Free | Held | OnTrial)
         if suspects.ends_of("a"):
--- a/tests/quarantine/fakes.py
+++ b/tests/quarantine/fakes.py
@@ -1,7 +1,7 @@
 """A table, a link and a pool that do as they are told."""
 
 from fireflyward.backing import Committed, Conflict, Position, Unavailable
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.http1 import NotConnected
 
 
@@ -36,7 +36,7 @@
 
     def whole(self):
         rows = tuple(self.row_by_key.values())
-        return Followed(rows, True, 0, position=self.position)
+        return TableUpdate(rows, True, 0, position=self.position)
 
     def _version_of(self, key):
         row = self.row_by_key.get(key)
--- a/tests/quarantine/test_older_copy.py
+++ b/tests/quarantine/test_older_copy.py
@@ -3,7 +3,7 @@
 import json
 from dataclasses import replace
 
-from fireflyward.feeds import Followed
+from fireflyward.feeds import TableUpdate
 from fireflyward.quarantine import Free, Held, Trial
 from tests.positions import at
 
@@ -24,7 +24,7 @@
         copied = tuple(replace(row, is_copied=True) for row in rows)
         position = self.table.position
         node.quarantine.on_news(
-            Followed(copied, True, 0, position=position, is_new_era=True)
+            TableUpdate(copied, True, 0, position=position, is_new_era=True)
         )
 
     async def test_a_request_whose_row_is_lost_is_held_on(self):
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from fireflyward.clock import ManualClock
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.quarantine import Free, Held, Quarantine, SuspectRow, Trial
 from fireflyward.replicas import ReplicaDirectory
 from tests.positions import at
@@ -285,9 +285,11 @@
         for version, trials in ((5, 2), (3, 0)):
             row = SuspectRow((1, 2, 3), trials)
             news = (TableRow("suspect/a", msgspec.json.encode(row), at(version)),)
-            self.node.quarantine.on_news(Followed(news, False, 0, position=at(version)))
+            self.node.quarantine.on_news(
+                TableUpdate(news, False, 0, position=at(version))
+            )
         self.node.quarantine.on_news(
-            Followed(
+            TableUpdate(
                 (TableRow("suspect/b", b'{"ends": [1, 2, 3]}', at(6)),),
                 False,
                 0,
