--- a/fireflyward/leases/_lease.py
+++ b/fireflyward/leases/_lease.py
@@ -21,8 +21,8 @@
     ReadRow,
     Released,
     Renewed,
+    RowReceived,
     RowSeen,
-    RowTold,
     Tick,
     WriteAnswered,
     WriteRow,
@@ -162,7 +162,7 @@
         return [self._acquire(now_ms)]
 
     @_on.register
-    def _(self, message: RowTold, now_ms: int) -> list[Action]:
+    def _(self, message: RowReceived, now_ms: int) -> list[Action]:
         """Note a newer row, to be counted from now; acquire nothing by hearsay.
 
         A row that comes late is older than it seems, so the lease is taken later
--- a/fireflyward/leases/_messages.py
+++ b/fireflyward/leases/_messages.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RowTold:
+class RowReceived:
     """The holder says that its row was written there.
 
     It may be late, so it proves only that the row was written before it came.
@@ -138,5 +138,5 @@
     """The table says that the lease is free for the next holder."""
 
 
-Message = Tick | RowSeen | RowTold | WriteAnswered | HandOver
+Message = Tick | RowSeen | RowReceived | WriteAnswered | HandOver
 Action = ReadRow | WriteRow | Gained | Renewed | Lost | Released
--- a/fireflyward/leases/_task.py
+++ b/fireflyward/leases/_task.py
@@ -24,8 +24,8 @@
     ReadRow,
     Released,
     Renewed,
+    RowReceived,
     RowSeen,
-    RowTold,
     Tick,
     WriteAnswered,
     WriteRow,
@@ -133,7 +133,7 @@
             self._wanted_fresh.set()
             return
         self._told_ms = self._clock.now_ms()
-        await self._take(RowTold(row, position))
+        await self._take(RowReceived(row, position))
 
     async def step(self) -> None:
         """Do what is due now: look, acquire, renew or settle."""
--- a/tests/leases/test_eras.py
+++ b/tests/leases/test_eras.py
@@ -12,8 +12,8 @@
     HandOver,
     Lease,
     Lost,
+    RowReceived,
     RowSeen,
-    RowTold,
     Tick,
     WriteAnswered,
     WriteRow,
@@ -143,7 +143,7 @@
         row, position = self.first.row
         self.table.come_back(0)
         drive(self.second, self.table, 9_460, Tick())
-        self.second.decide(12_000, RowTold(row, position))
+        self.second.decide(12_000, RowReceived(row, position))
         (gained,) = drive(self.second, self.table, 9_460 + 9_450, Tick())
         self.assertIsInstance(gained, Gained)
 
--- a/tests/leases/test_lease.py
+++ b/tests/leases/test_lease.py
@@ -14,8 +14,8 @@
     Lost,
     ReadRow,
     Released,
+    RowReceived,
     RowSeen,
-    RowTold,
     Tick,
     WriteAnswered,
     WriteRow,
@@ -300,16 +300,16 @@
         lease.decide(0, Tick())
         lease.decide(0, RowSeen(Missing("lease/x")))
         lease.decide(0, WriteAnswered(Committed({"lease/x": 9})))
-        lease.decide(10, RowTold(LeaseRow("b", "old", 7), at(8)))
-        lease.decide(20, RowTold(LeaseRow("b", "new", 7), at(12)))
+        lease.decide(10, RowReceived(LeaseRow("b", "old", 7), at(8)))
+        lease.decide(20, RowReceived(LeaseRow("b", "new", 7), at(12)))
         (renewal,) = lease.decide(1_000, Tick())
         self.assertEqual((renewal.expected, renewal.row.holder), (at(9), "a"))
 
     def test_an_older_row_does_not_begin_the_wait_again(self):
         lease = Lease(holder="a", lease_ms=3_000)
         row = LeaseRow("b", "claim", 7)
-        lease.decide(0, RowTold(row, at(9)))
-        lease.decide(2_000, RowTold(row, at(8)))
+        lease.decide(0, RowReceived(row, at(9)))
+        lease.decide(2_000, RowReceived(row, at(8)))
         held = RowSeen(Row("lease/x", msgspec.json.encode(row), 9))
         self.assertEqual(lease.decide(3_149, held), [])
         (write,) = lease.decide(3_150, held)
