--- a/fireflyward/feeds/_follower.py
+++ b/fireflyward/feeds/_follower.py
@@ -70,7 +70,7 @@
 
 
 class FeedFollower:
-    """Reads a table once and then follows it; ``on_news`` hears all of it.
+    """Reads a table once and then follows it; ``on_update`` hears all of it.
 
     Each answer proves how the table stood when the call was sent, which is the
     age that callers of ``as_of_ms`` may rely on: an answer that was held up on the
@@ -86,14 +86,14 @@
         *,
         reader: TableReader,
         clock: Clock,
-        on_news: Callable[[TableUpdate], None],
+        on_update: Callable[[TableUpdate], None],
         pace: Callable[[], Pace],
     ) -> None:
         self.as_of_ms: int | None = None
         self._table = table
         self._reader = reader
         self._clock = clock
-        self._on_news = on_news
+        self._on_news = on_update
         self._pace = pace
         self._position = Position(0, -1)
         self._has_read = False
--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -91,7 +91,7 @@
     def kept(
         self,
         table: str,
-        on_news: Callable[[TableUpdate], None],
+        on_update: Callable[[TableUpdate], None],
         *,
         old_ms: int | None = None,
         carries: bool = False,
@@ -111,7 +111,7 @@
             if news.rows:
                 self._changed_by_table[table].set()
                 self._changed_by_table[table] = asyncio.Event()
-            on_news(news)
+            on_update(news)
 
         return take
 
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -156,14 +156,14 @@
                 CONFIGURATION_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._kept(CONFIGURATION_TABLE, self._lost_rows.heard_by),
+                on_update=self._kept(CONFIGURATION_TABLE, self._lost_rows.heard_by),
                 pace=self._configuration_pace,
             ),
             FeedFollower(
                 REPLICA_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._kept(REPLICA_TABLE, self._replicas.on_news),
+                on_update=self._kept(REPLICA_TABLE, self._replicas.on_news),
                 pace=self._replicas_pace,
             ),
         )
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -48,7 +48,7 @@
             "t",
             reader=self.reader,
             clock=self.clock,
-            on_news=self.news.append,
+            on_update=self.news.append,
             pace=lambda: Pace(100),
         )
 
--- a/tests/feeds/test_sharing.py
+++ b/tests/feeds/test_sharing.py
@@ -232,7 +232,7 @@
         )
         take = tables.kept("t", lambda news: None)
         follower = FeedFollower(
-            "t", reader=tables, clock=clock, on_news=take, pace=lambda: Pace(0)
+            "t", reader=tables, clock=clock, on_update=take, pace=lambda: Pace(0)
         )
         await follower.step()
         copy = tables._copy_by_table["t"]
