--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -88,7 +88,7 @@
         self._link = link
         link.register(_KIND, FeedAsk, self._answer)
 
-    def kept(
+    def caching_listener(
         self,
         table: str,
         on_update: Callable[[TableUpdate], None],
--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -54,7 +54,9 @@
             NODE_TABLE,
             reader=tables,
             clock=clock,
-            on_update=tables.kept(NODE_TABLE, self._on_news, old_ms=OLD_LIST_MS),
+            on_update=tables.caching_listener(
+                NODE_TABLE, self._on_news, old_ms=OLD_LIST_MS
+            ),
             pace=self._pace,
         )
 
--- a/tests/feeds/nodes.py
+++ b/tests/feeds/nodes.py
@@ -92,7 +92,7 @@
             "t",
             reader=self.tables,
             clock=clock,
-            on_update=self.tables.kept("t", self.news.append),
+            on_update=self.tables.caching_listener("t", self.news.append),
             pace=lambda: Pace(0),
         )
 
--- a/tests/feeds/test_sharing.py
+++ b/tests/feeds/test_sharing.py
@@ -230,7 +230,7 @@
         tables = SharedTables(
             store, clock=clock, aggregators=Aggregators("n0", "a", link_mbps=100)
         )
-        take = tables.kept("t", lambda news: None)
+        take = tables.caching_listener("t", lambda news: None)
         follower = FeedFollower(
             "t", reader=tables, clock=clock, on_update=take, pace=lambda: Pace(0)
         )
