--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -178,7 +178,7 @@
         as_of_ms = proven_ms(result, asked_ms, self._clock.now_ms(), wait_ms)
         return Changes(result.rows, result.position, as_of_ms)
 
-    async def carried(self, table: str) -> list[TableUpdate]:
+    async def fetch_retained_rows(self, table: str) -> list[TableUpdate]:
         """Ask a few other nodes for rows of earlier eras that the store has not again.
 
         Each item is what one node knows, if it knows any.
--- a/fireflyward/fleet/_lost_rows.py
+++ b/fireflyward/fleet/_lost_rows.py
@@ -54,7 +54,7 @@
                 await self._ask()
 
     async def _ask(self) -> None:
-        for news in await self._tables.carried(self._table):
+        for news in await self._tables.fetch_retained_rows(self._table):
             keys = ", ".join(row.key for row in news.rows)
             log.info("feeds: %s has rows that the store lacks: %s", self._table, keys)
             self._on_news(news)
