--- a/fireflyward/feeds/__init__.py
+++ b/fireflyward/feeds/__init__.py
@@ -1,13 +1,13 @@
 """Following a table of the platform's store, through gaps and outages."""
 
-from ._copy import CARRIED_MS
+from ._copy import RETENTION_MS
 from ._follower import FeedFollower, TableUpdate
 from ._messages import Changes, HistoryLost, Pace, Snapshot, TableRow
 from ._seen_rows import SeenRows
 from ._sharing import SharedTables
 
 __all__ = [
-    "CARRIED_MS",
+    "RETENTION_MS",
     "Changes",
     "FeedFollower",
     "TableUpdate",
--- a/fireflyward/feeds/_copy.py
+++ b/fireflyward/feeds/_copy.py
@@ -7,7 +7,7 @@
 
 # For so long after the store came back from an older copy a row that it lacks may still
 # be written again; whatever is not there by then was removed before it was read.
-CARRIED_MS = 10_000
+RETENTION_MS = 10_000
 
 
 class TableCopy:
@@ -47,7 +47,7 @@
     def take(self, news: TableUpdate) -> None:
         """Bring the copy up to date; deleted rows stay, marked as such."""
         if news.is_new_era or self.position is None:
-            self._carried_until_ms = news.as_of_ms + CARRIED_MS
+            self._carried_until_ms = news.as_of_ms + RETENTION_MS
         if news.is_whole:
             # What was deleted in the gap before is not known, so nobody who was
             # behind it may go on from here.
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -6,7 +6,7 @@
 
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, ReplicaEntry
-from fireflyward.feeds import CARRIED_MS, TableRow, TableUpdate
+from fireflyward.feeds import RETENTION_MS, TableRow, TableUpdate
 from fireflyward.forwarding import WeightBook
 from fireflyward.http1 import ConnectionPool
 from fireflyward.platform import (
@@ -72,7 +72,7 @@
         now_ms = self._clock.now_ms()
         if news.is_new_era:
             self._carried = set(before)
-            self._carried_until_ms = now_ms + CARRIED_MS
+            self._carried_until_ms = now_ms + RETENTION_MS
         # Of a whole table, what has no row any more was taken back unseen.
         evacuated = self._carried & before if news.is_whole else set(before)
         for row in news.rows:
@@ -89,7 +89,7 @@
                 self._carried.discard(domain)
             else:
                 self._carried.add(domain)
-                self._carried_until_ms = now_ms + CARRIED_MS
+                self._carried_until_ms = now_ms + RETENTION_MS
             if row.is_deleted:
                 continue
             if decode_evacuation(domain, row.value) is None:
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -154,7 +154,7 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         for module in ("fireflyward.fleet._views", "fireflyward.feeds._copy"):
-            patched = mock.patch(f"{module}.CARRIED_MS", _CARRIED_MS)
+            patched = mock.patch(f"{module}.RETENTION_MS", _CARRIED_MS)
             patched.start()
             self.addCleanup(patched.stop)
 
