--- a/fireflyward/feeds/_copy.py
+++ b/fireflyward/feeds/_copy.py
@@ -19,7 +19,7 @@
     >>> copy.after(Position(1, 5)), copy.after(Position(1, 4))
     ((), HistoryLost())
 
-    With ``carries`` rows of an earlier era hold until they are written again, or could
+    With ``retains_rows`` rows of an earlier era hold until they are written again, or could
     have been, for nodes that start meanwhile: of a table whose writers write again what
     an older copy of the store lacks, and whose rows do not lapse.
     """
@@ -34,8 +34,8 @@
         "position",
     )
 
-    def __init__(self, *, carries: bool = False) -> None:
-        self._carries = carries
+    def __init__(self, *, retains_rows: bool = False) -> None:
+        self._carries = retains_rows
         self._carried_until_ms = 0
         self._row_by_key: dict[str, TableRow] = {}
         # Rows of the store that are older than what is carried.
--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -94,14 +94,14 @@
         on_update: Callable[[TableUpdate], None],
         *,
         old_ms: int | None = None,
-        carries: bool = False,
+        retains_rows: bool = False,
     ) -> Callable[[TableUpdate], None]:
         """Return a listener that keeps news for others before it passes them on.
 
         ``old_ms`` is for a table of which others may know older news than of most, and
-        ``carries`` for one whose rows hold through an older copy of the store.
+        ``retains_rows`` for one whose rows hold through an older copy of the store.
         """
-        copy = self._copy_by_table[table] = TableCopy(carries=carries)
+        copy = self._copy_by_table[table] = TableCopy(retains_rows=retains_rows)
         if old_ms is not None:
             self._old_ms_by_table[table] = old_ms
         self._changed_by_table[table] = asyncio.Event()
--- a/tests/feeds/test_eras.py
+++ b/tests/feeds/test_eras.py
@@ -195,7 +195,7 @@
     """What nodes that start are told while operators have not written again."""
 
     def setUp(self):
-        self.copy = TableCopy(carries=True)
+        self.copy = TableCopy(retains_rows=True)
         self.take(row(b"old", 5, 1), row(b"gone", 6, 1, key="l"), at=at(6, 1))
         self.take(row(b"new", 8, 1), at=at(8, 1), is_whole=False)
         self.take(deleted("l", 9), at=at(9, 1), is_whole=False)
