--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -116,7 +116,7 @@
         return take
 
     @property
-    def is_for_others(self) -> bool:
+    def serves_other_nodes(self) -> bool:
         """Tell whether other nodes read tables through this one."""
         return (
             self._aggregators.are_needed
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -321,14 +321,14 @@
     def _configuration_pace(self) -> Pace:
         return configuration_pace(
             is_shared=self._aggregators.are_needed,
-            is_for_others=self._tables.is_for_others,
+            serves_other_nodes=self._tables.serves_other_nodes,
         )
 
     def _replicas_pace(self) -> Pace:
         return replicas_pace(
             self._settings.bounds.drain_ms,
             is_shared=self._aggregators.are_needed,
-            is_for_others=self._tables.is_for_others,
+            serves_other_nodes=self._tables.serves_other_nodes,
         )
 
     def _kept(
--- a/fireflyward/fleet/_paces.py
+++ b/fireflyward/fleet/_paces.py
@@ -28,28 +28,30 @@
 _NODES_AT_START = Pace(wait_ms=300, pause_ms=250)
 
 
-def configuration_pace(*, is_shared: bool, is_for_others: bool) -> Pace:
+def configuration_pace(*, is_shared: bool, serves_other_nodes: bool) -> Pace:
     """Return how the configuration is read: alone, from or as an aggregator.
 
-    >>> configuration_pace(is_shared=False, is_for_others=False)
+    >>> configuration_pace(is_shared=False, serves_other_nodes=False)
     Pace(wait_ms=1900, pause_ms=0)
     """
-    if is_for_others:
+    if serves_other_nodes:
         return _AGGREGATOR_CONFIGURATION
     return _SHARED_CONFIGURATION if is_shared else _CONFIGURATION
 
 
-def replicas_pace(drain_ms: int, *, is_shared: bool, is_for_others: bool) -> Pace:
+def replicas_pace(drain_ms: int, *, is_shared: bool, serves_other_nodes: bool) -> Pace:
     """Return how the list of replicas is read.
 
-    >>> replicas_pace(2_000, is_shared=False, is_for_others=False)
+    >>> replicas_pace(2_000, is_shared=False, serves_other_nodes=False)
     Pace(wait_ms=900, pause_ms=200)
     """
     wait_share, pause_share = _REPLICAS_WAIT_SHARE, _REPLICAS_PAUSE_SHARE
     if is_shared:
         wait_share = _SHARED_REPLICAS_WAIT_SHARE
         pause_share = _SHARED_REPLICAS_PAUSE_SHARE
-    pace = configuration_pace(is_shared=is_shared, is_for_others=is_for_others)
+    pace = configuration_pace(
+        is_shared=is_shared, serves_other_nodes=serves_other_nodes
+    )
     wait_ms = min(pace.wait_ms, int(drain_ms * wait_share))
     return Pace(wait_ms, int(drain_ms * pause_share))
 
--- a/tests/feeds/test_eras.py
+++ b/tests/feeds/test_eras.py
@@ -152,7 +152,7 @@
         for name in domains:
             network[name] = Node(name, network, self.store, self.clock, domains)
         nodes = list(network.values())
-        (self.first,) = [node for node in nodes if node.tables.is_for_others]
+        (self.first,) = [node for node in nodes if node.tables.serves_other_nodes]
         self.other = next(node for node in nodes if node is not self.first)
 
     def come_back(self):
--- a/tests/feeds/test_root.py
+++ b/tests/feeds/test_root.py
@@ -19,7 +19,7 @@
             self.network[name] = Node(
                 name, self.network, self.store, self.clock, DOMAINS
             )
-        aggregators = [n for n in self.network.values() if n.tables.is_for_others]
+        aggregators = [n for n in self.network.values() if n.tables.serves_other_nodes]
         (self.root,) = [n for n in aggregators if n.aggregators.root(0) is None]
         self.other = next(n for n in aggregators if n is not self.root)
         self.leaf = next(
--- a/tests/feeds/test_sharing.py
+++ b/tests/feeds/test_sharing.py
@@ -29,7 +29,7 @@
                 name, self.network, self.store, self.clock, DOMAINS
             )
         nodes = list(self.network.values())
-        (self.first,) = [node for node in nodes if node.tables.is_for_others]
+        (self.first,) = [node for node in nodes if node.tables.serves_other_nodes]
         self.other = next(node for node in nodes if node is not self.first)
 
     async def begin(self):
--- a/tests/fleet/test_paces.py
+++ b/tests/fleet/test_paces.py
@@ -8,8 +8,8 @@
 
 class PaceTests(unittest.TestCase):
     def test_an_aggregator_reads_more_often_than_its_neighbours_ask(self):
-        own = configuration_pace(is_shared=True, is_for_others=True)
-        theirs = configuration_pace(is_shared=True, is_for_others=False)
+        own = configuration_pace(is_shared=True, serves_other_nodes=True)
+        theirs = configuration_pace(is_shared=True, serves_other_nodes=False)
         self.assertLess(own.wait_ms, theirs.wait_ms)
 
     def test_one_lost_answer_on_the_way_leaves_time_within_the_drain_time(self):
@@ -20,12 +20,12 @@
         that its wait and the feed's slack pass first.
         """
         for drain_ms in (2_000, 3_000, 4_000):
-            for is_shared, is_for_others in ((True, True), (True, False)):
+            for is_shared, serves_other_nodes in ((True, True), (True, False)):
                 pace = replicas_pace(
-                    drain_ms, is_shared=is_shared, is_for_others=is_for_others
+                    drain_ms, is_shared=is_shared, serves_other_nodes=serves_other_nodes
                 )
                 lost_ms = pace.wait_ms + _SLACK_MS
                 self.assertLess(lost_ms + 3 * pace.pause_ms, drain_ms)
-            alone = replicas_pace(drain_ms, is_shared=False, is_for_others=False)
+            alone = replicas_pace(drain_ms, is_shared=False, serves_other_nodes=False)
             lost_ms = alone.wait_ms + _SLACK_MS
             self.assertLess(lost_ms + alone.pause_ms, drain_ms)
