--- a/fireflyward/feeds/_copy.py
+++ b/fireflyward/feeds/_copy.py
@@ -56,7 +56,7 @@
             self._since = news.position
         for row in news.rows:
             known = self._row_by_key.get(row.key)
-            if row.is_copied and known is not None and known.value != row.value:
+            if row.is_restored and known is not None and known.value != row.value:
                 self._behind_by_key[row.key] = row
             else:
                 self._behind_by_key.pop(row.key, None)
--- a/fireflyward/feeds/_follower.py
+++ b/fireflyward/feeds/_follower.py
@@ -188,7 +188,7 @@
             self._table,
             news.position,
             len(news.rows),
-            sum(row.is_copied for row in news.rows),
+            sum(row.is_restored for row in news.rows),
         )
 
     def _read_anew(self) -> bool:
--- a/fireflyward/feeds/_messages.py
+++ b/fireflyward/feeds/_messages.py
@@ -9,7 +9,7 @@
 class TableRow:
     """One row, written at ``position``; a deleted one has no value.
 
-    With ``is_copied`` it was known in an earlier era: the store came back from a copy
+    With ``is_restored`` it was known in an earlier era: the store came back from a copy
     that has it, and what was known to come after it holds.
     """
 
@@ -17,7 +17,7 @@
     value: bytes
     position: Position
     is_deleted: bool = False
-    is_copied: bool = False
+    is_restored: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/fireflyward/feeds/_seen_rows.py
+++ b/fireflyward/feeds/_seen_rows.py
@@ -30,9 +30,9 @@
 
     >>> seen = SeenRows()
     >>> row = TableRow("k", b"1", Position(1, 7))
-    >>> [seen.marked([row])[0].is_copied, seen.marked([row])[0].is_copied]
+    >>> [seen.marked([row])[0].is_restored, seen.marked([row])[0].is_restored]
     [False, False]
-    >>> [seen.marked([TableRow("k", b"1", Position(2, 7))])[0].is_copied]
+    >>> [seen.marked([TableRow("k", b"1", Position(2, 7))])[0].is_restored]
     [True]
     """
 
@@ -62,7 +62,7 @@
         if same is None:
             writes.append(write)
             return row
-        return replace(row, is_copied=same.position.era < write.position.era)
+        return replace(row, is_restored=same.position.era < write.position.era)
 
     def _writes_of(self, key: str) -> deque[_Write]:
         writes = self._writes_by_key.setdefault(key, deque(maxlen=_MOST_WRITES))
--- a/fireflyward/fleet/_peers.py
+++ b/fireflyward/fleet/_peers.py
@@ -176,7 +176,7 @@
         name = row.key.removeprefix(_NODE_PREFIX)
         if name == row.key:
             return
-        if row.is_copied and name != self._name and name in self._row_by_name:
+        if row.is_restored and name != self._name and name in self._row_by_name:
             # What that node wrote later was lost, and comes again.
             return
         self._row_by_name.pop(name, None)
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -79,7 +79,7 @@
             if not row.key.startswith(EVACUATION_PREFIX):
                 continue
             domain = row.key.removeprefix(EVACUATION_PREFIX)
-            if row.is_copied:
+            if row.is_restored:
                 if domain in before:
                     evacuated.add(domain)
                     self._carried.discard(domain)
@@ -151,8 +151,8 @@
         now_ms = self._clock.now_ms()
         if news.away_ms or news.is_new_era:
             self._outage_end_ms = now_ms
-        found = _sorted_out(row for row in news.rows if not row.is_copied)
-        copied = _sorted_out(row for row in news.rows if row.is_copied).entries
+        found = _sorted_out(row for row in news.rows if not row.is_restored)
+        copied = _sorted_out(row for row in news.rows if row.is_restored).entries
         if news.is_new_era:
             # This node may not have seen the row of before the replica said so.
             copied += [entry for entry in found.entries if self._unsays_leaving(entry)]
--- a/fireflyward/quarantine/_rows.py
+++ b/fireflyward/quarantine/_rows.py
@@ -85,7 +85,7 @@
                 continue
             if row.is_deleted:
                 self._on_removed(row.key)
-            elif row.is_copied:
+            elif row.is_restored:
                 self._position_by_key[row.key] = row.position
                 returned += self._to_write_again(row.key)
             else:
--- a/tests/feeds/test_eras.py
+++ b/tests/feeds/test_eras.py
@@ -107,38 +107,38 @@
         self.seen.marked([row(b"1", 5, 1)])
         self.seen.note([row(b"2", 8, 1)])
 
-    def is_copied(self, *found):
+    def is_restored(self, *found):
         (marked,) = self.seen.marked([row(*found)])
-        return marked.is_copied
+        return marked.is_restored
 
     def test_any_former_row_of_the_key_is_one_of_the_copy(self):
-        self.assertTrue(self.is_copied(b"1", 5, 2))
-        self.assertTrue(self.is_copied(b"2", 8, 2))
+        self.assertTrue(self.is_restored(b"1", 5, 2))
+        self.assertTrue(self.is_restored(b"2", 8, 2))
 
     def test_a_row_with_a_version_given_out_again_is_news(self):
-        self.assertFalse(self.is_copied(b"3", 8, 2))
+        self.assertFalse(self.is_restored(b"3", 8, 2))
 
     def test_a_row_that_was_written_again_is_news(self):
-        self.assertFalse(self.is_copied(b"2", 6, 2))
+        self.assertFalse(self.is_restored(b"2", 6, 2))
 
     def test_a_row_of_the_copy_stays_one_when_it_is_read_again(self):
         """Guards against a second reading of the same era that takes it for news."""
-        self.is_copied(b"1", 5, 2)
-        self.assertTrue(self.is_copied(b"1", 5, 2))
+        self.is_restored(b"1", 5, 2)
+        self.assertTrue(self.is_restored(b"1", 5, 2))
 
     def test_a_row_is_known_from_two_eras_before(self):
-        self.is_copied(b"4", 6, 2)
-        self.assertTrue(self.is_copied(b"1", 5, 3))
-        self.assertTrue(self.is_copied(b"4", 6, 3))
+        self.is_restored(b"4", 6, 2)
+        self.assertTrue(self.is_restored(b"1", 5, 3))
+        self.assertTrue(self.is_restored(b"4", 6, 3))
 
     def test_a_change_that_is_given_its_version_again_is_news(self):
         """Guards against what is written again and taken for the copy's for good."""
         self.seen.note([row(b"2", 8, 2)])
-        self.assertFalse(self.is_copied(b"2", 8, 2))
-        self.assertTrue(self.is_copied(b"2", 8, 3))
+        self.assertFalse(self.is_restored(b"2", 8, 2))
+        self.assertTrue(self.is_restored(b"2", 8, 3))
 
     def test_within_an_era_nothing_is_of_a_copy(self):
-        self.assertFalse(self.is_copied(b"2", 8, 1))
+        self.assertFalse(self.is_restored(b"2", 8, 1))
 
 
 class SharedEraTests(unittest.IsolatedAsyncioTestCase):
@@ -220,7 +220,7 @@
         self.assertEqual(self.values, [])
 
     def copied(self, *found, **options):
-        return replace(row(*found, **options), is_copied=True)
+        return replace(row(*found, **options), is_restored=True)
 
     def test_a_row_that_the_copy_has_as_it_was_known_stays(self):
         """Guards against a configuration of long ago that nobody is told any more."""
@@ -238,7 +238,7 @@
     def test_rows_of_the_copy_replace_nothing_that_is_known(self):
         """Guards against a withdrawn key at a node that starts after a drill."""
         copied = [row(b"old", 5, 2), row(b"gone", 6, 2, key="l")]
-        self.come_back(*(replace(item, is_copied=True) for item in copied))
+        self.come_back(*(replace(item, is_restored=True) for item in copied))
         self.assertEqual(self.values, [b"new"])
 
     def test_a_deletion_that_nobody_repeats_does_not_count_for_good(self):
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -202,14 +202,14 @@
     async def test_an_older_row_of_another_node_is_not_believed(self):
         old = NodeRow("10.0.0.9", 9, "a", 100)
         value = msgspec.json.encode(old)
-        row = TableRow("node/n1", value, at(2, 2), is_copied=True)
+        row = TableRow("node/n1", value, at(2, 2), is_restored=True)
         self.come_back(KEY, row)
         (member,) = self.found.others()
         self.assertEqual(member.address, ("10.0.0.2", 2))
 
     async def test_an_older_row_of_its_own_is_replaced(self):
         old = msgspec.json.encode(NodeRow("10.0.0.9", 9, "a", 100))
-        row = TableRow("node/n0", old, at(2, 2), is_copied=True)
+        row = TableRow("node/n0", old, at(2, 2), is_restored=True)
         self.come_back(KEY, row)
         await self.found.write_missing(0)
         ((expected, _),) = self.store.writes
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -68,7 +68,7 @@
         return self.directory.evacuated
 
     def copied(self, domain):
-        return TableRow(f"evacuate/{domain}", b"{}", at(1, 2), is_copied=True)
+        return TableRow(f"evacuate/{domain}", b"{}", at(1, 2), is_restored=True)
 
     def test_a_copy_that_lacks_the_row_takes_nothing_back(self):
         self.take(self.row("a"), is_whole=False)
@@ -148,11 +148,11 @@
             on_gone=self.gone.append,
         )
 
-    def row(self, state, version, era, *, is_copied=False):
+    def row(self, state, version, era, *, is_restored=False):
         entry = ReplicaStandIn("r1").entry("s", state=state)
         entry = json.loads(entry) | {"address": "10.0.0.1:80"}
         value = json.dumps(entry).encode()
-        return TableRow("r1", value, at(version, era), is_copied=is_copied)
+        return TableRow("r1", value, at(version, era), is_restored=is_restored)
 
     def read(self, *rows, is_new_era=True):
         self.view.on_news(TableUpdate(rows, True, 0, is_new_era=is_new_era))
@@ -169,7 +169,7 @@
 
     def test_a_row_of_the_copy_does_not_either(self):
         self.read(self.row("draining", 45, 1), is_new_era=False)
-        self.read(self.row("ready", 30, 2, is_copied=True))
+        self.read(self.row("ready", 30, 2, is_restored=True))
         self.assertEqual(self.listed, [])
 
     def test_one_that_leaves_in_the_new_era_is_believed(self):
--- a/tests/quarantine/test_older_copy.py
+++ b/tests/quarantine/test_older_copy.py
@@ -21,7 +21,7 @@
             for row in row_by_key.values()
         ]
         self.table.row_by_key = {row.key: row for row in rows}
-        copied = tuple(replace(row, is_copied=True) for row in rows)
+        copied = tuple(replace(row, is_restored=True) for row in rows)
         position = self.table.position
         node.quarantine.on_news(
             TableUpdate(copied, True, 0, position=position, is_new_era=True)
