--- a/fireflyward/feeds/_follower.py
+++ b/fireflyward/feeds/_follower.py
@@ -53,7 +53,7 @@
     """News of a table, ``as_of_ms`` of this node's clock.
 
     With ``is_whole`` the rows are all there are, and whatever else was known is
-    gone; otherwise they are changes. ``away_ms`` is how long the store had not
+    gone; otherwise they are changes. ``unavailable_ms`` is how long the store had not
     answered before this, ``position`` the table's own.
 
     ``is_new_era`` tells that the store came back from an older copy, and this is the
@@ -64,7 +64,7 @@
     rows: tuple[TableRow, ...]
     is_whole: bool
     as_of_ms: int
-    away_ms: int = 0
+    unavailable_ms: int = 0
     position: Position = Position(0, 0)
     is_new_era: bool = False
 
@@ -158,9 +158,9 @@
         return proven_ms(result, sent_ms, self._clock.now_ms(), wait_ms)
 
     def _take(self, result: Snapshot | Changes, as_of_ms: int) -> None:
-        away_ms = 0 if self.as_of_ms is None else as_of_ms - self.as_of_ms
+        unavailable_ms = 0 if self.as_of_ms is None else as_of_ms - self.as_of_ms
         if self._failures:
-            log.info("feeds: %s is back after %d ms", self._table, away_ms)
+            log.info("feeds: %s is back after %d ms", self._table, unavailable_ms)
         is_whole = isinstance(result, Snapshot)
         rows = self._seen.marked(result.rows) if is_whole else result.rows
         if not is_whole:
@@ -169,7 +169,7 @@
             rows,
             is_whole,
             as_of_ms,
-            away_ms if self._failures else 0,
+            unavailable_ms if self._failures else 0,
             result.position,
             is_new_era=self._has_read and self._position.era < result.position.era,
         )
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -149,7 +149,7 @@
     def on_news(self, news: TableUpdate) -> None:
         """Bring the directory up to date."""
         now_ms = self._clock.now_ms()
-        if news.away_ms or news.is_new_era:
+        if news.unavailable_ms or news.is_new_era:
             self._outage_end_ms = now_ms
         found = _sorted_out(row for row in news.rows if not row.is_restored)
         copied = _sorted_out(row for row in news.rows if row.is_restored).entries
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -111,5 +111,5 @@
         with self.assertLogs("fireflyward.feeds", "WARNING"):
             await follower.step()
         await follower.step()
-        self.assertGreaterEqual(self.news[-1].away_ms, 3_000)
-        self.assertEqual(self.news[0].away_ms, 0)
+        self.assertGreaterEqual(self.news[-1].unavailable_ms, 3_000)
+        self.assertEqual(self.news[0].unavailable_ms, 0)
