--- a/fireflyward/feeds/_copy.py
+++ b/fireflyward/feeds/_copy.py
@@ -48,7 +48,7 @@
         """Bring the copy up to date; deleted rows stay, marked as such."""
         if news.is_new_era or self.position is None:
             self._carried_until_ms = news.as_of_ms + RETENTION_MS
-        if news.is_whole:
+        if news.is_snapshot:
             # What was deleted in the gap before is not known, so nobody who was
             # behind it may go on from here.
             self._row_by_key = self._carried(news.position.era)
--- a/fireflyward/feeds/_follower.py
+++ b/fireflyward/feeds/_follower.py
@@ -52,7 +52,7 @@
 class TableUpdate:
     """News of a table, ``as_of_ms`` of this node's clock.
 
-    With ``is_whole`` the rows are all there are, and whatever else was known is
+    With ``is_snapshot`` the rows are all there are, and whatever else was known is
     gone; otherwise they are changes. ``unavailable_ms`` is how long the store had not
     answered before this, ``position`` the table's own.
 
@@ -62,7 +62,7 @@
     """
 
     rows: tuple[TableRow, ...]
-    is_whole: bool
+    is_snapshot: bool
     as_of_ms: int
     unavailable_ms: int = 0
     position: Position = Position(0, 0)
@@ -161,13 +161,13 @@
         unavailable_ms = 0 if self.as_of_ms is None else as_of_ms - self.as_of_ms
         if self._failures:
             log.info("feeds: %s is back after %d ms", self._table, unavailable_ms)
-        is_whole = isinstance(result, Snapshot)
-        rows = self._seen.marked(result.rows) if is_whole else result.rows
-        if not is_whole:
+        is_snapshot = isinstance(result, Snapshot)
+        rows = self._seen.marked(result.rows) if is_snapshot else result.rows
+        if not is_snapshot:
             self._seen.note(rows)
         news = TableUpdate(
             rows,
-            is_whole,
+            is_snapshot,
             as_of_ms,
             unavailable_ms if self._failures else 0,
             result.position,
--- a/fireflyward/fleet/_peers.py
+++ b/fireflyward/fleet/_peers.py
@@ -122,7 +122,7 @@
     def on_news(self, news: TableUpdate) -> None:
         """Take what changed in the table."""
         self._era = news.position.era
-        if news.is_whole:
+        if news.is_snapshot:
             self._position_by_key.clear()
             if news.is_new_era:
                 self._written_ms_by_key.clear()
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -74,7 +74,7 @@
             self._carried = set(before)
             self._carried_until_ms = now_ms + RETENTION_MS
         # Of a whole table, what has no row any more was taken back unseen.
-        evacuated = self._carried & before if news.is_whole else set(before)
+        evacuated = self._carried & before if news.is_snapshot else set(before)
         for row in news.rows:
             if not row.key.startswith(EVACUATION_PREFIX):
                 continue
@@ -160,7 +160,7 @@
             self._outage_end_ms is not None
             and now_ms - self._outage_end_ms < _AFTER_OUTAGE_MS
         )
-        if news.is_whole:
+        if news.is_snapshot:
             gone = self._directory.on_whole(
                 now_ms,
                 found.entries,
--- a/fireflyward/quarantine/_rows.py
+++ b/fireflyward/quarantine/_rows.py
@@ -68,7 +68,7 @@
         """Take what changed in the table; return whose rows this node writes again."""
         self._era = max(self._era, news.position.era)
         returned = []
-        if news.is_whole:
+        if news.is_snapshot:
             listed = {row.key for row in news.rows}
             for key in self._position_by_key.keys() - listed:
                 # What was read before a row was written cannot tell that it went.
--- a/tests/feeds/nodes.py
+++ b/tests/feeds/nodes.py
@@ -100,7 +100,7 @@
     def known(self):
         rows = {}
         for news in self.news:
-            if news.is_whole:
+            if news.is_snapshot:
                 rows.clear()
             for row in news.rows:
                 rows[row.key] = row.value
--- a/tests/feeds/test_eras.py
+++ b/tests/feeds/test_eras.py
@@ -197,11 +197,13 @@
     def setUp(self):
         self.copy = TableCopy(retains_rows=True)
         self.take(row(b"old", 5, 1), row(b"gone", 6, 1, key="l"), at=at(6, 1))
-        self.take(row(b"new", 8, 1), at=at(8, 1), is_whole=False)
-        self.take(deleted("l", 9), at=at(9, 1), is_whole=False)
+        self.take(row(b"new", 8, 1), at=at(8, 1), is_snapshot=False)
+        self.take(deleted("l", 9), at=at(9, 1), is_snapshot=False)
 
-    def take(self, *rows, at, is_whole=True, as_of_ms=0, is_new_era=False):
-        news = TableUpdate(rows, is_whole, as_of_ms, position=at, is_new_era=is_new_era)
+    def take(self, *rows, at, is_snapshot=True, as_of_ms=0, is_new_era=False):
+        news = TableUpdate(
+            rows, is_snapshot, as_of_ms, position=at, is_new_era=is_new_era
+        )
         self.copy.take(news)
 
     @property
@@ -214,9 +216,9 @@
     def test_rows_that_nobody_writes_again_hold_for_so_long(self):
         """Guards against news of a row that was removed in the new era."""
         self.come_back()
-        self.take(at=at(7, 2), is_whole=False, as_of_ms=9_999)
+        self.take(at=at(7, 2), is_snapshot=False, as_of_ms=9_999)
         self.assertEqual(self.values, [b"new"])
-        self.take(at=at(8, 2), is_whole=False, as_of_ms=10_000)
+        self.take(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
         self.assertEqual(self.values, [])
 
     def copied(self, *found, **options):
@@ -226,13 +228,13 @@
         """Guards against a configuration of long ago that nobody is told any more."""
         self.come_back(self.copied(b"new", 5, 2))
         self.assertEqual(self.copy.of_earlier_eras(), ())
-        self.take(at=at(8, 2), is_whole=False, as_of_ms=10_000)
+        self.take(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
         self.assertEqual(self.values, [b"new"])
 
     def test_an_older_row_of_the_copy_counts_if_nobody_writes_again(self):
         self.come_back(self.copied(b"old", 5, 2))
         self.assertEqual(self.values, [b"new"])
-        self.take(at=at(8, 2), is_whole=False, as_of_ms=10_000)
+        self.take(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
         self.assertEqual(self.values, [b"old"])
 
     def test_rows_of_the_copy_replace_nothing_that_is_known(self):
@@ -244,7 +246,7 @@
     def test_a_deletion_that_nobody_repeats_does_not_count_for_good(self):
         self.come_back(self.copied(b"gone", 6, 2, key="l"), self.copied(b"new", 8, 2))
         self.assertEqual(self.values, [b"new"])
-        self.take(at=at(8, 2), is_whole=False, as_of_ms=10_000)
+        self.take(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
         self.assertEqual(sorted(self.values), [b"gone", b"new"])
 
     def test_rows_that_the_copy_lacks_hold(self):
@@ -254,7 +256,7 @@
 
     def test_what_is_written_again_replaces_them(self):
         self.come_back()
-        self.take(row(b"again", 7, 2), at=at(7, 2), is_whole=False)
+        self.take(row(b"again", 7, 2), at=at(7, 2), is_snapshot=False)
         self.assertEqual(self.values, [b"again"])
 
     def test_a_whole_table_of_the_same_era_drops_what_it_lacks(self):
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -59,7 +59,7 @@
         for _ in range(3):
             await follower.step()
         self.assertEqual(self.reader.asked, ["rows", at(4), at(6)])
-        self.assertEqual([news.is_whole for news in self.news], [True, False, False])
+        self.assertEqual([news.is_snapshot for news in self.news], [True, False, False])
 
     async def test_a_gap_is_read_anew(self):
         follower = self.follow(
@@ -68,7 +68,7 @@
         for _ in range(3):
             await follower.step()
         self.assertEqual(self.reader.asked, ["rows", at(4), "rows"])
-        self.assertTrue(self.news[-1].is_whole)
+        self.assertTrue(self.news[-1].is_snapshot)
 
     async def test_a_copy_that_lags_is_not_believed(self):
         """Symptom: a withdrawn key serves again for a second.
