--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -93,17 +93,17 @@
         table: str,
         on_update: Callable[[TableUpdate], None],
         *,
-        old_ms: int | None = None,
+        max_age_ms: int | None = None,
         retains_rows: bool = False,
     ) -> Callable[[TableUpdate], None]:
         """Return a listener that keeps news for others before it passes them on.
 
-        ``old_ms`` is for a table of which others may know older news than of most, and
+        ``max_age_ms`` is for a table of which others may know older news than of most, and
         ``retains_rows`` for one whose rows hold through an older copy of the store.
         """
         copy = self._copy_by_table[table] = TableCopy(retains_rows=retains_rows)
-        if old_ms is not None:
-            self._old_ms_by_table[table] = old_ms
+        if max_age_ms is not None:
+            self._old_ms_by_table[table] = max_age_ms
         self._changed_by_table[table] = asyncio.Event()
 
         def take(news: TableUpdate) -> None:
@@ -274,9 +274,9 @@
     def _is_old(self, table: str, copy: TableCopy) -> bool:
         now_ms = self._clock.now_ms()
         reads_store = self._aggregators.root(now_ms) is None
-        old_ms = _OLD_AT_ROOT_MS if reads_store else _OLD_MS
-        old_ms = self._old_ms_by_table.get(table, old_ms)
-        return now_ms - copy.as_of_ms > old_ms
+        max_age_ms = _OLD_AT_ROOT_MS if reads_store else _OLD_MS
+        max_age_ms = self._old_ms_by_table.get(table, max_age_ms)
+        return now_ms - copy.as_of_ms > max_age_ms
 
 
 def _answer(
--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -55,7 +55,7 @@
             reader=tables,
             clock=clock,
             on_update=tables.caching_listener(
-                NODE_TABLE, self._on_news, old_ms=OLD_LIST_MS
+                NODE_TABLE, self._on_news, max_age_ms=OLD_LIST_MS
             ),
             pace=self._pace,
         )
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -22,7 +22,7 @@
         self.asked = 0
         self.rows_to_tell = ()
 
-    def caching_listener(self, table, on_news, *, old_ms=None):
+    def caching_listener(self, table, on_news, *, max_age_ms=None):
         return on_news
 
     async def rows(self, table, *, part="", limit_ms=1_000):
