--- a/fireflyward/feeds/__init__.py
+++ b/fireflyward/feeds/__init__.py
@@ -1,6 +1,6 @@
 """Following a table of the platform's store, through gaps and outages."""
 
-from ._copy import RETENTION_MS
+from ._cached_table import RETENTION_MS
 from ._follower import FeedFollower, TableUpdate
 from ._messages import Changes, HistoryLost, Pace, Snapshot, TableRow
 from ._seen_rows import SeenRows
--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -12,7 +12,7 @@
 from fireflyward.clock import Clock, within_ms
 from fireflyward.peers import Address, CallFailed, PeerLink
 
-from ._copy import TableCopy
+from ._cached_table import TableCopy
 from ._feeds_structs import FeedAnswer, FeedAsk, FeedRow
 from ._follower import TableReader, TableUpdate, proven_ms
 from ._messages import Changes, HistoryLost, Snapshot, TableRow
--- a/tests/feeds/test_eras.py
+++ b/tests/feeds/test_eras.py
@@ -13,7 +13,7 @@
     TableRow,
     TableUpdate,
 )
-from fireflyward.feeds._copy import TableCopy
+from fireflyward.feeds._cached_table import TableCopy
 from tests.positions import at
 
 from .nodes import Node, Store
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -153,7 +153,7 @@
 class RandomDrillTests(FleetTestCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        for module in ("fireflyward.fleet._views", "fireflyward.feeds._copy"):
+        for module in ("fireflyward.fleet._views", "fireflyward.feeds._cached_table"):
             patched = mock.patch(f"{module}.RETENTION_MS", _CARRIED_MS)
             patched.start()
             self.addCleanup(patched.stop)
