--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -11,7 +11,7 @@
 from fireflyward.feeds import FeedFollower, Pace, SharedTables, TableUpdate
 from fireflyward.forwarding import Forwarder, WeightBook
 from fireflyward.http1 import ConnectionPool
-from fireflyward.leases import Gained, LeaseNews, LeaseTask, Lost
+from fireflyward.leases import Gained, LeaseAnnouncer, LeaseTask, Lost
 from fireflyward.observe import Metrics
 from fireflyward.peers import PeerLink
 from fireflyward.platform import (
@@ -168,7 +168,7 @@
             ),
         )
         self._lease = self._make_lease()
-        self._lease_news = LeaseNews(
+        self._lease_news = LeaseAnnouncer(
             self._lease,
             contenders=lambda: self._peers.addresses_of_first(_CONTENDERS, _LEASE),
         )
--- a/fireflyward/leases/__init__.py
+++ b/fireflyward/leases/__init__.py
@@ -18,7 +18,7 @@
     WriteAnswered,
     WriteRow,
 )
-from ._news import LeaseNews
+from ._news import LeaseAnnouncer
 from ._task import DEFAULT_LEASE_MS, KEY_PREFIX, LeaseTask
 
 __all__ = [
@@ -29,7 +29,7 @@
     "Gained",
     "HandOver",
     "Lease",
-    "LeaseNews",
+    "LeaseAnnouncer",
     "LeaseRow",
     "LeaseStep",
     "LeaseTask",
--- a/fireflyward/leases/_news.py
+++ b/fireflyward/leases/_news.py
@@ -15,7 +15,7 @@
 _KIND = "lease held"
 
 
-class LeaseNews:
+class LeaseAnnouncer:
     """Spares the contenders of a lease their looks at the table.
 
     Seven nodes that look once a second were ten calls a second with a rollout under
