--- a/fireflyward/leases/_news.py
+++ b/fireflyward/leases/_news.py
@@ -35,7 +35,7 @@
         self._link = link
         link.register(_KIND, LeaseHeld, self._hear)
 
-    def tell(self, row: LeaseRow, position: Position) -> None:
+    def announce(self, row: LeaseRow, position: Position) -> None:
         """Tell the contenders of the row that was written last, and where."""
         if self._link is None:
             return
