--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -308,7 +308,7 @@
             contends=self._contends,
             on_change=self._on_lease,
             on_row=lambda row, position: self._lease_news.announce(row, position),
-            look_ms=lambda: self._weight_task.look_ms(),
+            poll_interval_ms=lambda: self._weight_task.look_ms(),
         )
 
     def _on_lease(self, change: Gained | Lost) -> None:
--- a/fireflyward/leases/_task.py
+++ b/fireflyward/leases/_task.py
@@ -52,7 +52,7 @@
     only once a minute, so that the lease finds a holder even if every node
     thinks that others contend. ``on_change`` hears of ``Gained`` and ``Lost``.
     ``on_row`` hears of each row that this holder wrote, to tell contenders of it.
-    ``look_ms`` is asked how long to wait for the next look; without it there are
+    ``poll_interval_ms`` is asked how long to wait for the next look; without it there are
     three looks in the length of a lease.
 
         lease = LeaseTask("sweep/store-1", clock=clock, table=table, holder="entry-1")
@@ -68,7 +68,7 @@
         "_contends",
         "_key",
         "_lease",
-        "_look_ms",
+        "_poll_interval_ms",
         "_looked_ms",
         "_observe",
         "_on_change",
@@ -91,7 +91,7 @@
         contends: Callable[[], bool] = lambda: True,
         on_change: Callable[[Gained | Lost], None] = lambda change: None,
         on_row: Callable[[LeaseRow, Position], None] = lambda row, position: None,
-        look_ms: Callable[[], float] | None = None,
+        poll_interval_ms: Callable[[], float] | None = None,
         observe: StepObserver = ignore_step,
     ) -> None:
         self.name = name
@@ -99,7 +99,9 @@
         self._table = table
         self._key = KEY_PREFIX + name
         self._lease = Lease(holder=holder, lease_ms=lease_ms)
-        self._look_ms = look_ms or (lambda: lease_ms // _LOOKS_PER_LEASE)
+        self._poll_interval_ms = poll_interval_ms or (
+            lambda: lease_ms // _LOOKS_PER_LEASE
+        )
         self._wanted_fresh = asyncio.Event()
         self._contends = contends
         self._on_change = on_change
@@ -120,7 +122,9 @@
         """Look for the lease, take it and keep it, until cancelled."""
         while True:
             await self.step()
-            await within_ms(self._clock, self._look_ms(), self._wanted_fresh.wait())
+            await within_ms(
+                self._clock, self._poll_interval_ms(), self._wanted_fresh.wait()
+            )
 
     def freshen(self) -> None:
         """Have a claim renewed at once, for an order that asks for a young one."""
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -261,7 +261,7 @@
         self.assertEqual([lane.enter("s", 16) for _ in range(3)], [True, True, False])
 
     async def test_the_lease_is_looked_at_as_its_duty_asks(self):
-        look_ms = self.node._lease._look_ms
+        look_ms = self.node._lease._poll_interval_ms
         self.node._weight_task.look_ms = lambda: 123.0
         self.assertEqual(look_ms(), 123.0)
 
