--- a/fireflyward/leases/_task.py
+++ b/fireflyward/leases/_task.py
@@ -126,7 +126,7 @@
                 self._clock, self._poll_interval_ms(), self._wanted_fresh.wait()
             )
 
-    def freshen(self) -> None:
+    def request_renewal(self) -> None:
         """Have a claim renewed at once, for an order that asks for a young one."""
         self._wanted_fresh.set()
 
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -138,7 +138,7 @@
             views = self._views(now_ms, model)
             orders = self._plan.next(now_ms, model, version, views)
             if orders and self._fencing() is None:
-                self._lease.freshen()
+                self._lease.request_renewal()
                 return
             for order in orders:
                 self._plan.on_begun(now_ms, order)
--- a/tests/leases/test_task.py
+++ b/tests/leases/test_task.py
@@ -44,7 +44,7 @@
         self.start(holder)
         await self.clock.advance_ms(500)
         until_ms = holder.claim().until_ms
-        holder.freshen()
+        holder.request_renewal()
         await self.clock.advance_ms(1)
         self.assertGreaterEqual(holder.claim().until_ms - until_ms, 499)
 
--- a/tests/weights/test_task.py
+++ b/tests/weights/test_task.py
@@ -20,7 +20,7 @@
         self.held = None
         self.freshened = 0
 
-    def freshen(self):
+    def request_renewal(self):
         self.freshened += 1
 
     def claim(self):
