--- a/fireflyward/leases/_lease.py
+++ b/fireflyward/leases/_lease.py
@@ -44,7 +44,7 @@
     row: LeaseRow
     sent_ms: int
     step: LeaseStep
-    after_lapse: bool = False
+    after_expiry: bool = False
     may_resend: bool = False
     in_doubt: bool = False
 
@@ -237,21 +237,23 @@
         fencing = max(fencing, self._position.number + 1)
         era = self._position.era
         row = LeaseRow(self._holder, self._claim_id, fencing, era=era)
-        after_lapse = self._is_from_earlier_era or not (
+        after_expiry = self._is_from_earlier_era or not (
             before is None or before.released
         )
-        return self._send(now_ms, row, LeaseStep.ACQUIRE_SENT, after_lapse=after_lapse)
+        return self._send(
+            now_ms, row, LeaseStep.ACQUIRE_SENT, after_expiry=after_expiry
+        )
 
     def _renew(self, now_ms: int) -> Action:
         row = _changed(self._row, beat=self._row.beat + 1)
         # Should belief lapse before this write's effect is known, the claim that
         # comes of it is a new one, with things of the old one on their way.
-        return self._send(now_ms, row, LeaseStep.RENEW_SENT, after_lapse=True)
+        return self._send(now_ms, row, LeaseStep.RENEW_SENT, after_expiry=True)
 
     def _send(
-        self, now_ms: int, row: LeaseRow, step: LeaseStep, *, after_lapse: bool = False
+        self, now_ms: int, row: LeaseRow, step: LeaseStep, *, after_expiry: bool = False
     ) -> Action:
-        self._pending = _Pending(self._position, row, now_ms, step, after_lapse)
+        self._pending = _Pending(self._position, row, now_ms, step, after_expiry)
         return WriteRow(self._position, row, step)
 
     def _settle(
@@ -296,7 +298,7 @@
         if pending.step is LeaseStep.RENEW_SENT and self._claim:
             self._claim = replace(self._claim, until_ms=until_ms)
             return [Renewed()]
-        self._claim = Claim(pending.row.fencing, until_ms, pending.after_lapse)
+        self._claim = Claim(pending.row.fencing, until_ms, pending.after_expiry)
         return [Gained(self._claim)]
 
 
--- a/fireflyward/leases/_messages.py
+++ b/fireflyward/leases/_messages.py
@@ -50,13 +50,13 @@
 class Claim:
     """A lease held now: its fencing number and how its holder came to it.
 
-    ``after_lapse`` is true when an earlier holder did not hand over, so that
+    ``after_expiry`` is true when an earlier holder did not hand over, so that
     something which it sent may still be on its way.
     """
 
     fencing: int
     until_ms: int
-    after_lapse: bool = False
+    after_expiry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/fireflyward/rollout/_rollout.py
+++ b/fireflyward/rollout/_rollout.py
@@ -113,7 +113,7 @@
         self._budget = LoadBudget(
             per_minute=self._limits.loads_per_minute, now_ms=now_ms
         )
-        wait_ms = self._limits.order_flight_ms if message.claim.after_lapse else 0
+        wait_ms = self._limits.order_flight_ms if message.claim.after_expiry else 0
         self._flight_over_ms = now_ms + wait_ms
         return [ReadRow()]
 
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -93,7 +93,7 @@
         wait_ms = self._lease_ms + self._slack_ms
         if change.claim.fencing == 1:
             wait_ms = 0
-        elif change.claim.after_lapse:
+        elif change.claim.after_expiry:
             # The last holder stopped a tenth of a lease after its last renewal,
             # and that was a whole lease ago.
             wait_ms = int(self._fresh_ms) + self._slack_ms
--- a/tests/leases/test_eras.py
+++ b/tests/leases/test_eras.py
@@ -82,7 +82,7 @@
         third = Lease(holder="c", lease_ms=LEASE_MS)
         (gained,) = self.wait_for(third, 9_490)
         self.assertIsNone(self.second.claim_at(9_490 + 9_450))
-        self.assertTrue(gained.claim.after_lapse)
+        self.assertTrue(gained.claim.after_expiry)
 
     def test_a_row_that_the_copy_lacks_frees_nothing(self):
         """Guards against two holders where the copy is older than the lease."""
--- a/tests/leases/test_lease.py
+++ b/tests/leases/test_lease.py
@@ -70,7 +70,7 @@
     def test_first_look_takes_a_lease_that_nobody_had(self):
         (gained,) = drive(self.first, self.table, 0, Tick())
         self.assertEqual(gained.claim.fencing, 1)
-        self.assertFalse(gained.claim.after_lapse)
+        self.assertFalse(gained.claim.after_expiry)
 
     def test_contender_waits_a_whole_lease_by_its_own_clock(self):
         drive(self.first, self.table, 0, Tick())
@@ -78,7 +78,7 @@
             self.assertEqual(drive(self.second, self.table, now_ms, Tick()), [])
         (gained,) = drive(self.second, self.table, 1_000_000 + 9_450, Tick())
         self.assertEqual(gained.claim.fencing, 2)
-        self.assertTrue(gained.claim.after_lapse)
+        self.assertTrue(gained.claim.after_expiry)
 
     def test_renewal_keeps_contenders_out_and_the_number_as_it_is(self):
         drive(self.first, self.table, 0, Tick())
@@ -93,7 +93,7 @@
         self.assertEqual(results, [Lost(1), Released()])
         (gained,) = drive(self.second, self.table, 11, Tick())
         self.assertEqual(gained.claim.fencing, 2)
-        self.assertFalse(gained.claim.after_lapse)
+        self.assertFalse(gained.claim.after_expiry)
 
     def test_contender_that_does_not_contend_reads_nothing(self):
         self.assertEqual(self.second.decide(0, Tick(may_contend=False)), [])
@@ -155,7 +155,7 @@
         drive(self.lease, self.table, 0, Tick())
         lost, gained = drive(self.lease, self.table, 20_000, Tick())
         self.assertEqual(lost, Lost(1))
-        self.assertEqual((gained.claim.fencing, gained.claim.after_lapse), (2, True))
+        self.assertEqual((gained.claim.fencing, gained.claim.after_expiry), (2, True))
 
 
 @dataclass
--- a/tests/leases/test_task.py
+++ b/tests/leases/test_task.py
@@ -77,7 +77,7 @@
         self.assertTrue(await holder.hand_over())
         await other.step()
         self.assertEqual(other.claim().fencing, 2)
-        self.assertFalse(other.claim().after_lapse)
+        self.assertFalse(other.claim().after_expiry)
 
     async def test_holder_struck_at_each_step_is_followed_by_one_successor(self):
         """Symptom: a duty that nobody does, or that two do. Sequence: the process
--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -290,7 +290,7 @@
         await driver.die()
         other = world.add_driver("b")
         await world.run(500)
-        self.assertFalse(other.lease.claim().after_lapse)
+        self.assertFalse(other.lease.claim().after_expiry)
         await world.finish()
         self.assert_done(world)
 
--- a/tests/weights/test_task.py
+++ b/tests/weights/test_task.py
@@ -46,8 +46,8 @@
             slack_ms=SLACK_MS,
         )
 
-    def gain(self, fencing, *, after_lapse):
-        claim = Claim(fencing, self.clock.now_ms() + LEASE_MS, after_lapse)
+    def gain(self, fencing, *, after_expiry):
+        claim = Claim(fencing, self.clock.now_ms() + LEASE_MS, after_expiry)
         self.lease.held = claim
         self.task.on_change(Gained(claim))
 
@@ -55,7 +55,7 @@
         """Renew the claim at the time that it is now."""
         held = self.lease.held
         self.lease.held = Claim(
-            held.fencing, self.clock.now_ms() + LEASE_MS, held.after_lapse
+            held.fencing, self.clock.now_ms() + LEASE_MS, held.after_expiry
         )
 
     def may_order_after(self, wait_ms):
@@ -75,7 +75,7 @@
         self.assertEqual(self.task._views(0, "m"), [])
 
     def test_the_first_holder_orders_at_once(self):
-        self.gain(1, after_lapse=False)
+        self.gain(1, after_expiry=False)
         self.assertEqual(self.task._fencing(), 1)
 
     def test_after_a_hand_over_the_last_orders_are_waited_out(self):
@@ -84,12 +84,12 @@
         A holder orders and hands over; its successor orders within one lease's
         length, and replicas that check no token obey both in turns.
         """
-        self.gain(2, after_lapse=False)
+        self.gain(2, after_expiry=False)
         self.assertIsNone(self.may_order_after(LEASE_MS + SLACK_MS - 1))
         self.assertEqual(self.may_order_after(1), 2)
 
     def test_after_a_lapse_the_rest_is_waited_out(self):
-        self.gain(2, after_lapse=True)
+        self.gain(2, after_expiry=True)
         self.assertIsNone(self.may_order_after(LEASE_MS // 10 + SLACK_MS - 1))
         self.assertEqual(self.may_order_after(1), 2)
 
@@ -99,14 +99,14 @@
         The holder is cut off from the store and goes on ordering until its lease
         ends, just before another takes it.
         """
-        self.gain(1, after_lapse=False)
+        self.gain(1, after_expiry=False)
         self.clock._now_ms += LEASE_MS // 10
         self.assertEqual(self.task._fencing(), 1)
         self.clock._now_ms += 1
         self.assertIsNone(self.task._fencing())
 
     def test_without_the_lease_nothing_is_ordered(self):
-        self.gain(1, after_lapse=False)
+        self.gain(1, after_expiry=False)
         self.lease.held = None
         self.task.on_change(Lost(1))
         self.assertIsNone(self.task._fencing())
@@ -125,7 +125,7 @@
         successor had to wait that out. Now it orders only just after a renewal, which
         it asks for when an order is due.
         """
-        self.gain(1, after_lapse=False)
+        self.gain(1, after_expiry=False)
         self.clock._now_ms += LEASE_MS // 10 + 1
         self.task._order_due()
         self.assertEqual(self.lease.freshened, 0)
