--- a/fireflyward/backing/_eras.py
+++ b/fireflyward/backing/_eras.py
@@ -38,7 +38,7 @@
         """Return the latest era, 0 where none was told yet."""
         return self._latest or 0
 
-    def note(self, era: int) -> None:
+    def observe(self, era: int) -> None:
         """Take the era in which the store, or another node, was seen to be."""
         before = self._latest
         if before is None:
@@ -57,7 +57,7 @@
         if self._latest is not None and era > self._latest + _MOST_MISSED:
             log.error("store: an answer tells era %d after %d", era, self._latest)
             era = self._latest
-        self.note(era)
+        self.observe(era)
         return era
 
     def is_late(self, era: int) -> bool:
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -340,7 +340,7 @@
 
         def take_and_note(news: TableUpdate) -> None:
             # An aggregator may tell of a new era before the store itself does.
-            self._store.eras.note(news.position.era)
+            self._store.eras.observe(news.position.era)
             take(news)
 
         return self._gate.opened_by(take_and_note, is_ready=lambda: self.is_ready)
--- a/tests/backing/test_eras.py
+++ b/tests/backing/test_eras.py
@@ -26,20 +26,20 @@
         self.assertEqual(self.told, [1])
 
     def test_an_answer_of_an_earlier_era_is_late(self):
-        self.eras.note(2)
+        self.eras.observe(2)
         self.assertEqual(self.eras.of_answer(1), 1)
         self.assertTrue(self.eras.is_late(1))
         self.assertFalse(self.eras.is_late(2))
 
     def test_one_condition_of_an_earlier_era_is_enough(self):
-        self.eras.note(2)
+        self.eras.observe(2)
         conditions = [Position(2, 4), Position(1, 9)]
         self.assertTrue(self.eras.may_hold_by_chance(conditions))
         self.assertFalse(self.eras.may_hold_by_chance(conditions[:1]))
 
     def test_a_number_that_cannot_be_a_count_of_drills_is_not_believed(self):
         """Guards against one answer that shuts out all later ones."""
-        self.eras.note(2)
+        self.eras.observe(2)
         with self.assertLogs("fireflyward.store", "ERROR"):
             self.assertEqual(self.eras.of_answer(99_999), 2)
         self.assertFalse(self.eras.is_late(2))
--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -113,7 +113,7 @@
 
     async def test_the_list_of_nodes_is_read_without_delay(self):
         """Guards against seconds in which nobody's row is there."""
-        self.node._store.eras.note(2)
+        self.node._store.eras.observe(2)
         self.assertTrue(self.node._joining._is_wanted_soon.is_set())
 
     async def test_versions_that_have_passed_the_cursor_when_it_is_read(self):
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -72,7 +72,7 @@
         transact = self.store._transact
 
         def answer_late(body):
-            self.client.eras.note(2)
+            self.client.eras.observe(2)
             return transact(body)
 
         self.store._transact = answer_late
@@ -84,7 +84,7 @@
         self.assertEqual(await self.write(read), Committed({"k": 2}, 2))
 
     async def test_a_late_answer_of_an_earlier_era_proves_nothing(self):
-        self.client.eras.note(4)
+        self.client.eras.observe(4)
         self.assertIsInstance(await self.client.rows("t"), Unavailable)
         changes = self.client.changes("t", after=at(0, 4), wait_ms=0, limit_ms=300)
         self.assertIsInstance(await changes, Unavailable)
