--- a/fireflyward/backing/_eras.py
+++ b/fireflyward/backing/_eras.py
@@ -21,7 +21,7 @@
     copy.
 
     >>> eras = Eras()
-    >>> eras.of_answer(1), eras.of_answer(2), eras.of_answer(None)
+    >>> eras.era_of_answer(1), eras.era_of_answer(2), eras.era_of_answer(None)
     (1, 2, 2)
     >>> eras.is_late(1), eras.may_hold_by_chance([Position(1, 40)])
     (True, True)
@@ -51,7 +51,7 @@
             )
             self.on_new()
 
-    def of_answer(self, told: int | None) -> int:
+    def era_of_answer(self, told: int | None) -> int:
         """Take the era of an answer; one that tells none is of the latest."""
         era = self.latest if told is None else told
         if self._latest is not None and era > self._latest + _MOST_MISSED:
--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -248,12 +248,12 @@
         told = next((text for name, text in answer.headers if name == _ERA), "")
         if told.isascii() and told.isdigit() and len(told) <= _ERA_DIGITS:
             self._unread_era = None
-            return self.eras.of_answer(int(told))
+            return self.eras.era_of_answer(int(told))
         if told != self._unread_era:
             # Once for each change, and not at all where no answer ever told one.
             self._unread_era = told
             log.warning("platform: an answer tells no era: %r", told[:80])
-        return self.eras.of_answer(None)
+        return self.eras.era_of_answer(None)
 
 
 def _refused(answer: _Answer) -> Unavailable:
