--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -194,7 +194,7 @@
             return _refused(answer)
         if any(answer.era != read.era for read in expected.values()):
             return Uncertain(f"conditions were met in another era, {answer.era}")
-        if self.eras.is_late(answer.era):
+        if self.eras.is_outdated(answer.era):
             return Uncertain(_EARLIER_ERA)
         page = decoded(answer.body, _Rows)
         if page is None:
@@ -212,7 +212,7 @@
             return Unavailable(answer.detail)
         if isinstance(answer, Unavailable):
             return answer
-        if self.eras.is_late(answer.era):
+        if self.eras.is_outdated(answer.era):
             return Unavailable(_EARLIER_ERA)
         if answer.status == _GONE:
             return HistoryLost()
--- a/tests/backing/test_eras.py
+++ b/tests/backing/test_eras.py
@@ -28,8 +28,8 @@
     def test_an_answer_of_an_earlier_era_is_late(self):
         self.eras.observe(2)
         self.assertEqual(self.eras.era_of_answer(1), 1)
-        self.assertTrue(self.eras.is_late(1))
-        self.assertFalse(self.eras.is_late(2))
+        self.assertTrue(self.eras.is_outdated(1))
+        self.assertFalse(self.eras.is_outdated(2))
 
     def test_one_condition_of_an_earlier_era_is_enough(self):
         self.eras.observe(2)
@@ -42,4 +42,4 @@
         self.eras.observe(2)
         with self.assertLogs("fireflyward.store", "ERROR"):
             self.assertEqual(self.eras.era_of_answer(99_999), 2)
-        self.assertFalse(self.eras.is_late(2))
+        self.assertFalse(self.eras.is_outdated(2))
