--- a/fireflyward/backing/_eras.py
+++ b/fireflyward/backing/_eras.py
@@ -17,7 +17,7 @@
 
     An answer of an earlier era than the latest is late: what it tells may have been
     lost by the store. A condition of an earlier era may hold by chance, since versions
-    are given out again. ``on_new`` is called when the store has come back from an older
+    are given out again. ``on_new_era`` is called when the store has come back from an older
     copy.
 
     >>> eras = Eras()
@@ -27,11 +27,11 @@
     (True, True)
     """
 
-    __slots__ = ("_latest", "on_new")
+    __slots__ = ("_latest", "on_new_era")
 
     def __init__(self) -> None:
         self._latest: int | None = None
-        self.on_new: Callable[[], None] = lambda: None
+        self.on_new_era: Callable[[], None] = lambda: None
 
     @property
     def latest(self) -> int:
@@ -49,7 +49,7 @@
             log.warning(
                 "store: it came back from an older copy: era %d after %d", era, before
             )
-            self.on_new()
+            self.on_new_era()
 
     def era_of_answer(self, told: int | None) -> int:
         """Take the era of an answer; one that tells none is of the latest."""
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -144,7 +144,7 @@
             on_link=self._on_link,
         )
         # What nodes wrote of themselves may be lost, and is read by all others.
-        self._store.eras.on_new = self._joining.look_soon
+        self._store.eras.on_new_era = self._joining.look_soon
         self._lost_rows = LostRows(
             CONFIGURATION_TABLE,
             tables=self._tables,
--- a/tests/backing/test_eras.py
+++ b/tests/backing/test_eras.py
@@ -9,7 +9,7 @@
     def setUp(self):
         self.eras = Eras()
         self.told = []
-        self.eras.on_new = lambda: self.told.append(self.eras.latest)
+        self.eras.on_new_era = lambda: self.told.append(self.eras.latest)
 
     def test_the_first_era_is_no_new_one(self):
         self.eras.era_of_answer(7)
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -42,7 +42,7 @@
 
     async def test_a_new_era_is_told_once(self):
         told = []
-        self.client.eras.on_new = lambda: told.append(self.client.eras.latest)
+        self.client.eras.on_new_era = lambda: told.append(self.client.eras.latest)
         await self.position()
         with self.assertLogs("fireflyward.store", "WARNING"):
             for _ in range(2):
