--- a/fireflyward/backing/_eras.py
+++ b/fireflyward/backing/_eras.py
@@ -23,7 +23,7 @@
     >>> eras = Eras()
     >>> eras.era_of_answer(1), eras.era_of_answer(2), eras.era_of_answer(None)
     (1, 2, 2)
-    >>> eras.is_outdated(1), eras.may_hold_by_chance([Position(1, 40)])
+    >>> eras.is_outdated(1), eras.may_match_reused_version([Position(1, 40)])
     (True, True)
     """
 
@@ -64,6 +64,6 @@
         """Tell whether an answer of this era comes after one of a later era."""
         return era < self.latest
 
-    def may_hold_by_chance(self, expected: Iterable[Position]) -> bool:
+    def may_match_reused_version(self, expected: Iterable[Position]) -> bool:
         """Tell whether a condition rests on readings of an earlier era."""
         return any(self.is_outdated(read.era) for read in expected)
--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -173,7 +173,7 @@
         may hold by chance, since versions are given out again: it is not sent, and a
         write that met another era than its conditions is ``Uncertain``.
         """
-        if self.eras.may_hold_by_chance(expected.values()):
+        if self.eras.may_match_reused_version(expected.values()):
             return Conflict()
         where = {"table": table, "part": part}
         body = {
--- a/tests/backing/test_eras.py
+++ b/tests/backing/test_eras.py
@@ -34,8 +34,8 @@
     def test_one_condition_of_an_earlier_era_is_enough(self):
         self.eras.observe(2)
         conditions = [Position(2, 4), Position(1, 9)]
-        self.assertTrue(self.eras.may_hold_by_chance(conditions))
-        self.assertFalse(self.eras.may_hold_by_chance(conditions[:1]))
+        self.assertTrue(self.eras.may_match_reused_version(conditions))
+        self.assertFalse(self.eras.may_match_reused_version(conditions[:1]))
 
     def test_a_number_that_cannot_be_a_count_of_drills_is_not_believed(self):
         """Guards against one answer that shuts out all later ones."""
