--- a/fireflyward/backing/_budget.py
+++ b/fireflyward/backing/_budget.py
@@ -14,7 +14,7 @@
 
     ``nodes`` counts every node that is not known to be dead, also those that this
     one cannot hear: they may still reach the service. A call that finds no token
-    waits for one, in the order of calls, but never longer than ``longest_wait_ms``.
+    waits for one, in the order of calls, but never longer than ``max_wait_ms``.
 
     >>> budget = Budget(per_second=700, nodes=lambda: 350)
     >>> [budget.take(0) for _ in range(5)]
@@ -35,11 +35,11 @@
         *,
         per_second: float,
         nodes: Callable[[], int],
-        longest_wait_ms: int = 1_000,
+        max_wait_ms: int = 1_000,
     ) -> None:
         self._per_second = per_second
         self._nodes = nodes
-        self._longest_wait_ms = longest_wait_ms
+        self._longest_wait_ms = max_wait_ms
         self._tokens = self._burst()
         self._filled_ms = 0
         self._ramp_since_ms: int | None = None
--- a/fireflyward/daemon/_guards.py
+++ b/fireflyward/daemon/_guards.py
@@ -56,7 +56,7 @@
             reads=self._budget(self._settings["store_reads_per_s"]),
             writes=self._budget(
                 self._settings["store_writes_per_s"],
-                longest_wait_ms=_LONGEST_WRITE_WAIT_MS,
+                max_wait_ms=_LONGEST_WRITE_WAIT_MS,
             ),
         )
 
@@ -64,11 +64,9 @@
         return self._guard(name, reads=self._budget(_LIST_READS_PER_S))
 
     def _budget(
-        self, per_second: float, *, longest_wait_ms: int = _LONGEST_READ_WAIT_MS
+        self, per_second: float, *, max_wait_ms: int = _LONGEST_READ_WAIT_MS
     ) -> Budget:
-        return Budget(
-            per_second=per_second, nodes=self._nodes, longest_wait_ms=longest_wait_ms
-        )
+        return Budget(per_second=per_second, nodes=self._nodes, max_wait_ms=max_wait_ms)
 
     def _guard(
         self, name: str, *, reads: Budget, writes: Budget | None = None
--- a/tests/backing/test_budget.py
+++ b/tests/backing/test_budget.py
@@ -24,7 +24,7 @@
         self.assertAlmostEqual(self.taken(budget, 5_000, 15_000), 200, delta=25)
 
     def test_calls_wait_in_order_and_never_too_long(self):
-        budget = self.make(longest_wait_ms=300)
+        budget = self.make(max_wait_ms=300)
         waits = [budget.take(0) for _ in range(30)]
         self.assertEqual(waits[:20], [0] * 20)
         self.assertEqual(waits[20:24], [100, 200, 300, None])
