--- a/fireflyward/backing/_budget.py
+++ b/fireflyward/backing/_budget.py
@@ -17,7 +17,7 @@
     waits for one, in the order of calls, but never longer than ``max_wait_ms``.
 
     >>> budget = Budget(per_second=700, nodes=lambda: 350)
-    >>> [budget.take(0) for _ in range(5)]
+    >>> [budget.reserve(0) for _ in range(5)]
     [0, 0, 0, 0, 500]
     """
 
@@ -44,7 +44,7 @@
         self._filled_ms = 0
         self._ramp_since_ms: int | None = None
 
-    def take(self, now_ms: int) -> int | None:
+    def reserve(self, now_ms: int) -> int | None:
         """Return after how many milliseconds the call may go; None if too long."""
         rate = self._rate(now_ms)
         passed_ms = max(0, now_ms - self._filled_ms)
--- a/fireflyward/backing/_guard.py
+++ b/fireflyward/backing/_guard.py
@@ -90,7 +90,7 @@
         now_ms = self._clock.now_ms()
         if not self._breaker.may_call(now_ms):
             return Unavailable(f"{self._name}: away, asked again later")
-        wait_ms = budget.take(now_ms)
+        wait_ms = budget.reserve(now_ms)
         if wait_ms is None:
             return Unavailable(f"{self._name}: this node has used up its share")
         if wait_ms:
--- a/fireflyward/bench/measures/platform_return.py
+++ b/fireflyward/bench/measures/platform_return.py
@@ -59,7 +59,7 @@
             now_ms = _AWAY_MS + passed_ms
             if not node.breaker.may_call(now_ms):
                 continue
-            wait_ms = node.budget.take(now_ms)
+            wait_ms = node.budget.reserve(now_ms)
             if wait_ms is not None:
                 calls_by_second[(passed_ms + wait_ms) // 1_000] += 1
                 heapq.heappush(answers, (passed_ms + wait_ms, next(order), node))
--- a/tests/backing/test_budget.py
+++ b/tests/backing/test_budget.py
@@ -9,7 +9,7 @@
         return Budget(per_second=per_second, nodes=lambda: self.nodes, **kind)
 
     def taken(self, budget, from_ms, to_ms):
-        waits = [budget.take(now_ms) for now_ms in range(from_ms, to_ms, 10)]
+        waits = [budget.reserve(now_ms) for now_ms in range(from_ms, to_ms, 10)]
         return sum(wait is not None for wait in waits)
 
     def test_rate_is_the_share_of_one_node(self):
@@ -25,7 +25,7 @@
 
     def test_calls_wait_in_order_and_never_too_long(self):
         budget = self.make(max_wait_ms=300)
-        waits = [budget.take(0) for _ in range(30)]
+        waits = [budget.reserve(0) for _ in range(30)]
         self.assertEqual(waits[:20], [0] * 20)
         self.assertEqual(waits[20:24], [100, 200, 300, None])
 
@@ -37,4 +37,4 @@
         self.assertAlmostEqual(self.taken(budget, 75_000, 85_000), 110, delta=20)
 
     def test_no_known_node_counts_as_one(self):
-        self.assertEqual(self.make(nodes=0).take(0), 0)
+        self.assertEqual(self.make(nodes=0).reserve(0), 0)
