--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -89,7 +89,7 @@
         groups = self._members_by_domain.values()
         return [member.address for group in groups for member in group]
 
-    def own(self, now_ms: int) -> Member | None:
+    def own_aggregator(self, now_ms: int) -> Member | None:
         """Return this domain's aggregator, None if it is this node itself."""
         for member in self._members_by_domain.get(self._domain, ()):
             if self._own_rank < _rank_of(member):
--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -120,7 +120,7 @@
         """Tell whether other nodes read tables through this one."""
         return (
             self._aggregators.are_needed
-            and self._aggregators.own(self._clock.now_ms()) is None
+            and self._aggregators.own_aggregator(self._clock.now_ms()) is None
         )
 
     async def rows(
@@ -242,7 +242,9 @@
         """Return the node to ask, None where the store is to be asked."""
         if now_ms < self._distrusted_until_ms or not self._aggregators.are_needed:
             return None
-        return self._aggregators.own(now_ms) or self._aggregators.root(now_ms)
+        return self._aggregators.own_aggregator(now_ms) or self._aggregators.root(
+            now_ms
+        )
 
     async def _answer(self, sender: str, ask: Any) -> Any:
         """Answer another node's question from this one's copy."""
--- a/fireflyward/prefixes/_sharing.py
+++ b/fireflyward/prefixes/_sharing.py
@@ -123,7 +123,7 @@
     def _asked(self) -> Member | None:
         if self._link is None or not self._aggregators.are_needed:
             return None
-        return self._aggregators.own(self._clock.now_ms())
+        return self._aggregators.own_aggregator(self._clock.now_ms())
 
     async def _ask(self, ask: Any) -> Any | None:
         """Return the aggregator's answer, None where the store is to be asked."""
--- a/fireflyward/prefixes/_telling.py
+++ b/fireflyward/prefixes/_telling.py
@@ -48,7 +48,7 @@
         """Return how this node follows stores now."""
         if not self._aggregators.are_needed:
             return Following.BY_ITSELF
-        if self._aggregators.own(self._clock.now_ms()) is None:
+        if self._aggregators.own_aggregator(self._clock.now_ms()) is None:
             return Following.FOR_OTHERS
         return Following.FROM_AGGREGATOR
 
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -155,7 +155,7 @@
 
     def _tell_aggregator(self, link: PeerLink) -> None:
         now_ms, own = self._clock.now_ms(), self._own()
-        aggregator = self._aggregators.own(now_ms)
+        aggregator = self._aggregators.own_aggregator(now_ms)
         if aggregator != self._told_to:
             self._change_aggregator(link, now_ms, aggregator)
         self._peers.follow(aggregator.name if aggregator is not None else None)
--- a/tests/aggregators/test_choice.py
+++ b/tests/aggregators/test_choice.py
@@ -23,7 +23,7 @@
         named = {domain: set() for domain in "abc"}
         for own in MEMBERS:
             nodes = of_node(own)
-            found = nodes.own(0)
+            found = nodes.own_aggregator(0)
             named[own.failure_domain].add(found.name if found else own.name)
             for domain in nodes.other_domains():
                 named[domain].add(nodes.of(0, domain).name)
@@ -35,23 +35,23 @@
         The aggregator lost power; its row in the store stays, and whoever goes on
         telling it hears nothing of the others any more.
         """
-        own = next(m for m in MEMBERS if of_node(m).own(0) is not None)
+        own = next(m for m in MEMBERS if of_node(m).own_aggregator(0) is not None)
         nodes = of_node(own)
-        first = nodes.own(0)
+        first = nodes.own_aggregator(0)
         nodes.on_spoken_to(0, first.name)
         nodes.on_spoken_to(400, first.name)
-        self.assertEqual(nodes.own(449), first)
-        second = nodes.own(450)
+        self.assertEqual(nodes.own_aggregator(449), first)
+        second = nodes.own_aggregator(450)
         self.assertNotEqual(second, first)
         nodes.on_heard(first.name)
-        self.assertEqual(nodes.own(500), first)
+        self.assertEqual(nodes.own_aggregator(500), first)
 
     def test_with_all_others_silent_a_node_sums_up_itself(self):
         own = MEMBERS[0]
         nodes = of_node(own)
         for item in MEMBERS:
             nodes.on_spoken_to(0, item.name)
-        self.assertIsNone(nodes.own(1_000))
+        self.assertIsNone(nodes.own_aggregator(1_000))
         self.assertIsNotNone(nodes.of(1_000, "b"))
 
     def test_the_widest_link_comes_first(self):
@@ -64,10 +64,10 @@
             wide = member(name, "a", link_mbps=200)
             nodes = Aggregators("a-0", "a", link_mbps=10)
             nodes.set_members([*MEMBERS[1:6], wide])
-            self.assertEqual(nodes.own(0), wide)
+            self.assertEqual(nodes.own_aggregator(0), wide)
             nodes = Aggregators(name, "a", link_mbps=200)
             nodes.set_members(MEMBERS)
-            self.assertIsNone(nodes.own(0))
+            self.assertIsNone(nodes.own_aggregator(0))
 
     def test_few_nodes_need_none(self):
         nodes = Aggregators("a-0", "a", link_mbps=100)
--- a/tests/aggregators/test_root.py
+++ b/tests/aggregators/test_root.py
@@ -21,7 +21,7 @@
     return {
         name: nodes.root(now_ms)
         for name, nodes in nodes_by_name.items()
-        if nodes.own(now_ms) is None
+        if nodes.own_aggregator(now_ms) is None
     }
 
 
--- a/tests/feeds/test_root.py
+++ b/tests/feeds/test_root.py
@@ -25,7 +25,7 @@
         self.leaf = next(
             node
             for node in self.network.values()
-            if (own := node.aggregators.own(0)) is not None
+            if (own := node.aggregators.own_aggregator(0)) is not None
             and self.network[own.name] is self.other
         )
 
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -65,7 +65,7 @@
         aggregators.set_members(
             Member(other, "a", (other, 1), 100) for other in NAMES if other != name
         )
-        self.is_first = aggregators.own(0) is None
+        self.is_first = aggregators.own_aggregator(0) is None
         self.index = StoreIndex(STORE, 10_000)
         self.events = SharedEvents(
             store,
--- a/tests/replicas/test_telling.py
+++ b/tests/replicas/test_telling.py
@@ -156,7 +156,9 @@
         network.step(20)
         nodes = network.node_by_name.values()
         first = next(
-            node.member.name for node in nodes if node.aggregators.own(500) is None
+            node.member.name
+            for node in nodes
+            if node.aggregators.own_aggregator(500) is None
         )
         for node in nodes:
             node.put("r0", 1)
@@ -181,14 +183,18 @@
         network.step(20)
         nodes = list(network.node_by_name.values())
         now_ms = network.clock.now_ms()
-        node = next(node for node in nodes if node.aggregators.own(now_ms) is not None)
-        first = node.aggregators.own(now_ms)
+        node = next(
+            node
+            for node in nodes
+            if node.aggregators.own_aggregator(now_ms) is not None
+        )
+        first = node.aggregators.own_aggregator(now_ms)
         node.put("r0", 1)
         network.step(8)
         node.aggregators.on_spoken_to(now_ms - 1_000, first.name)
         network.step(1)
         network.step(12)
-        self.assertEqual(node.aggregators.own(network.clock.now_ms()), first)
+        self.assertEqual(node.aggregators.own_aggregator(network.clock.now_ms()), first)
         believed = {
             network.believed(other.member.name, "r0")
             for other in nodes
@@ -248,7 +254,9 @@
                 node.put(f"r{i}", i % 3)
             network.step(1)
         now_ms = network.clock.now_ms()
-        followers = [n for n in nodes if n.aggregators.own(now_ms) is not None]
+        followers = [
+            n for n in nodes if n.aggregators.own_aggregator(now_ms) is not None
+        ]
         self.assertLessEqual(max(heard[n.member.name] for n in followers), 14)
 
     def test_nodes_that_take_different_aggregators_are_all_counted_once(self):
@@ -260,7 +268,9 @@
         network.step(20)
         nodes = network.node_by_name.values()
         first = next(
-            n for n in nodes if n.aggregators.own(network.clock.now_ms()) is None
+            n
+            for n in nodes
+            if n.aggregators.own_aggregator(network.clock.now_ms()) is None
         )
         domain = first.member.failure_domain
         neighbours = [
