--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -126,7 +126,7 @@
             or (domain == self._domain and _rank_of(member) < self._own_rank)
         ]
 
-    def root(self, now_ms: int) -> Member | None:
+    def root_aggregator(self, now_ms: int) -> Member | None:
         """Return the first of all domains' aggregators, None if it is this node.
 
         It reads for all domains what one node can read for them. Everyone ranks all
--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -242,9 +242,9 @@
         """Return the node to ask, None where the store is to be asked."""
         if now_ms < self._distrusted_until_ms or not self._aggregators.are_needed:
             return None
-        return self._aggregators.own_aggregator(now_ms) or self._aggregators.root(
+        return self._aggregators.own_aggregator(
             now_ms
-        )
+        ) or self._aggregators.root_aggregator(now_ms)
 
     async def _answer(self, sender: str, ask: Any) -> Any:
         """Answer another node's question from this one's copy."""
@@ -275,7 +275,7 @@
 
     def _is_old(self, table: str, copy: TableCopy) -> bool:
         now_ms = self._clock.now_ms()
-        reads_store = self._aggregators.root(now_ms) is None
+        reads_store = self._aggregators.root_aggregator(now_ms) is None
         max_age_ms = _OLD_AT_ROOT_MS if reads_store else _OLD_MS
         max_age_ms = self._old_ms_by_table.get(table, max_age_ms)
         return now_ms - copy.as_of_ms > max_age_ms
--- a/tests/aggregators/test_root.py
+++ b/tests/aggregators/test_root.py
@@ -19,7 +19,7 @@
 
 def roots(now_ms, nodes_by_name):
     return {
-        name: nodes.root(now_ms)
+        name: nodes.root_aggregator(now_ms)
         for name, nodes in nodes_by_name.items()
         if nodes.own_aggregator(now_ms) is None
     }
@@ -48,5 +48,5 @@
             for other in DOMAINS:
                 if DOMAINS[other] == DOMAINS[first]:
                     nodes.on_spoken_to(0, other)
-            root = nodes.root(1_000)
+            root = nodes.root_aggregator(1_000)
             self.assertTrue(root is None or DOMAINS[root.name] != DOMAINS[first])
--- a/tests/feeds/test_root.py
+++ b/tests/feeds/test_root.py
@@ -20,7 +20,9 @@
                 name, self.network, self.store, self.clock, DOMAINS
             )
         aggregators = [n for n in self.network.values() if n.tables.serves_other_nodes]
-        (self.root,) = [n for n in aggregators if n.aggregators.root(0) is None]
+        (self.root,) = [
+            n for n in aggregators if n.aggregators.root_aggregator(0) is None
+        ]
         self.other = next(n for n in aggregators if n is not self.root)
         self.leaf = next(
             node
