--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -42,7 +42,7 @@
 
     >>> nodes = Aggregators("a", "d1", link_mbps=100)
     >>> nodes.set_members([Member("b", "d2", ("10.0.0.2", 77), 100)])
-    >>> nodes.of(0, "d2").name, nodes.of(0, "d1") is None
+    >>> nodes.aggregator_of(0, "d2").name, nodes.aggregator_of(0, "d1") is None
     ('b', True)
     """
 
@@ -98,7 +98,7 @@
                 return member
         return None
 
-    def of(self, now_ms: int, failure_domain: str) -> Member | None:
+    def aggregator_of(self, now_ms: int, failure_domain: str) -> Member | None:
         """Return another domain's aggregator; the first if all are silent."""
         members = self._members_by_domain.get(failure_domain, [])
         for member in members:
@@ -115,7 +115,7 @@
         """
         names = set(telling)
         for domain in self.other_domains():
-            member = self.of(now_ms, domain)
+            member = self.aggregator_of(now_ms, domain)
             if member is not None:
                 names.add(member.name)
         return [
@@ -134,7 +134,7 @@
         """
         best: Member | None = None
         for domain in self.other_domains():
-            member = self.of(now_ms, domain)
+            member = self.aggregator_of(now_ms, domain)
             if member is None or self._is_silent(now_ms, member.name):
                 continue
             if best is None or _rank_of(member) < _rank_of(best):
--- a/tests/aggregators/test_choice.py
+++ b/tests/aggregators/test_choice.py
@@ -26,7 +26,7 @@
             found = nodes.own_aggregator(0)
             named[own.failure_domain].add(found.name if found else own.name)
             for domain in nodes.other_domains():
-                named[domain].add(nodes.of(0, domain).name)
+                named[domain].add(nodes.aggregator_of(0, domain).name)
         self.assertEqual([len(names) for names in named.values()], [1, 1, 1])
 
     def test_a_silent_one_is_passed_over_and_taken_again(self):
@@ -52,7 +52,7 @@
         for item in MEMBERS:
             nodes.on_spoken_to(0, item.name)
         self.assertIsNone(nodes.own_aggregator(1_000))
-        self.assertIsNotNone(nodes.of(1_000, "b"))
+        self.assertIsNotNone(nodes.aggregator_of(1_000, "b"))
 
     def test_the_widest_link_comes_first(self):
         """Symptom: loads are told late though nothing is lost, and calls time out.
