--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -79,7 +79,7 @@
         """Return the failure domains of other nodes but this one's."""
         return [domain for domain in self._members_by_domain if domain != self._domain]
 
-    def neighbours(self) -> list[Address]:
+    def neighbour_addresses(self) -> list[Address]:
         """Return the addresses of the other nodes of this failure domain."""
         members = self._members_by_domain.get(self._domain, ())
         return [member.address for member in members]
--- a/fireflyward/prefixes/_telling.py
+++ b/fireflyward/prefixes/_telling.py
@@ -82,7 +82,7 @@
     def tell(self, link: PeerLink) -> None:
         """Tell what was read since the last call."""
         unsaid, self._unsaid = self._unsaid, []
-        neighbours = self._aggregators.neighbours()
+        neighbours = self._aggregators.neighbour_addresses()
         for group in _groups(unsaid):
             news = StoresNews(stores=[encoded(*item) for item in group])
             link.send_all(neighbours, _KIND, news)
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -181,7 +181,7 @@
     def _tell_sums(self, link: PeerLink, now_ms: int, own: Told) -> None:
         if now_ms < self._next_sum_ms - _PERIOD_MS / 2:
             return
-        neighbours = self._aggregators.neighbours()
+        neighbours = self._aggregators.neighbour_addresses()
         self._next_sum_ms = now_ms + self._sum_period_ms(link, len(neighbours))
         self._tell_other_aggregators(link, now_ms, _plus(self._peers.told(now_ms), own))
         total = _plus(self._peers.total(now_ms), own)
