--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -84,7 +84,7 @@
         members = self._members_by_domain.get(self._domain, ())
         return [member.address for member in members]
 
-    def everyone(self) -> list[Address]:
+    def all_addresses(self) -> list[Address]:
         """Return the addresses of all other nodes."""
         groups = self._members_by_domain.values()
         return [member.address for group in groups for member in group]
--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -183,7 +183,7 @@
 
         Each item is what one node knows, if it knows any.
         """
-        others = self._aggregators.everyone()
+        others = self._aggregators.all_addresses()
         asked = random.sample(others, min(_MOST_ASKED, len(others)))
         lost = Position(self._era(), _LOST_ROWS)
         answers = await asyncio.gather(
--- a/fireflyward/fleet/_known_replicas.py
+++ b/fireflyward/fleet/_known_replicas.py
@@ -55,10 +55,10 @@
             clock=clock,
             pool=pool,
             directory=self.directory,
-            peers=aggregators.everyone,
+            peers=aggregators.all_addresses,
         )
         self.notices = NoticeTask(
-            clock=clock, directory=self.directory, peers=aggregators.everyone
+            clock=clock, directory=self.directory, peers=aggregators.all_addresses
         )
 
     def set_nodes(self, names: Collection[str]) -> None:
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -92,7 +92,7 @@
         self._news = LoadNews(
             clock=clock,
             directory=self._directory,
-            peer_addresses=self._aggregators.everyone,
+            peer_addresses=self._aggregators.all_addresses,
         )
         self._quarantine = Quarantine(
             clock=clock,
@@ -101,7 +101,7 @@
             store=self._store,
             table=NODE_TABLE,
             node=settings.node,
-            peer_addresses=self._aggregators.everyone,
+            peer_addresses=self._aggregators.all_addresses,
             look_soon=lambda: self._joining.look_soon(),
         )
         self._forwarder = self._make_forwarder()
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -151,7 +151,7 @@
         self._peers.follow(None)
         own = self._own()
         if self._is_due(self._clock.now_ms(), own):
-            link.send_all(self._aggregators.everyone(), _NEWS, _message(own))
+            link.send_all(self._aggregators.all_addresses(), _NEWS, _message(own))
 
     def _tell_aggregator(self, link: PeerLink) -> None:
         now_ms, own = self._clock.now_ms(), self._own()
--- a/tests/fleet/node_fixtures.py
+++ b/tests/fleet/node_fixtures.py
@@ -153,7 +153,7 @@
         return (
             node.is_ready
             and len(node._directory) == 4
-            and len(node._aggregators.everyone()) == len(self.nodes) - 1
+            and len(node._aggregators.all_addresses()) == len(self.nodes) - 1
         )
 
 
