--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -106,7 +106,7 @@
                 return member
         return members[0] if members else None
 
-    def summing(self, now_ms: int, telling: Iterable[str]) -> list[Member]:
+    def publishing_nodes(self, now_ms: int, telling: Iterable[str]) -> list[Member]:
         """Return the other nodes that may sum up for some domain now.
 
         They are each other domain's aggregator, the nodes of this domain that would
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -205,7 +205,7 @@
         different ones for silent. Whoever hears a sum of both tells both its own.
         """
         telling = self._peers.telling_sums(now_ms)
-        others = self._aggregators.summing(now_ms, telling)
+        others = self._aggregators.publishing_nodes(now_ms, telling)
         addresses = [member.address for member in others]
         parts = _parts(self._sum_changes.due(now_ms, own_sum))
         for part in parts:
