--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -143,7 +143,7 @@
             return None
         return best
 
-    def on_spoken_to(self, now_ms: int, name: str) -> None:
+    def on_sent_to(self, now_ms: int, name: str) -> None:
         """Note that something was sent to a node that should soon be heard."""
         self._spoken_to_ms_by_name.setdefault(name, now_ms)
 
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -161,7 +161,7 @@
         self._peers.follow(aggregator.name if aggregator is not None else None)
         if aggregator is not None and self._is_due(now_ms, own):
             link.send(aggregator.address, _NEWS, _message(own))
-            self._aggregators.on_spoken_to(now_ms, aggregator.name)
+            self._aggregators.on_sent_to(now_ms, aggregator.name)
             self._peers.on_told_own(now_ms, own)
         # Once nobody tells this node any more it takes back what it told last.
         if aggregator is None or self._peers.is_told or self._sum_changes.is_open:
@@ -211,7 +211,7 @@
         for part in parts:
             link.send_all(addresses, _SUM, _message(part))
         for member in others if parts else ():
-            self._aggregators.on_spoken_to(now_ms, member.name)
+            self._aggregators.on_sent_to(now_ms, member.name)
 
     async def _hear_news(self, sender: str, news: Any) -> None:
         self._aggregators.on_heard(sender)
--- a/tests/aggregators/test_choice.py
+++ b/tests/aggregators/test_choice.py
@@ -38,8 +38,8 @@
         own = next(m for m in MEMBERS if of_node(m).own_aggregator(0) is not None)
         nodes = of_node(own)
         first = nodes.own_aggregator(0)
-        nodes.on_spoken_to(0, first.name)
-        nodes.on_spoken_to(400, first.name)
+        nodes.on_sent_to(0, first.name)
+        nodes.on_sent_to(400, first.name)
         self.assertEqual(nodes.own_aggregator(449), first)
         second = nodes.own_aggregator(450)
         self.assertNotEqual(second, first)
@@ -50,7 +50,7 @@
         own = MEMBERS[0]
         nodes = of_node(own)
         for item in MEMBERS:
-            nodes.on_spoken_to(0, item.name)
+            nodes.on_sent_to(0, item.name)
         self.assertIsNone(nodes.own_aggregator(1_000))
         self.assertIsNotNone(nodes.aggregator_of(1_000, "b"))
 
--- a/tests/aggregators/test_root.py
+++ b/tests/aggregators/test_root.py
@@ -47,6 +47,6 @@
             nodes = self.nodes_by_name[name]
             for other in DOMAINS:
                 if DOMAINS[other] == DOMAINS[first]:
-                    nodes.on_spoken_to(0, other)
+                    nodes.on_sent_to(0, other)
             root = nodes.root_aggregator(1_000)
             self.assertTrue(root is None or DOMAINS[root.name] != DOMAINS[first])
--- a/tests/replicas/test_telling.py
+++ b/tests/replicas/test_telling.py
@@ -191,7 +191,7 @@
         first = node.aggregators.own_aggregator(now_ms)
         node.put("r0", 1)
         network.step(8)
-        node.aggregators.on_spoken_to(now_ms - 1_000, first.name)
+        node.aggregators.on_sent_to(now_ms - 1_000, first.name)
         network.step(1)
         network.step(12)
         self.assertEqual(node.aggregators.own_aggregator(network.clock.now_ms()), first)
