--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -147,7 +147,7 @@
         """Note that something was sent to a node that should soon be heard."""
         self._spoken_to_ms_by_name.setdefault(name, now_ms)
 
-    def on_heard(self, name: str) -> None:
+    def on_received_from(self, name: str) -> None:
         """Note that something came from a node."""
         self._spoken_to_ms_by_name.pop(name, None)
 
--- a/fireflyward/replicas/_telling.py
+++ b/fireflyward/replicas/_telling.py
@@ -214,15 +214,15 @@
             self._aggregators.on_sent_to(now_ms, member.name)
 
     async def _hear_news(self, sender: str, news: Any) -> None:
-        self._aggregators.on_heard(sender)
+        self._aggregators.on_received_from(sender)
         self._peers.take(self._clock.now_ms(), sender, _decoded(news))
 
     async def _hear_sum(self, sender: str, news: Any) -> None:
-        self._aggregators.on_heard(sender)
+        self._aggregators.on_received_from(sender)
         self._peers.take_sum(self._clock.now_ms(), sender, _decoded(news))
 
     async def _hear_total(self, sender: str, news: Any) -> None:
-        self._aggregators.on_heard(sender)
+        self._aggregators.on_received_from(sender)
         self._peers.take_total(self._clock.now_ms(), sender, _decoded(news))
 
 
--- a/tests/aggregators/test_choice.py
+++ b/tests/aggregators/test_choice.py
@@ -43,7 +43,7 @@
         self.assertEqual(nodes.own_aggregator(449), first)
         second = nodes.own_aggregator(450)
         self.assertNotEqual(second, first)
-        nodes.on_heard(first.name)
+        nodes.on_received_from(first.name)
         self.assertEqual(nodes.own_aggregator(500), first)
 
     def test_with_all_others_silent_a_node_sums_up_itself(self):
