--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -336,7 +336,7 @@
     ) -> Callable[[TableUpdate], None]:
         """Keep a table's news for others; the last one needed opens the gate."""
         is_operators = table == CONFIGURATION_TABLE
-        take = self._tables.kept(table, on_news, retains_rows=is_operators)
+        take = self._tables.caching_listener(table, on_news, retains_rows=is_operators)
 
         def take_and_note(news: TableUpdate) -> None:
             # An aggregator may tell of a new era before the store itself does.
