--- a/fireflyward/feeds/_follower.py
+++ b/fireflyward/feeds/_follower.py
@@ -15,7 +15,7 @@
 
 # The longest that a call may take beyond its wait. The store answers in a few ms;
 # one that is fifty times slower still makes it.
-_SLACK_MS = 700
+_CALL_OVERHEAD_LIMIT_MS = 700
 # Pauses after failures: short first, because most are one lost connection, and
 # then so long that a hundred nodes stay within the store's rates.
 _FIRST_PAUSE_MS = 100
@@ -148,7 +148,10 @@
         if self._needs_whole:
             return await self._reader.rows(self._table)
         return await self._reader.changes(
-            self._table, after=self._position, wait_ms=wait_ms, limit_ms=_SLACK_MS
+            self._table,
+            after=self._position,
+            wait_ms=wait_ms,
+            limit_ms=_CALL_OVERHEAD_LIMIT_MS,
         )
 
     def _proven_ms(self, result: Snapshot | Changes, sent_ms: int, wait_ms: int) -> int:
--- a/tests/fleet/test_paces.py
+++ b/tests/fleet/test_paces.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from fireflyward.feeds._follower import _SLACK_MS
+from fireflyward.feeds._follower import _CALL_OVERHEAD_LIMIT_MS
 from fireflyward.fleet._paces import configuration_pace, replicas_pace
 
 
@@ -24,8 +24,8 @@
                 pace = replicas_pace(
                     drain_ms, is_shared=is_shared, serves_other_nodes=serves_other_nodes
                 )
-                lost_ms = pace.wait_ms + _SLACK_MS
+                lost_ms = pace.wait_ms + _CALL_OVERHEAD_LIMIT_MS
                 self.assertLess(lost_ms + 3 * pace.pause_ms, drain_ms)
             alone = replicas_pace(drain_ms, is_shared=False, serves_other_nodes=False)
-            lost_ms = alone.wait_ms + _SLACK_MS
+            lost_ms = alone.wait_ms + _CALL_OVERHEAD_LIMIT_MS
             self.assertLess(lost_ms + alone.pause_ms, drain_ms)
