--- a/fireflyward/feeds/__init__.py
+++ b/fireflyward/feeds/__init__.py
@@ -1,20 +1,20 @@
-"""Following a table of the platform's store, through gaps and outages."""
+"""Follows tables of the platform's store through lost history and outages."""
 
 from ._cached_table import RETENTION_MS
 from ._follower import FeedFollower, TableUpdate
 from ._messages import Changes, HistoryLost, Pace, Snapshot, TableRow
-from ._seen_rows import SeenRows
+from ._restored_rows import RestoredRowDetector
 from ._sharing import SharedTables
 
 __all__ = [
     "RETENTION_MS",
     "Changes",
     "FeedFollower",
-    "TableUpdate",
     "HistoryLost",
     "Pace",
-    "SeenRows",
+    "RestoredRowDetector",
     "SharedTables",
     "Snapshot",
     "TableRow",
+    "TableUpdate",
 ]
--- a/fireflyward/feeds/_follower.py
+++ b/fireflyward/feeds/_follower.py
@@ -1,4 +1,4 @@
-"""The task that keeps a copy of one table."""
+"""The task that follows one table."""
 
 import logging
 from collections.abc import Callable
@@ -9,35 +9,39 @@
 from fireflyward.clock import Clock
 
 from ._messages import Changes, HistoryLost, Pace, Snapshot, TableRow
-from ._seen_rows import SeenRows
+from ._restored_rows import RestoredRowDetector
 
 log = logging.getLogger("fireflyward.feeds")
 
-# The longest that a call may take beyond its wait. The store answers in a few ms;
-# one that is fifty times slower still makes it.
+# How long a call may take in addition to the time that it waits for changes. The store
+# answers in a few ms; a store that is fifty times slower still answers in time.
 _CALL_OVERHEAD_LIMIT_MS = 700
-# Pauses after failures: short first, because most are one lost connection, and
-# then so long that a hundred nodes stay within the store's rates.
-_FIRST_PAUSE_MS = 100
-_LONGEST_PAUSE_MS = 800
+# Pauses after failures are short at first, because most failures are a single lost
+# connection. They grow until a hundred nodes stay within the store's call rate.
+_RETRY_PAUSE_BASE_MS = 100
+_MAX_RETRY_PAUSE_MS = 800
 
 
-def proven_ms(result: Changes, asked_ms: int, answered_ms: int, wait_ms: int) -> int:
-    """Return the moment for which an answer to a waiting call is proof.
+def valid_as_of_ms(
+    result: Changes, sent_ms: int, received_ms: int, wait_ms: int
+) -> int:
+    """Return the latest time at which the table is known to have had a state.
 
-    >>> proven_ms(Changes((), Position(0, 5)), 1_000, 3_200, 1_900)
+    ``result`` answers a call that was sent at ``sent_ms`` and waited for changes.
+
+    >>> valid_as_of_ms(Changes((), Position(0, 5)), 1_000, 3_200, 1_900)
     2900
     """
     if result.as_of_ms is not None:
         return result.as_of_ms
     if result.rows:
-        return asked_ms
-    # Without a change the store answers only when the wait is over.
-    return asked_ms + min(answered_ms - asked_ms, wait_ms)
+        return sent_ms
+    # If nothing changed, the store answers only when the wait is over.
+    return sent_ms + min(received_ms - sent_ms, wait_ms)
 
 
 class TableReader(Protocol):
-    """What a follower needs of the store."""
+    """The calls that a follower makes to the store or another node."""
 
     async def rows(
         self, table: str, *, part: str = "", limit_ms: float = 1_000
@@ -50,15 +54,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TableUpdate:
-    """News of a table, ``as_of_ms`` of this node's clock.
+    """The result of one read of a table, valid ``as_of_ms`` by this node's clock.
 
-    With ``is_snapshot`` the rows are all there are, and whatever else was known is
-    gone; otherwise they are changes. ``unavailable_ms`` is how long the store had not
-    answered before this, ``position`` the table's own.
+    With ``is_snapshot`` the rows are the full table, and a cached row that is not among
+    them was deleted; otherwise the rows are changes. ``unavailable_ms`` is how long the
+    store had not answered before this read, ``position`` the position of the table.
 
-    ``is_new_era`` tells that the store came back from an older copy, and this is the
-    first whole table of it: what was known and is not there has been lost by the store,
-    and whoever wrote it writes it again.
+    ``is_new_era`` says that the store was restored from an older snapshot and that this
+    is the first full read since then. A cached row that is not among the rows was lost
+    by the store, and its writer writes it again.
     """
 
     rows: tuple[TableRow, ...]
@@ -70,14 +74,14 @@
 
 
 class FeedFollower:
-    """Reads a table once and then follows it; ``on_update`` hears all of it.
+    """Reads a table once, then its changes, and calls ``on_update`` with each result.
 
-    Each answer proves how the table stood when the call was sent, which is the
-    age that callers of ``as_of_ms`` may rely on: an answer that was held up on the
-    way proves nothing about the time since.
+    ``as_of_ms`` is the latest time for which the follower knows the table's state. It
+    counts from when a call was sent: an answer that was delayed on the way says nothing
+    about changes in the meantime.
 
-    A position of an earlier era is none to read on from, even where the store has given
-    out its version again, so in each new era the table is read anew.
+    The follower never continues from a position of an earlier era, because the store
+    may have assigned the same version again. In each new era it reads the full table.
     """
 
     def __init__(
@@ -93,15 +97,15 @@
         self._table = table
         self._reader = reader
         self._clock = clock
-        self._on_news = on_update
+        self._on_update = on_update
         self._pace = pace
         self._position = Position(0, -1)
         self._has_read = False
-        self._seen = SeenRows()
-        self._needs_whole = True
+        self._restored_rows = RestoredRowDetector()
+        self._needs_full_read = True
         self._failures = 0
         self._failure = ""
-        self._is_to_be_read_anew = False
+        self._skips_pause = False
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
@@ -112,40 +116,45 @@
 
     @property
     def pause_ms(self) -> int:
-        """Return the pause before the next call."""
-        if self._is_to_be_read_anew:
+        """Return the pause before the next call, in ms."""
+        if self._skips_pause:
             return 0
         if self._failures:
-            return min(_LONGEST_PAUSE_MS, _FIRST_PAUSE_MS << min(self._failures, 4))
+            return min(
+                _MAX_RETRY_PAUSE_MS, _RETRY_PAUSE_BASE_MS << min(self._failures, 4)
+            )
         return self._pace().pause_ms
 
     async def step(self) -> bool:
         """Make one call; return whether the store answered it."""
-        self._is_to_be_read_anew = False
+        self._skips_pause = False
         sent_ms = self._clock.now_ms()
-        # After a failure the age of what is known matters most: do not wait.
+        # After a failure the call does not wait for changes, because an immediate
+        # answer confirms the current state sooner.
         wait_ms = 0 if self._failures else self._pace().wait_ms
         result = await self._call(wait_ms)
         if isinstance(result, Unavailable):
-            return self._failed(result)
+            return self._record_failure(result)
         if isinstance(result, HistoryLost):
             log.info("feeds: %s lost its history after %s", self._table, self._position)
-            return self._read_anew()
+            return self._request_full_read()
         if result.position < self._position:
-            # A copy of the store that lags: taking it would bring back what has
-            # been replaced already.
-            return self._failed(Unavailable("older than what was read before"))
+            # A store replica that lags behind sent this answer. Applying it would bring
+            # back rows that have already been replaced.
+            return self._record_failure(
+                Unavailable("its answer is older than the last read")
+            )
         era = result.position.era
         if isinstance(result, Changes) and era != self._position.era:
-            log.info("feeds: %s is read anew in era %d", self._table, era)
-            return self._read_anew()
-        self._take(result, self._proven_ms(result, sent_ms, wait_ms))
+            log.info("feeds: full read of %s in new era %d", self._table, era)
+            return self._request_full_read()
+        self._apply(result, self._valid_as_of_ms(result, sent_ms, wait_ms))
         return True
 
     async def _call(
         self, wait_ms: int
     ) -> Snapshot | Changes | HistoryLost | Unavailable:
-        if self._needs_whole:
+        if self._needs_full_read:
             return await self._reader.rows(self._table)
         return await self._reader.changes(
             self._table,
@@ -154,21 +163,23 @@
             limit_ms=_CALL_OVERHEAD_LIMIT_MS,
         )
 
-    def _proven_ms(self, result: Snapshot | Changes, sent_ms: int, wait_ms: int) -> int:
-        """Return the moment for which an answer proves how the table stood."""
+    def _valid_as_of_ms(
+        self, result: Snapshot | Changes, sent_ms: int, wait_ms: int
+    ) -> int:
+        """Return the latest time at which the table had the result's state."""
         if isinstance(result, Snapshot):
             return sent_ms if result.as_of_ms is None else result.as_of_ms
-        return proven_ms(result, sent_ms, self._clock.now_ms(), wait_ms)
+        return valid_as_of_ms(result, sent_ms, self._clock.now_ms(), wait_ms)
 
-    def _take(self, result: Snapshot | Changes, as_of_ms: int) -> None:
+    def _apply(self, result: Snapshot | Changes, as_of_ms: int) -> None:
         unavailable_ms = 0 if self.as_of_ms is None else as_of_ms - self.as_of_ms
         if self._failures:
             log.info("feeds: %s is back after %d ms", self._table, unavailable_ms)
         is_snapshot = isinstance(result, Snapshot)
-        rows = self._seen.marked(result.rows) if is_snapshot else result.rows
+        rows = self._restored_rows.mark(result.rows) if is_snapshot else result.rows
         if not is_snapshot:
-            self._seen.note(rows)
-        news = TableUpdate(
+            self._restored_rows.record(rows)
+        update = TableUpdate(
             rows,
             is_snapshot,
             as_of_ms,
@@ -176,30 +187,30 @@
             result.position,
             is_new_era=self._has_read and self._position.era < result.position.era,
         )
-        if news.is_new_era:
-            self._log_new_era(news)
+        if update.is_new_era:
+            self._log_new_era(update)
         self._failures = 0
-        self._needs_whole = False
+        self._needs_full_read = False
         self._position = result.position
         self._has_read = True
         self.as_of_ms = as_of_ms
-        self._on_news(news)
+        self._on_update(update)
 
-    def _log_new_era(self, news: TableUpdate) -> None:
+    def _log_new_era(self, update: TableUpdate) -> None:
         log.info(
             "feeds: %s read at %s: %d rows, %d of them as in an earlier era",
             self._table,
-            news.position,
-            len(news.rows),
-            sum(row.is_restored for row in news.rows),
+            update.position,
+            len(update.rows),
+            sum(row.is_restored for row in update.rows),
         )
 
-    def _read_anew(self) -> bool:
-        self._needs_whole = True
-        self._is_to_be_read_anew = True
+    def _request_full_read(self) -> bool:
+        self._needs_full_read = True
+        self._skips_pause = True
         return True
 
-    def _failed(self, result: Unavailable) -> bool:
+    def _record_failure(self, result: Unavailable) -> bool:
         if not self._failures or result.detail != self._failure:
             log.warning("feeds: %s is away: %s", self._table, result.detail)
         self._failure = result.detail
--- a/fireflyward/feeds/_messages.py
+++ b/fireflyward/feeds/_messages.py
@@ -1,4 +1,4 @@
-"""What a table's feed gives."""
+"""Results of reading a table and its feed of changes."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TableRow:
-    """One row, written at ``position``; a deleted one has no value.
+    """One row and the ``position`` of its last write; a deleted row has no value.
 
-    With ``is_restored`` it was known in an earlier era: the store came back from a copy
-    that has it, and what was known to come after it holds.
+    ``is_restored`` says that this node read the same row in an earlier era: the store
+    was restored from an older snapshot that contains it. If this node had read a newer
+    row for the key, that newer row remains valid.
     """
 
     key: str
@@ -22,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All rows of a table; ``position`` is where its feed is read on from.
+    """All rows of a table; reading its changes continues at ``position``.
 
-    ``as_of_ms`` is as in ``Changes``.
+    ``as_of_ms`` has the same meaning as in ``Changes``.
     """
 
     rows: tuple[TableRow, ...]
@@ -34,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """The rows that changed, in order, and the position that they lead to.
+    """The rows that changed, in order, and the table's position after them.
 
-    ``as_of_ms`` is the moment at which the table stood like this, where the reader
-    knows it better than by when it asked and how long it waited.
+    ``as_of_ms`` is the time at which the table had this state. It is None if the reader
+    can derive that time only from when it sent the call and how long it waited.
     """
 
     rows: tuple[TableRow, ...]
@@ -55,4 +56,4 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The store no longer has the changes asked for; read everything anew."""
+    """The store no longer has the requested changes; read the full table."""
--- a/fireflyward/feeds/_sharing.py
+++ b/fireflyward/feeds/_sharing.py
@@ -1,4 +1,4 @@
-"""Many nodes read tables through the aggregator of their failure domain."""
+"""Reads tables through the aggregator of the failure domain."""
 
 import asyncio
 import logging
@@ -12,9 +12,9 @@
 from fireflyward.clock import Clock, within_ms
 from fireflyward.peers import Address, CallFailed, PeerLink
 
-from ._cached_table import TableCopy
+from ._cached_table import CachedTable
 from ._feeds_structs import FeedAnswer, FeedAsk, FeedRow
-from ._follower import TableReader, TableUpdate, proven_ms
+from ._follower import TableReader, TableUpdate, valid_as_of_ms
 from ._messages import Changes, HistoryLost, Snapshot, TableRow
 
 log = logging.getLogger("fireflyward.feeds")
@@ -22,47 +22,52 @@
 
 _KIND = "feed"
 _CHANGES, _WHOLE = "changes", "whole"
-_LOST, _UNABLE = "history lost", "unable"
-# Asks for the whole table. Nodes that start together ask each other before they have
-# read anything; whoever is asked then answers as soon as it has.
-_WHOLE_TABLE = -1
-# Asks for the rows of earlier eras alone, which the store has not again.
-_LOST_ROWS = -2
-_NOWHERE = Position(0, 0)
-_FIRST_READING_MS = 800
-# A node that starts reads a table itself if its aggregator has not answered by then.
-_PATIENCE_MS = 150
-# An aggregator whose own copy is older than this is asked no more: it may be cut off
-# from the store while others are not. The root proves each table every 0.7 s, and an
-# aggregator that reads through the root has that proof 0.7 s later at the most.
-_OLD_AT_ROOT_MS = 1_300
-_OLD_MS = 2_000
-# The way to a neighbour and back with one lost packet.
-_SLACK_MS = 400
-# An aggregator that failed is not asked for as long as its successor needs to be
-# named and to have read the tables.
-_DISTRUST_MS = 2_500
-# One where nothing listens yet has just started: before the first key is drawn nodes
-# are listed and cannot open their links. They do so within half a second.
-_NOT_YET_MS = 500
-# Other nodes that are asked what they know of before a drill; each may have started or
-# been cut off itself.
-_MOST_ASKED = 3
+_HISTORY_LOST, _UNABLE = "history lost", "unable"
+# In place of a version: requests the full table. Nodes that start together query each
+# other before they have read anything; the queried node answers when it has read it.
+_FULL_READ = -1
+# In place of a version: requests only the retained rows of earlier eras, which the
+# restored store lacks.
+_ROWS_OF_EARLIER_ERAS = -2
+_NO_POSITION = Position(0, 0)
+_FULL_READ_TIMEOUT_MS = 800
+# A starting node also reads a table from the store if its aggregator has not answered
+# within this time.
+_STORE_FALLBACK_MS = 150
+# An aggregator stops answering from a cached table that is older than this, because it
+# may have lost the store while other nodes can still reach it. The root confirms each
+# table every 0.7 s, and an aggregator that reads through the root gets that
+# confirmation up to 0.7 s later.
+_MAX_AGE_AT_ROOT_MS = 1_300
+_MAX_AGE_MS = 2_000
+# A round trip to another node with one lost packet.
+_ROUND_TRIP_LIMIT_MS = 400
+# After an aggregator has failed, a node reads from the store until the successor has
+# been chosen and has read the tables.
+_FAILED_AGGREGATOR_PAUSE_MS = 2_500
+# An aggregator that refuses connections has just started: until the first key has been
+# generated, nodes are listed but cannot open their links. They open them within 500 ms.
+_STARTING_AGGREGATOR_PAUSE_MS = 500
+# How many other nodes are queried for retained rows; each of them may have just started
+# or may have been partitioned itself.
+_MAX_NODES_QUERIED = 3
 _MS_PER_SECOND = 1_000
 
 
 class SharedTables:
-    """Reads tables from the aggregator, and from the store where that fails.
-
-    The store's calls grow with the nodes that follow it. With this, one node of all,
-    the root, follows each table. The other failure domains' aggregators ask it, and
-    their neighbours ask them, as they would ask the store: an answer proves how the
-    table stood at a moment, and one that is held up or comes from a node that was
-    paused proves nothing later than that. Whoever gets no such answer asks the store
-    itself, so that a domain that is cut off from the others goes on by it.
-
-    ``era`` tells the latest era of the store that this node has seen: of an earlier one
-    it takes nothing from others.
+    """Reads tables from the aggregator, and from the store when that fails.
+
+    If every node followed the store, its calls would grow with the number of nodes.
+    Instead, a single node, the root aggregator, follows each table at the store. The
+    aggregators of the other failure domains query the root, and the nodes of a domain
+    query their aggregator, with the same calls that they would send to the store. An
+    answer states the time at which the table had that state; a delayed answer, or one
+    from a node that was paused, does not count as newer than that time. A node that
+    receives no such answer queries the store itself, so a failure domain that is
+    partitioned from the others continues with the store.
+
+    ``era`` returns the latest era of the store that this node has observed. The node
+    accepts no answer of an earlier era from other nodes.
     """
 
     def __init__(
@@ -78,15 +83,15 @@
         self._clock = clock
         self._aggregators = aggregators
         self._link: PeerLink | None = None
-        self._copy_by_table: dict[str, TableCopy] = {}
-        self._changed_by_table: dict[str, asyncio.Event] = {}
-        self._old_ms_by_table: dict[str, int] = {}
-        self._distrusted_until_ms = 0
+        self._cached_by_table: dict[str, CachedTable] = {}
+        self._change_event_by_table: dict[str, asyncio.Event] = {}
+        self._max_age_ms_by_table: dict[str, int] = {}
+        self._store_only_until_ms = 0
 
     def use(self, link: PeerLink) -> None:
-        """Ask and answer over a link from now on."""
+        """Send and answer queries over a link from now on."""
         self._link = link
-        link.register(_KIND, FeedAsk, self._answer)
+        link.register(_KIND, FeedAsk, self._on_query)
 
     def caching_listener(
         self,
@@ -96,28 +101,29 @@
         max_age_ms: int | None = None,
         retains_rows: bool = False,
     ) -> Callable[[TableUpdate], None]:
-        """Return a listener that keeps news for others before it passes them on.
+        """Return a listener that caches updates for other nodes, then forwards them.
 
-        ``max_age_ms`` is for a table of which others may know older news than of most, and
-        ``retains_rows`` for one whose rows hold through an older copy of the store.
+        ``max_age_ms`` replaces the default limit on the age of answers to other nodes.
+        ``retains_rows`` is for a table whose rows remain valid when the store is
+        restored from an older snapshot that lacks them.
         """
-        copy = self._copy_by_table[table] = TableCopy(retains_rows=retains_rows)
+        cached = self._cached_by_table[table] = CachedTable(retains_rows=retains_rows)
         if max_age_ms is not None:
-            self._old_ms_by_table[table] = max_age_ms
-        self._changed_by_table[table] = asyncio.Event()
+            self._max_age_ms_by_table[table] = max_age_ms
+        self._change_event_by_table[table] = asyncio.Event()
 
-        def take(news: TableUpdate) -> None:
-            copy.take(news)
-            if news.rows:
-                self._changed_by_table[table].set()
-                self._changed_by_table[table] = asyncio.Event()
-            on_update(news)
+        def cache_and_forward(update: TableUpdate) -> None:
+            cached.apply(update)
+            if update.rows:
+                self._change_event_by_table[table].set()
+                self._change_event_by_table[table] = asyncio.Event()
+            on_update(update)
 
-        return take
+        return cache_and_forward
 
     @property
     def serves_other_nodes(self) -> bool:
-        """Tell whether other nodes read tables through this one."""
+        """Return whether other nodes read tables from this node."""
         return (
             self._aggregators.are_needed
             and self._aggregators.own_aggregator(self._clock.now_ms()) is None
@@ -126,170 +132,179 @@
     async def rows(
         self, table: str, *, part: str = "", limit_ms: float = 1_000
     ) -> Snapshot | Unavailable:
-        """Read a whole table from the aggregator, or from the store.
+        """Read a full table from the aggregator, or from the store.
 
-        Nothing is served before it is read. After a loss of power the way to an
-        aggregator that is not back may be silent for a second, and an aggregator
-        waits for the root in the same way; so whoever waits for long asks the store
-        as well, and the first answer counts.
+        A node serves no requests before it has read the table. After a power loss, an
+        aggregator that is not up again may leave a query unanswered for a second, and
+        an aggregator waits for the root in the same way. So a node that has waited for
+        ``_STORE_FALLBACK_MS`` also queries the store and uses the first answer.
         """
-        if part or self._asked(self._clock.now_ms()) is None:
+        if part or self._node_to_query(self._clock.now_ms()) is None:
             return await self._reader.rows(table, part=part, limit_ms=limit_ms)
-        asking = asyncio.ensure_future(
-            self._ask(table, self._whole_table(), _FIRST_READING_MS)
+        query = asyncio.ensure_future(
+            self._query_aggregator(
+                table, self._full_read_cursor(), _FULL_READ_TIMEOUT_MS
+            )
         )
-        patience = asyncio.ensure_future(self._clock.sleep_ms(_PATIENCE_MS))
-        reading = None
+        fallback_timer = asyncio.ensure_future(self._clock.sleep_ms(_STORE_FALLBACK_MS))
+        store_read = None
         try:
-            await asyncio.wait({asking, patience}, return_when=FIRST_COMPLETED)
-            if asking.done() and isinstance(asking.result(), Snapshot):
-                return asking.result()
-            reading = asyncio.ensure_future(
+            await asyncio.wait({query, fallback_timer}, return_when=FIRST_COMPLETED)
+            if query.done() and isinstance(query.result(), Snapshot):
+                return query.result()
+            store_read = asyncio.ensure_future(
                 self._reader.rows(table, part=part, limit_ms=limit_ms)
             )
-            await asyncio.wait({asking, reading}, return_when=FIRST_COMPLETED)
-            if asking.done() and isinstance(asking.result(), Snapshot):
-                return asking.result()
-            found = await reading
-            if isinstance(found, Snapshot):
-                return found
-            asked = await asking
-            return asked if isinstance(asked, Snapshot) else found
+            await asyncio.wait({query, store_read}, return_when=FIRST_COMPLETED)
+            if query.done() and isinstance(query.result(), Snapshot):
+                return query.result()
+            store_result = await store_read
+            if isinstance(store_result, Snapshot):
+                return store_result
+            result = await query
+            return result if isinstance(result, Snapshot) else store_result
         finally:
-            for task in (asking, patience, reading):
+            for task in (query, fallback_timer, store_read):
                 if task is not None:
                     task.cancel()
 
     async def changes(
         self, table: str, *, after: Position, wait_ms: int, limit_ms: float
     ) -> Changes | HistoryLost | Unavailable:
-        """Wait for changes at the aggregator, or at the store."""
-        found = await self._ask(table, after, wait_ms)
-        if isinstance(found, Changes | HistoryLost):
-            return found
-        asked_ms = self._clock.now_ms()
+        """Wait for changes, by a call to the aggregator or else to the store."""
+        answer = await self._query_aggregator(table, after, wait_ms)
+        if isinstance(answer, Changes | HistoryLost):
+            return answer
+        sent_ms = self._clock.now_ms()
         result = await self._reader.changes(
             table, after=after, wait_ms=wait_ms, limit_ms=limit_ms
         )
         if not isinstance(result, Changes):
             return result
-        # Counted from when the follower asked, before the aggregator was tried, the
-        # answer would look older than it is by as long as that took.
-        as_of_ms = proven_ms(result, asked_ms, self._clock.now_ms(), wait_ms)
+        # If the follower counted from its own call, it would include the time spent on
+        # the failed query to the aggregator, and the answer would look too old.
+        as_of_ms = valid_as_of_ms(result, sent_ms, self._clock.now_ms(), wait_ms)
         return Changes(result.rows, result.position, as_of_ms)
 
     async def fetch_retained_rows(self, table: str) -> list[TableUpdate]:
-        """Ask a few other nodes for rows of earlier eras that the store has not again.
+        """Query a few other nodes for retained rows that the restored store lacks.
 
-        Each item is what one node knows, if it knows any.
+        Return one update for each node that has such rows.
         """
         others = self._aggregators.all_addresses()
-        asked = random.sample(others, min(_MOST_ASKED, len(others)))
-        lost = Position(self._era(), _LOST_ROWS)
+        queried = random.sample(others, min(_MAX_NODES_QUERIED, len(others)))
+        cursor = Position(self._era(), _ROWS_OF_EARLIER_ERAS)
         answers = await asyncio.gather(
-            *(self._ask_at(address, table, lost, 0) for address in asked)
+            *(self._query_node(address, table, cursor, 0) for address in queried)
         )
         now_ms = self._clock.now_ms()
         return [
-            _changes_of(answer, now_ms)
+            _update_from(answer, now_ms)
             for answer in answers
-            if not _problem(answer) and answer.rows
+            if not _failure_reason(answer) and answer.rows
         ]
 
-    def _whole_table(self) -> Position:
-        return Position(self._era(), _WHOLE_TABLE)
+    def _full_read_cursor(self) -> Position:
+        return Position(self._era(), _FULL_READ)
 
-    async def _ask(
+    async def _query_aggregator(
         self, table: str, after: Position, wait_ms: int
     ) -> Snapshot | Changes | HistoryLost | None:
-        """Return what the aggregator says, None where the store is to be asked."""
+        """Return the aggregator's answer, or None if the store must be queried."""
         now_ms = self._clock.now_ms()
-        aggregator = self._asked(now_ms)
+        aggregator = self._node_to_query(now_ms)
         if self._link is None or aggregator is None:
             return None
-        answer = await self._ask_at(aggregator.address, table, after, wait_ms)
-        problem = _problem(answer)
-        if problem:
-            log.info("feeds: %s not from %s: %s", table, aggregator.name, problem)
+        answer = await self._query_node(aggregator.address, table, after, wait_ms)
+        reason = _failure_reason(answer)
+        if reason:
+            log.info(
+                "feeds: could not read %s from %s: %s", table, aggregator.name, reason
+            )
             is_refused = isinstance(answer, CallFailed) and answer.is_refused
-            distrust_ms = _NOT_YET_MS if is_refused else _DISTRUST_MS
-            self._distrusted_until_ms = self._clock.now_ms() + distrust_ms
+            pause_ms = (
+                _STARTING_AGGREGATOR_PAUSE_MS
+                if is_refused
+                else _FAILED_AGGREGATOR_PAUSE_MS
+            )
+            self._store_only_until_ms = self._clock.now_ms() + pause_ms
             return None
-        if answer.outcome == _LOST:
+        if answer.outcome == _HISTORY_LOST:
             return HistoryLost()
         position = Position(answer.era, answer.version)
-        rows = _rows_of(answer)
-        # The answer was made `waited_ms` after the question at the earliest.
+        rows = _decode_rows(answer)
+        # The answer was made at least `waited_ms` after the request was sent.
         as_of_ms = now_ms + answer.waited_ms - answer.age_ms
         if answer.outcome == _WHOLE:
             return Snapshot(rows, position, as_of_ms=as_of_ms)
         return Changes(rows, position, as_of_ms=as_of_ms)
 
-    async def _ask_at(
+    async def _query_node(
         self, address: Address, table: str, after: Position, wait_ms: int
     ) -> FeedAnswer | CallFailed:
         if self._link is None:
-            return CallFailed("no link yet")
+            return CallFailed("no link to other nodes yet")
         return await self._link.call(
             address,
             _KIND,
             FeedAsk(table=table, after=after.version, wait_ms=wait_ms, era=after.era),
             FeedAnswer,
-            limit_s=(wait_ms + _SLACK_MS) / _MS_PER_SECOND,
+            limit_s=(wait_ms + _ROUND_TRIP_LIMIT_MS) / _MS_PER_SECOND,
         )
 
-    def _asked(self, now_ms: int) -> Member | None:
-        """Return the node to ask, None where the store is to be asked."""
-        if now_ms < self._distrusted_until_ms or not self._aggregators.are_needed:
+    def _node_to_query(self, now_ms: int) -> Member | None:
+        """Return the node to query, or None if the store must be queried."""
+        if now_ms < self._store_only_until_ms or not self._aggregators.are_needed:
             return None
         return self._aggregators.own_aggregator(
             now_ms
         ) or self._aggregators.root_aggregator(now_ms)
 
-    async def _answer(self, sender: str, ask: Any) -> Any:
-        """Answer another node's question from this one's copy."""
-        copy = self._copy_by_table.get(ask.table)
-        if copy is None:
+    async def _on_query(self, sender: str, query: Any) -> Any:
+        """Answer another node's query from the cached table of this node."""
+        cached = self._cached_by_table.get(query.table)
+        if cached is None:
             return _answer(_UNABLE)
-        asked_ms = self._clock.now_ms()
-        after = Position(ask.era, ask.after)
-        if not _is_answered(copy, after):
-            changed = self._changed_by_table[ask.table]
-            await within_ms(self._clock, ask.wait_ms, changed.wait())
-        if copy.position is None or self._is_old(ask.table, copy):
+        received_ms = self._clock.now_ms()
+        after = Position(query.era, query.after)
+        if not _can_answer_now(cached, after):
+            changed = self._change_event_by_table[query.table]
+            await within_ms(self._clock, query.wait_ms, changed.wait())
+        if cached.position is None or self._is_outdated(query.table, cached):
             return _answer(_UNABLE)
-        if copy.position.era < ask.era:
-            # What this node reads is from before a drill that the other knows of.
+        if cached.position.era < query.era:
+            # The sender knows that the store was restored; this node has not yet read
+            # the restored table.
             return _answer(_UNABLE)
-        rows = _rows_asked_for(copy, after)
+        rows = _requested_rows(cached, after)
         if isinstance(rows, HistoryLost):
-            return _answer(_LOST)
+            return _answer(_HISTORY_LOST)
         now_ms = self._clock.now_ms()
         return _answer(
-            _WHOLE if ask.after == _WHOLE_TABLE else _CHANGES,
-            position=max(copy.position, after),
+            _WHOLE if query.after == _FULL_READ else _CHANGES,
+            position=max(cached.position, after),
             rows=rows,
-            age_ms=now_ms - copy.as_of_ms,
-            waited_ms=now_ms - asked_ms,
+            age_ms=now_ms - cached.as_of_ms,
+            waited_ms=now_ms - received_ms,
         )
 
-    def _is_old(self, table: str, copy: TableCopy) -> bool:
+    def _is_outdated(self, table: str, cached: CachedTable) -> bool:
         now_ms = self._clock.now_ms()
         reads_store = self._aggregators.root_aggregator(now_ms) is None
-        max_age_ms = _OLD_AT_ROOT_MS if reads_store else _OLD_MS
-        max_age_ms = self._old_ms_by_table.get(table, max_age_ms)
-        return now_ms - copy.as_of_ms > max_age_ms
+        max_age_ms = _MAX_AGE_AT_ROOT_MS if reads_store else _MAX_AGE_MS
+        max_age_ms = self._max_age_ms_by_table.get(table, max_age_ms)
+        return now_ms - cached.as_of_ms > max_age_ms
 
 
 def _answer(
     outcome: str,
     *,
-    position: Position = _NOWHERE,
+    position: Position = _NO_POSITION,
     rows: tuple[TableRow, ...] = (),
     age_ms: int = 0,
     waited_ms: int = 0,
 ) -> Any:
-    told = [
+    encoded_rows = [
         FeedRow(
             row_key=row.key,
             row_value=row.value,
@@ -302,14 +317,14 @@
     return FeedAnswer(
         outcome=outcome,
         version=position.version,
-        rows=told,
+        rows=encoded_rows,
         age_ms=age_ms,
         waited_ms=waited_ms,
         era=position.era,
     )
 
 
-def _rows_of(answer: Any) -> tuple[TableRow, ...]:
+def _decode_rows(answer: Any) -> tuple[TableRow, ...]:
     return tuple(
         TableRow(
             row.row_key, row.row_value, Position(row.era, row.version), row.is_deleted
@@ -318,32 +333,34 @@
     )
 
 
-def _changes_of(answer: Any, now_ms: int) -> TableUpdate:
-    """Return an answer that came within the slack as changes of the table."""
+def _update_from(answer: Any, now_ms: int) -> TableUpdate:
+    """Return an answer as an update; it is at most ``_ROUND_TRIP_LIMIT_MS`` old."""
     position = Position(answer.era, answer.version)
-    as_of_ms = now_ms - answer.age_ms - _SLACK_MS
-    return TableUpdate(_rows_of(answer), False, as_of_ms, position=position)
+    as_of_ms = now_ms - answer.age_ms - _ROUND_TRIP_LIMIT_MS
+    return TableUpdate(_decode_rows(answer), False, as_of_ms, position=position)
 
 
-def _is_answered(copy: TableCopy, after: Position) -> bool:
-    """Tell whether a copy has what is asked for now."""
-    if after.version in (_WHOLE_TABLE, _LOST_ROWS):
-        return copy.position is not None
-    return copy.after(after) != ()
+def _can_answer_now(cached: CachedTable, after: Position) -> bool:
+    """Return whether a query can be answered without waiting for an update."""
+    if after.version in (_FULL_READ, _ROWS_OF_EARLIER_ERAS):
+        return cached.position is not None
+    return cached.changes_after(after) != ()
 
 
-def _rows_asked_for(
-    copy: TableCopy, after: Position
+def _requested_rows(
+    cached: CachedTable, after: Position
 ) -> tuple[TableRow, ...] | HistoryLost:
-    if after.version == _WHOLE_TABLE:
-        return copy.whole()
-    if after.version == _LOST_ROWS:
-        return copy.of_earlier_eras()
-    return copy.after(after)
+    if after.version == _FULL_READ:
+        return cached.all_rows()
+    if after.version == _ROWS_OF_EARLIER_ERAS:
+        return cached.rows_of_earlier_eras()
+    return cached.changes_after(after)
 
 
-def _problem(answer: Any) -> str:
-    """Say why the store is to be asked, nothing if the answer is of use."""
+def _failure_reason(answer: Any) -> str:
+    """Return why the answer cannot be used, or "" if it can."""
     if isinstance(answer, CallFailed):
         return answer.detail
-    return "its own copy is old" if answer.outcome == _UNABLE else ""
+    return (
+        "its cached table is missing or outdated" if answer.outcome == _UNABLE else ""
+    )
--- a/fireflyward/feeds/feeds.thrift
+++ b/fireflyward/feeds/feeds.thrift
@@ -1,9 +1,11 @@
-/* What a node asks the aggregator of its failure domain in place of the store. */
+/* Queries that a node sends to the aggregator of its failure domain in place of the
+   store. */
 namespace py fireflyward.feeds
 
-/* The changes of a table after a version of an era, with version -1 all of it, in this
-   era or a later one, or with -2 only rows of earlier eras that the store has not again; waits up to wait_ms for the first change, or until all of it has
-   been read once. */
+/* Requests the changes of a table after version `after` of era `era`. With version -1 it
+   requests the full table in this era or a later one, and with -2 only the retained rows
+   of earlier eras that the restored store lacks. The answer waits up to `wait_ms` for the
+   first change, or until the full table has been read once. */
 struct FeedAsk {
   1: required string table,
   2: required i64 after,
@@ -19,8 +21,8 @@
   5: required i64 era,
 }
 
-/* `outcome` is "changes", "whole", "history lost" or "unable". The table stood like this
-   `age_ms` before the answer, which came `waited_ms` after the question. */
+/* `outcome` is "changes", "whole", "history lost" or "unable". The table had this state
+   `age_ms` before the answer was sent, `waited_ms` after the request was received. */
 struct FeedAnswer {
   1: required string outcome,
   2: required i64 version,
--- a/tests/feeds/nodes.py
+++ b/tests/feeds/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that share tables, and the store that they read, all in one process."""
+"""Nodes that read shared tables, and the store that they read, in one process."""
 
 from fireflyward.aggregators import Aggregators, Member
 from fireflyward.backing import Position, Unavailable
@@ -14,7 +14,7 @@
 
 
 class Store:
-    """A table whose feed answers at once."""
+    """A store with one table, whose feed answers without delay."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -36,8 +36,8 @@
         self.calls += 1
         if self.is_down:
             return Unavailable("down")
-        alive = [row for row in self.rows_by_key.values() if not row.is_deleted]
-        return Snapshot(tuple(alive), self.position)
+        current = [row for row in self.rows_by_key.values() if not row.is_deleted]
+        return Snapshot(tuple(current), self.position)
 
     async def changes(self, table, *, after, wait_ms, limit_ms):
         self.calls += 1
@@ -59,12 +59,12 @@
 
     async def call(self, address, kind, message, reply_type, *, limit_s):
         other = self.network[address[0]]
-        if other.is_dark:
+        if other.is_unreachable:
             await other.clock.sleep_ms(limit_s * 1_000)
             return CallFailed("no answer", False)
-        if other.is_dead:
-            other.clock._now_ms += other.fails_after_ms
-            return CallFailed("no answer", other.refuses)
+        if other.is_stopped:
+            other.clock._now_ms += other.failure_delay_ms
+            return CallFailed("no answer", other.refuses_connections)
         answer = await other.link.handler("", message)
         return unpack(reply_type, pack(answer))
 
@@ -72,10 +72,10 @@
 class Node:
     def __init__(self, name, network, store, clock, domain_by_name):
         self.clock = clock
-        self.is_dead = False
-        self.is_dark = False
-        self.refuses = False
-        self.fails_after_ms = 0
+        self.is_stopped = False
+        self.is_unreachable = False
+        self.refuses_connections = False
+        self.failure_delay_ms = 0
         self.link = Link(network)
         domain = domain_by_name[name]
         self.aggregators = Aggregators(name, domain, link_mbps=100)
@@ -87,22 +87,22 @@
         self.aggregators.set_members(members)
         self.tables = SharedTables(store, clock=clock, aggregators=self.aggregators)
         self.tables.use(self.link)
-        self.news = []
+        self.updates = []
         self.follower = FeedFollower(
             "t",
             reader=self.tables,
             clock=clock,
-            on_update=self.tables.caching_listener("t", self.news.append),
+            on_update=self.tables.caching_listener("t", self.updates.append),
             pace=lambda: Pace(0),
         )
 
     @property
-    def known(self):
+    def received_rows(self):
         rows = {}
-        for news in self.news:
-            if news.is_snapshot:
+        for update in self.updates:
+            if update.is_snapshot:
                 rows.clear()
-            for row in news.rows:
+            for row in update.rows:
                 rows[row.key] = row.value
                 if row.is_deleted:
                     del rows[row.key]
--- a/tests/feeds/test_eras.py
+++ b/tests/feeds/test_eras.py
@@ -1,4 +1,4 @@
-"""Following a table of a store that comes back from an older copy."""
+"""Following a table of a store that was restored from an older snapshot."""
 
 import unittest
 from dataclasses import replace
@@ -8,12 +8,12 @@
 from fireflyward.feeds import (
     Changes,
     HistoryLost,
-    SeenRows,
+    RestoredRowDetector,
     Snapshot,
     TableRow,
     TableUpdate,
 )
-from fireflyward.feeds._cached_table import TableCopy
+from fireflyward.feeds._cached_table import CachedTable
 from tests.positions import at
 
 from .nodes import Node, Store
@@ -28,55 +28,55 @@
     follow = FollowerTests.follow
 
     async def read(self, *answers):
-        """Follow through all answers; return the last news."""
+        """Follow the table through all answers; return the last update."""
         follower = self.follow(*answers)
         for _ in answers:
             await follower.step()
-        return self.news[-1]
+        return self.updates[-1]
 
-    async def test_a_copy_below_the_cursor_is_taken(self):
-        """Guards against seven seconds without news, until versions catch up."""
-        news = await self.read(
+    async def test_restored_table_below_the_cursor_is_accepted(self):
+        """Guards against seven seconds without updates, until the versions catch up."""
+        update = await self.read(
             Snapshot((), at(90, 1)),
             HistoryLost(),
             Snapshot((row(b"1", 7, 2),), at(7, 2)),
         )
-        self.assertTrue(news.is_new_era)
-        self.assertEqual(news.position, at(7, 2))
+        self.assertTrue(update.is_new_era)
+        self.assertEqual(update.position, at(7, 2))
 
-    async def test_changes_of_another_era_are_not_all_that_changed(self):
-        """Guards against a cursor whose version was given out again."""
+    async def test_changes_of_another_era_lead_to_a_full_read(self):
+        """Guards against a cursor whose version was assigned again."""
         change = row(b"2", 91, 2)
-        news = await self.read(
+        update = await self.read(
             Snapshot((), at(90, 1)),
             Changes((change,), at(91, 2)),
             Snapshot((change,), at(91, 2)),
         )
-        self.assertEqual(self.reader.asked, ["rows", at(90, 1), "rows"])
-        self.assertEqual((len(self.news), news.is_new_era), (2, True))
+        self.assertEqual(self.reader.calls, ["rows", at(90, 1), "rows"])
+        self.assertEqual((len(self.updates), update.is_new_era), (2, True))
 
-    async def test_the_cursor_of_a_new_era_is_read_on_from(self):
+    async def test_reading_continues_from_the_cursor_of_the_new_era(self):
         await self.read(
             Snapshot((), at(90, 1)),
             HistoryLost(),
             Snapshot((), at(7, 2)),
             Changes((), at(8, 2)),
         )
-        self.assertEqual(self.reader.asked[-1], at(7, 2))
-        self.assertFalse(self.news[-1].is_new_era)
+        self.assertEqual(self.reader.calls[-1], at(7, 2))
+        self.assertFalse(self.updates[-1].is_new_era)
 
-    async def test_a_late_answer_of_an_earlier_era_is_not_taken(self):
-        """Guards against news of before a drill that come after it."""
+    async def test_late_answer_of_an_earlier_era_is_rejected(self):
+        """Guards against rows of before a restore that arrive after it."""
         follower = self.follow(
             Snapshot((), at(7, 2)), Changes((row(b"1", 99, 1),), at(99, 1))
         )
         await follower.step()
         with self.assertLogs("fireflyward.feeds", "WARNING"):
             self.assertFalse(await follower.step())
-        self.assertEqual(len(self.news), 1)
+        self.assertEqual(len(self.updates), 1)
 
-    async def test_a_table_that_is_to_be_read_anew_is_so_without_a_pause(self):
-        """Guards against a pause of failed calls after the store's first answer."""
+    async def test_full_read_after_lost_history_follows_without_a_pause(self):
+        """Guards against a retry pause after the store's first answer."""
         answers = [Unavailable("x")] * 4
         follower = self.follow(
             Snapshot((), at(4, 1)), *answers, HistoryLost(), answers[0]
@@ -92,52 +92,52 @@
         await follower.step()
         self.assertEqual(follower.pause_ms, 800)
 
-    async def test_the_first_era_that_is_seen_is_no_new_one(self):
-        news = await self.read(Snapshot((), at(4, 3)))
-        self.assertFalse(news.is_new_era)
+    async def test_first_observed_era_is_not_a_new_era(self):
+        update = await self.read(Snapshot((), at(4, 3)))
+        self.assertFalse(update.is_new_era)
 
-    async def test_an_era_after_answers_that_told_none_is_a_new_one(self):
-        news = await self.read(Snapshot((), at(9)), Snapshot((), at(4, 1)))
-        self.assertTrue(news.is_new_era)
+    async def test_first_era_after_answers_without_an_era_is_a_new_era(self):
+        update = await self.read(Snapshot((), at(9)), Snapshot((), at(4, 1)))
+        self.assertTrue(update.is_new_era)
 
 
-class SeenRowsTests(unittest.TestCase):
+class RestoredRowDetectorTests(unittest.TestCase):
     def setUp(self):
-        self.seen = SeenRows()
-        self.seen.marked([row(b"1", 5, 1)])
-        self.seen.note([row(b"2", 8, 1)])
+        self.detector = RestoredRowDetector()
+        self.detector.mark([row(b"1", 5, 1)])
+        self.detector.record([row(b"2", 8, 1)])
 
-    def is_restored(self, *found):
-        (marked,) = self.seen.marked([row(*found)])
+    def is_restored(self, *fields):
+        (marked,) = self.detector.mark([row(*fields)])
         return marked.is_restored
 
-    def test_any_former_row_of_the_key_is_one_of_the_copy(self):
+    def test_any_earlier_row_of_the_key_counts_as_restored(self):
         self.assertTrue(self.is_restored(b"1", 5, 2))
         self.assertTrue(self.is_restored(b"2", 8, 2))
 
-    def test_a_row_with_a_version_given_out_again_is_news(self):
+    def test_other_row_with_the_same_version_is_new(self):
         self.assertFalse(self.is_restored(b"3", 8, 2))
 
-    def test_a_row_that_was_written_again_is_news(self):
+    def test_same_value_with_another_version_is_new(self):
         self.assertFalse(self.is_restored(b"2", 6, 2))
 
-    def test_a_row_of_the_copy_stays_one_when_it_is_read_again(self):
-        """Guards against a second reading of the same era that takes it for news."""
+    def test_restored_row_stays_restored_when_it_is_read_again(self):
+        """Guards against a second full read in an era that treats the row as new."""
         self.is_restored(b"1", 5, 2)
         self.assertTrue(self.is_restored(b"1", 5, 2))
 
-    def test_a_row_is_known_from_two_eras_before(self):
+    def test_row_from_two_eras_before_is_recognized(self):
         self.is_restored(b"4", 6, 2)
         self.assertTrue(self.is_restored(b"1", 5, 3))
         self.assertTrue(self.is_restored(b"4", 6, 3))
 
-    def test_a_change_that_is_given_its_version_again_is_news(self):
-        """Guards against what is written again and taken for the copy's for good."""
-        self.seen.note([row(b"2", 8, 2)])
+    def test_change_with_the_same_version_as_before_is_new(self):
+        """Guards against a row that is written again but always counts as restored."""
+        self.detector.record([row(b"2", 8, 2)])
         self.assertFalse(self.is_restored(b"2", 8, 2))
         self.assertTrue(self.is_restored(b"2", 8, 3))
 
-    def test_within_an_era_nothing_is_of_a_copy(self):
+    def test_no_row_is_restored_within_an_era(self):
         self.assertFalse(self.is_restored(b"2", 8, 1))
 
 
@@ -155,117 +155,117 @@
         (self.first,) = [node for node in nodes if node.tables.serves_other_nodes]
         self.other = next(node for node in nodes if node is not self.first)
 
-    def come_back(self):
+    def restore(self):
         self.store.era += 1
         self.store.version = 20
         self.store.put("k", b"2")
 
-    async def begin(self):
+    async def step_both(self):
         for node in (self.first, self.other):
             await node.follower.step()
 
-    async def test_a_node_follows_its_aggregator_into_a_new_era(self):
-        await self.begin()
-        self.come_back()
+    async def test_node_follows_its_aggregator_into_a_new_era(self):
+        await self.step_both()
+        self.restore()
         for node in (self.first, self.first, self.other, self.other):
             await node.follower.step()
-        self.assertEqual(self.other.known, {"k": b"2"})
-        self.assertTrue(self.other.news[-1].is_new_era)
+        self.assertEqual(self.other.received_rows, {"k": b"2"})
+        self.assertTrue(self.other.updates[-1].is_new_era)
 
-    async def test_an_aggregator_that_is_behind_an_era_is_passed_over(self):
-        """Guards against a copy between nodes that is from before the drill."""
-        await self.begin()
-        self.come_back()
+    async def test_aggregator_of_an_earlier_era_is_not_used(self):
+        """Guards against a cached table from before the restore."""
+        await self.step_both()
+        self.restore()
         self.other.tables._era = lambda: self.store.era
-        self.other.follower._needs_whole = True
+        self.other.follower._needs_full_read = True
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {"k": b"2"})
-        self.assertEqual(self.other.news[-1].position.era, self.store.era)
+        self.assertEqual(self.other.received_rows, {"k": b"2"})
+        self.assertEqual(self.other.updates[-1].position.era, self.store.era)
 
-    async def test_a_cursor_of_a_later_era_is_not_answered_from_an_earlier_one(self):
-        await self.begin()
-        self.come_back()
+    async def test_cursor_of_a_later_era_gets_no_answer_of_an_earlier_era(self):
+        await self.step_both()
+        self.restore()
         self.other.follower._position = self.store.position
         self.store.put("l", b"3")
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {"k": b"1", "l": b"3"})
+        self.assertEqual(self.other.received_rows, {"k": b"1", "l": b"3"})
 
 
-class CarriedRowsTests(unittest.TestCase):
-    """What nodes that start are told while operators have not written again."""
+class RetainedRowsTests(unittest.TestCase):
+    """Rows that starting nodes receive before operators have written them again."""
 
     def setUp(self):
-        self.copy = TableCopy(retains_rows=True)
-        self.take(row(b"old", 5, 1), row(b"gone", 6, 1, key="l"), at=at(6, 1))
-        self.take(row(b"new", 8, 1), at=at(8, 1), is_snapshot=False)
-        self.take(deleted("l", 9), at=at(9, 1), is_snapshot=False)
+        self.cached = CachedTable(retains_rows=True)
+        self.apply(row(b"old", 5, 1), row(b"gone", 6, 1, key="l"), at=at(6, 1))
+        self.apply(row(b"new", 8, 1), at=at(8, 1), is_snapshot=False)
+        self.apply(deleted("l", 9), at=at(9, 1), is_snapshot=False)
 
-    def take(self, *rows, at, is_snapshot=True, as_of_ms=0, is_new_era=False):
-        news = TableUpdate(
+    def apply(self, *rows, at, is_snapshot=True, as_of_ms=0, is_new_era=False):
+        update = TableUpdate(
             rows, is_snapshot, as_of_ms, position=at, is_new_era=is_new_era
         )
-        self.copy.take(news)
+        self.cached.apply(update)
 
     @property
     def values(self):
-        return [row.value for row in self.copy.whole()]
+        return [row.value for row in self.cached.all_rows()]
 
-    def come_back(self, *rows):
-        self.take(*rows, at=at(6, 2), is_new_era=True)
+    def restore(self, *rows):
+        self.apply(*rows, at=at(6, 2), is_new_era=True)
 
-    def test_rows_that_nobody_writes_again_hold_for_so_long(self):
-        """Guards against news of a row that was removed in the new era."""
-        self.come_back()
-        self.take(at=at(7, 2), is_snapshot=False, as_of_ms=9_999)
+    def test_rows_that_are_not_written_again_are_retained_for_a_limited_time(self):
+        """Guards against a row that is still sent after its removal in the new era."""
+        self.restore()
+        self.apply(at=at(7, 2), is_snapshot=False, as_of_ms=9_999)
         self.assertEqual(self.values, [b"new"])
-        self.take(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
+        self.apply(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
         self.assertEqual(self.values, [])
 
-    def copied(self, *found, **options):
-        return replace(row(*found, **options), is_restored=True)
+    def restored(self, *fields, **options):
+        return replace(row(*fields, **options), is_restored=True)
 
-    def test_a_row_that_the_copy_has_as_it_was_known_stays(self):
-        """Guards against a configuration of long ago that nobody is told any more."""
-        self.come_back(self.copied(b"new", 5, 2))
-        self.assertEqual(self.copy.of_earlier_eras(), ())
-        self.take(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
+    def test_unchanged_row_of_the_restored_store_stays(self):
+        """Guards against an old configuration row that is no longer sent."""
+        self.restore(self.restored(b"new", 5, 2))
+        self.assertEqual(self.cached.rows_of_earlier_eras(), ())
+        self.apply(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
         self.assertEqual(self.values, [b"new"])
 
-    def test_an_older_row_of_the_copy_counts_if_nobody_writes_again(self):
-        self.come_back(self.copied(b"old", 5, 2))
+    def test_older_restored_row_is_used_if_no_writer_repeats_the_newer_one(self):
+        self.restore(self.restored(b"old", 5, 2))
         self.assertEqual(self.values, [b"new"])
-        self.take(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
+        self.apply(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
         self.assertEqual(self.values, [b"old"])
 
-    def test_rows_of_the_copy_replace_nothing_that_is_known(self):
-        """Guards against a withdrawn key at a node that starts after a drill."""
-        copied = [row(b"old", 5, 2), row(b"gone", 6, 2, key="l")]
-        self.come_back(*(replace(item, is_restored=True) for item in copied))
+    def test_restored_rows_replace_no_newer_retained_rows(self):
+        """Guards against a withdrawn key at a node that starts after a restore."""
+        restored = [row(b"old", 5, 2), row(b"gone", 6, 2, key="l")]
+        self.restore(*(replace(item, is_restored=True) for item in restored))
         self.assertEqual(self.values, [b"new"])
 
-    def test_a_deletion_that_nobody_repeats_does_not_count_for_good(self):
-        self.come_back(self.copied(b"gone", 6, 2, key="l"), self.copied(b"new", 8, 2))
+    def test_deletion_that_is_not_repeated_expires(self):
+        self.restore(self.restored(b"gone", 6, 2, key="l"), self.restored(b"new", 8, 2))
         self.assertEqual(self.values, [b"new"])
-        self.take(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
+        self.apply(at=at(8, 2), is_snapshot=False, as_of_ms=10_000)
         self.assertEqual(sorted(self.values), [b"gone", b"new"])
 
-    def test_rows_that_the_copy_lacks_hold(self):
-        self.come_back()
-        self.come_back()
+    def test_rows_that_the_restored_store_lacks_are_retained(self):
+        self.restore()
+        self.restore()
         self.assertEqual(self.values, [b"new"])
 
-    def test_what_is_written_again_replaces_them(self):
-        self.come_back()
-        self.take(row(b"again", 7, 2), at=at(7, 2), is_snapshot=False)
+    def test_row_that_is_written_again_replaces_the_retained_row(self):
+        self.restore()
+        self.apply(row(b"again", 7, 2), at=at(7, 2), is_snapshot=False)
         self.assertEqual(self.values, [b"again"])
 
-    def test_a_whole_table_of_the_same_era_drops_what_it_lacks(self):
-        self.take(at=at(20, 1))
+    def test_full_read_in_the_same_era_drops_missing_rows(self):
+        self.apply(at=at(20, 1))
         self.assertEqual(self.values, [])
 
-    def test_other_tables_carry_nothing(self):
-        self.copy._carries = False
-        self.come_back()
+    def test_tables_without_retention_retain_no_rows(self):
+        self.cached._retains_rows = False
+        self.restore()
         self.assertEqual(self.values, [])
 
 
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -1,4 +1,4 @@
-"""Following a table through changes, gaps, outages and copies that lag."""
+"""Following a table through changes, lost history, outages and stale answers."""
 
 import unittest
 
@@ -18,63 +18,65 @@
 
 
 class Reader:
-    """Answers what it is given, and keeps what it was asked."""
+    """Returns the given answers in order, and records the calls."""
 
     def __init__(self, clock, *answers):
         self.clock = clock
         self.answers = list(answers)
-        self.asked = []
-        self.takes_ms = 0
+        self.calls = []
+        self.answer_delay_ms = 0
 
     async def rows(self, table, *, part="", limit_ms=1_000):
-        self.asked.append("rows")
+        self.calls.append("rows")
         return await self._next()
 
     async def changes(self, table, *, after, wait_ms, limit_ms):
-        self.asked.append(after)
+        self.calls.append(after)
         return await self._next()
 
     async def _next(self):
-        self.clock._now_ms += self.takes_ms
+        self.clock._now_ms += self.answer_delay_ms
         return self.answers.pop(0)
 
 
 class FollowerTests(unittest.IsolatedAsyncioTestCase):
     def follow(self, *answers):
         self.clock = ManualClock(1_000)
-        self.news = []
+        self.updates = []
         self.reader = Reader(self.clock, *answers)
         return FeedFollower(
             "t",
             reader=self.reader,
             clock=self.clock,
-            on_update=self.news.append,
+            on_update=self.updates.append,
             pace=lambda: Pace(100),
         )
 
-    async def test_whole_first_and_changes_after(self):
+    async def test_full_read_first_and_changes_afterwards(self):
         follower = self.follow(
             Snapshot((ROW,), at(4)), Changes((), at(6)), Changes((ROW,), at(9))
         )
         for _ in range(3):
             await follower.step()
-        self.assertEqual(self.reader.asked, ["rows", at(4), at(6)])
-        self.assertEqual([news.is_snapshot for news in self.news], [True, False, False])
+        self.assertEqual(self.reader.calls, ["rows", at(4), at(6)])
+        self.assertEqual(
+            [update.is_snapshot for update in self.updates], [True, False, False]
+        )
 
-    async def test_a_gap_is_read_anew(self):
+    async def test_lost_history_leads_to_a_full_read(self):
         follower = self.follow(
             Snapshot((), at(4)), HistoryLost(), Snapshot((ROW,), at(20))
         )
         for _ in range(3):
             await follower.step()
-        self.assertEqual(self.reader.asked, ["rows", at(4), "rows"])
-        self.assertTrue(self.news[-1].is_snapshot)
+        self.assertEqual(self.reader.calls, ["rows", at(4), "rows"])
+        self.assertTrue(self.updates[-1].is_snapshot)
 
-    async def test_a_copy_that_lags_is_not_believed(self):
-        """Symptom: a withdrawn key serves again for a second.
+    async def test_answer_of_a_lagging_store_replica_is_rejected(self):
+        """Guards against a withdrawn key that is accepted again for a second.
 
-        The history is lost, and the table is then read from a copy of the store
-        that is behind what this node has already seen.
+        The history was lost, and the full table was then read from a store replica
+        that was behind the position that this node had already read.
         """
         follower = self.follow(
             Snapshot((), at(9)), HistoryLost(), Snapshot((ROW,), at(7))
@@ -83,18 +85,18 @@
         await follower.step()
         with self.assertLogs("fireflyward.feeds", "WARNING"):
             self.assertFalse(await follower.step())
-        self.assertEqual(len(self.news), 1)
+        self.assertEqual(len(self.updates), 1)
 
     async def test_age_counts_from_the_call_and_not_from_the_answer(self):
-        """Symptom: a key is accepted longer after its withdrawal than promised.
+        """Guards against a key that is accepted for too long after its withdrawal.
 
-        An answer with changes was made at any moment after the call; taking the
-        time of its arrival would count a slow way as freshness.
+        The store may make an answer with changes at any time after the call. If the
+        follower counted from its arrival, a slow network would make rows look newer.
         """
         follower = self.follow(
             Snapshot((), at(4)), Changes((ROW,), at(5)), Changes((), at(5))
         )
-        self.reader.takes_ms = 700
+        self.reader.answer_delay_ms = 700
         await follower.step()
         self.assertEqual(follower.as_of_ms, 1_000)
         await follower.step()
@@ -102,7 +104,7 @@
         await follower.step()
         self.assertEqual(follower.as_of_ms, 2_400 + 100)
 
-    async def test_an_outage_is_told_with_its_length(self):
+    async def test_update_after_an_outage_includes_its_length(self):
         follower = self.follow(
             Snapshot((), at(4)), Unavailable("x"), Changes((), at(4))
         )
@@ -111,5 +113,5 @@
         with self.assertLogs("fireflyward.feeds", "WARNING"):
             await follower.step()
         await follower.step()
-        self.assertGreaterEqual(self.news[-1].unavailable_ms, 3_000)
-        self.assertEqual(self.news[0].unavailable_ms, 0)
+        self.assertGreaterEqual(self.updates[-1].unavailable_ms, 3_000)
+        self.assertEqual(self.updates[0].unavailable_ms, 0)
--- a/tests/feeds/test_root.py
+++ b/tests/feeds/test_root.py
@@ -1,4 +1,4 @@
-"""Aggregators that read tables through one of them, the root."""
+"""Aggregators that read tables through the root aggregator."""
 
 import unittest
 
@@ -31,53 +31,53 @@
             and self.network[own.name] is self.other
         )
 
-    async def begin(self):
+    async def step_all(self):
         for node in (self.root, self.other, self.leaf):
             await node.follower.step()
 
-    async def test_one_reading_serves_all_domains(self):
-        """Symptom: calls to the store grow with the failure domains.
+    async def test_one_read_of_the_store_serves_all_domains(self):
+        """Guards against store calls that grow with the number of failure domains.
 
-        In each of them one node followed each table, and read the same.
+        One node in each failure domain followed each table and read the same rows.
         """
-        await self.begin()
+        await self.step_all()
         self.assertEqual(self.store.calls, 1)
         self.store.put("k", b"2")
-        await self.begin()
-        self.assertEqual(self.leaf.known, {"k": b"2"})
+        await self.step_all()
+        self.assertEqual(self.leaf.received_rows, {"k": b"2"})
         self.assertEqual(self.store.calls, 2)
 
-    async def test_the_age_of_a_proof_goes_over_both_hops(self):
-        await self.begin()
+    async def test_as_of_time_is_kept_over_both_hops(self):
+        await self.step_all()
         self.clock._now_ms += 500
         await self.other.follower.step()
         self.clock._now_ms += 400
         await self.leaf.follower.step()
-        self.assertEqual(self.leaf.news[-1].as_of_ms, 10_000)
+        self.assertEqual(self.leaf.updates[-1].as_of_ms, 10_000)
 
-    async def test_a_domain_that_is_cut_off_from_the_root_goes_by_the_store(self):
-        """Symptom: a domain refuses all keys while the store answers it."""
-        await self.begin()
-        self.root.is_dead = True
+    async def test_domain_without_a_reachable_root_reads_from_the_store(self):
+        """Guards against a domain that rejects all keys while it reaches the store."""
+        await self.step_all()
+        self.root.is_stopped = True
         self.store.put("k", b"2")
         await self.other.follower.step()
         await self.leaf.follower.step()
-        self.assertEqual(self.leaf.known, {"k": b"2"})
+        self.assertEqual(self.leaf.received_rows, {"k": b"2"})
 
-    async def test_a_root_that_is_cut_off_from_the_store_says_so_soon(self):
-        """Symptom: four domains serve by old tables while the store is up.
+    async def test_root_without_a_reachable_store_soon_stops_answering(self):
+        """Guards against four domains that use outdated tables while the store is up.
 
-        The store turned away just the root. Its copy must count as old before the
-        copies made of it do.
+        The store rejected only the root's calls. The root's cached table must count as
+        outdated earlier than the tables that other nodes read from it.
         """
-        await self.begin()
+        await self.step_all()
         self.clock._now_ms += 1_400
         self.store.put("k", b"2")
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {"k": b"2"})
+        self.assertEqual(self.other.received_rows, {"k": b"2"})
 
-    async def test_a_copy_of_the_root_s_may_be_older_than_the_root_s(self):
-        await self.begin()
+    async def test_table_read_from_the_root_may_be_older_than_the_root_s_own(self):
+        await self.step_all()
         calls = self.store.calls
         self.clock._now_ms += 1_400
         await self.leaf.follower.step()
--- a/tests/feeds/test_sharing.py
+++ b/tests/feeds/test_sharing.py
@@ -32,209 +32,210 @@
         (self.first,) = [node for node in nodes if node.tables.serves_other_nodes]
         self.other = next(node for node in nodes if node is not self.first)
 
-    async def begin(self):
+    async def step_both(self):
         for node in (self.first, self.other):
             await node.follower.step()
 
-    async def test_changes_come_without_a_call_of_the_store(self):
-        """Symptom: store calls grow with the nodes, and at 87 are the dearest price.
+    async def test_changes_arrive_without_a_call_to_the_store(self):
+        """Guards against store calls that grow with the number of nodes.
 
-        Every node followed every table itself.
+        Every node followed every table itself; with 87 nodes, no other cost was higher.
         """
-        await self.begin()
+        await self.step_both()
         self.store.put("k", b"2")
         self.store.put("l", b"1")
         await self.first.follower.step()
         calls = self.store.calls
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {"k": b"2", "l": b"1"})
+        self.assertEqual(self.other.received_rows, {"k": b"2", "l": b"1"})
         self.assertEqual(self.store.calls, calls)
 
-    async def test_deletions_are_told_too(self):
-        await self.begin()
+    async def test_deletions_are_sent_too(self):
+        await self.step_both()
         self.store.put("k", is_deleted=True)
         await self.first.follower.step()
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {})
+        self.assertEqual(self.other.received_rows, {})
 
-    async def test_a_dead_aggregator_costs_one_call(self):
-        """Symptom: withdrawn keys are accepted after an aggregator lost power.
+    async def test_stopped_aggregator_costs_one_call(self):
+        """Guards against withdrawn keys that are accepted after an aggregator stopped.
 
-        Its neighbours wait for an answer that does not come.
+        The aggregator lost power, and the other nodes of its domain waited for its
+        answer.
         """
-        await self.begin()
-        self.first.is_dead = True
+        await self.step_both()
+        self.first.is_stopped = True
         self.store.put("k", b"2")
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {"k": b"2"})
+        self.assertEqual(self.other.received_rows, {"k": b"2"})
 
-    async def test_an_aggregator_that_is_cut_off_from_the_store_says_so(self):
-        """Symptom: a domain serves by an old configuration while the store is up.
+    async def test_aggregator_without_a_reachable_store_stops_answering(self):
+        """Guards against a domain that uses an outdated configuration.
 
-        The store turned away just the aggregator, which went on answering from its
-        copy.
+        The store was up and rejected only the aggregator's calls, and the aggregator
+        continued to answer from its cached table.
         """
-        await self.begin()
+        await self.step_both()
         self.clock._now_ms += 2_100
         self.store.put("k", b"2")
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {"k": b"2"})
+        self.assertEqual(self.other.received_rows, {"k": b"2"})
 
-    async def test_a_proof_is_never_newer_than_the_aggregator_s(self):
-        """Symptom: a key that was withdrawn is accepted for longer than allowed.
+    async def test_as_of_time_is_never_later_than_the_aggregator_s(self):
+        """Guards against a withdrawn key that is accepted for longer than allowed.
 
-        The node counted its keys as fresh by when its neighbour answered, and not
-        by when that had last heard of the store.
+        The node took the time of its aggregator's answer as the age of its keys, in
+        place of the time at which the aggregator had last read them from the store.
         """
-        await self.begin()
+        await self.step_both()
         self.clock._now_ms += 1_000
         await self.other.follower.step()
-        self.assertEqual(self.other.news[-1].as_of_ms, 10_000)
+        self.assertEqual(self.other.updates[-1].as_of_ms, 10_000)
 
-    async def test_an_answer_that_is_held_up_proves_nothing_later(self):
-        await self.begin()
+    async def test_delay_of_an_answer_does_not_make_it_newer(self):
+        await self.step_both()
         self.clock._now_ms += 300
         await self.first.follower.step()
 
-        async def hold_up(handler, *asked):
-            answer = await handler(*asked)
+        async def delay_answer(handler, *args):
+            answer = await handler(*args)
             self.clock._now_ms += 900
             return answer
 
         handler = self.first.link.handler
-        self.first.link.handler = lambda *asked: hold_up(handler, *asked)
+        self.first.link.handler = lambda *args: delay_answer(handler, *args)
         await self.other.follower.step()
-        self.assertEqual(self.other.news[-1].as_of_ms, 10_300)
+        self.assertEqual(self.other.updates[-1].as_of_ms, 10_300)
 
-    async def test_the_store_s_answer_counts_from_when_the_store_was_asked(self):
-        """Symptom: a node refuses keys although the store answers it all the time.
+    async def test_age_of_the_store_s_answer_counts_from_the_call_to_the_store(self):
+        """Guards against a node that rejects keys although the store answers its calls.
 
-        Its aggregator is dead, and each proof seemed older by the time that was
-        spent on asking it.
+        The aggregator had stopped, and the time spent on the query to it was added to
+        the age of each answer of the store.
         """
-        await self.begin()
-        self.first.is_dead = True
-        self.first.fails_after_ms = 1_300
+        await self.step_both()
+        self.first.is_stopped = True
+        self.first.failure_delay_ms = 1_300
         self.store.put("k", b"2")
         await self.other.follower.step()
-        self.assertEqual(self.other.news[-1].as_of_ms, 11_300)
+        self.assertEqual(self.other.updates[-1].as_of_ms, 11_300)
 
-    async def test_what_was_deleted_in_a_gap_is_read_anew(self):
-        """Symptom: a replica that is gone gets requests from one domain for ever.
+    async def test_deletions_in_lost_history_require_a_full_read(self):
+        """Guards against a removed replica that one domain sends requests to for ever.
 
-        The aggregator read everything anew after the store had lost its history,
-        and could not tell its neighbours what had been deleted meanwhile.
+        The aggregator read the full table after the store had lost its history, and
+        could not report to other nodes which rows had been deleted in between.
         """
-        await self.begin()
+        await self.step_both()
         self.store.put("l", b"1")
         self.store.put("k", is_deleted=True)
-        self.first.follower._needs_whole = True
+        self.first.follower._needs_full_read = True
         await self.first.follower.step()
         await self.other.follower.step()
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {"l": b"1"})
+        self.assertEqual(self.other.received_rows, {"l": b"1"})
 
-    async def test_an_aggregator_behind_its_neighbour_takes_nothing_back(self):
-        await self.begin()
+    async def test_aggregator_that_lags_behind_a_node_reverts_nothing(self):
+        await self.step_both()
         self.store.put("k", b"2")
-        self.first.is_dead = True
+        self.first.is_stopped = True
         await self.other.follower.step()
-        self.first.is_dead = False
+        self.first.is_stopped = False
         self.clock._now_ms += 2_500
-        self.first.tables._copy_by_table["t"].as_of_ms = self.clock.now_ms()
+        self.first.tables._cached_by_table["t"].as_of_ms = self.clock.now_ms()
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {"k": b"2"})
+        self.assertEqual(self.other.received_rows, {"k": b"2"})
 
-    async def test_a_node_that_is_asked_before_it_has_read_is_unable(self):
-        asking = asyncio.create_task(self.other.follower.step())
+    async def test_query_fails_while_the_aggregator_has_not_read_the_table(self):
+        step = asyncio.create_task(self.other.follower.step())
         await asyncio.sleep(0)
         await self.clock.advance_ms(1_000)
-        await asking
-        self.assertEqual(self.other.known, {"k": b"1"})
+        await step
+        self.assertEqual(self.other.received_rows, {"k": b"1"})
         self.store.put("k", b"2")
         await self.other.follower.step()
-        self.assertEqual(self.other.known, {"k": b"2"})
+        self.assertEqual(self.other.received_rows, {"k": b"2"})
 
-    async def test_nodes_that_start_together_wait_for_the_first_reading(self):
-        """Symptom: the start of 195 nodes is 400 calls of the store in a second.
+    async def test_nodes_that_start_together_wait_for_the_first_read(self):
+        """Guards against 400 store calls in a second when 195 nodes start.
 
-        Each read every table itself, since its aggregator had not read it yet.
+        Each node read every table itself, because its aggregator had not yet read it.
         """
-        asking = asyncio.create_task(self.other.follower.step())
+        step = asyncio.create_task(self.other.follower.step())
         await asyncio.sleep(0)
         await self.first.follower.step()
-        await asking
-        self.assertEqual(self.other.known, {"k": b"1"})
+        await step
+        self.assertEqual(self.other.received_rows, {"k": b"1"})
         self.assertEqual(self.store.calls, 1)
 
-    async def test_a_node_that_starts_waits_little_for_a_silent_aggregator(self):
-        """Symptom: after a loss of power callers were refused for a second more.
+    async def test_starting_node_waits_briefly_for_an_unreachable_aggregator(self):
+        """Guards against requests that are rejected for a second after a power loss.
 
-        Nodes were up again and asked their aggregator for the configuration, whose
-        VM was still dark. The opening packet was lost and sent again a second
-        later; until then they knew nothing and refused what came.
+        Nodes were up again and requested the configuration from their aggregator, whose
+        VM was still down. The first packet of the connection was lost and sent again a
+        second later; until then the nodes had no configuration.
         """
-        self.first.is_dark = True
-        asking = asyncio.create_task(self.other.follower.step())
+        self.first.is_unreachable = True
+        step = asyncio.create_task(self.other.follower.step())
         await self.clock.advance_ms(149)
-        self.assertEqual(self.other.known, {})
+        self.assertEqual(self.other.received_rows, {})
         await self.clock.advance_ms(1)
-        self.assertTrue(asking.done())
-        self.assertEqual(self.other.known, {"k": b"1"})
+        self.assertTrue(step.done())
+        self.assertEqual(self.other.received_rows, {"k": b"1"})
 
-    async def test_while_the_store_is_away_a_late_aggregator_still_counts(self):
+    async def test_late_answer_of_the_aggregator_is_used_while_the_store_is_down(self):
         self.store.is_down = True
-        asking = asyncio.create_task(self.other.follower.step())
+        step = asyncio.create_task(self.other.follower.step())
         await self.clock.advance_ms(300)
         self.store.is_down = False
         await self.first.follower.step()
         await self.clock.advance_ms(1)
-        self.assertTrue(asking.done())
-        self.assertEqual(self.other.known, {"k": b"1"})
+        self.assertTrue(step.done())
+        self.assertEqual(self.other.received_rows, {"k": b"1"})
 
-    async def test_a_copy_s_proof_goes_with_the_whole_table(self):
+    async def test_full_read_includes_the_aggregator_s_as_of_time(self):
         await self.first.follower.step()
         self.clock._now_ms += 900
         await self.other.follower.step()
-        self.assertEqual(self.other.news[-1].as_of_ms, 10_000)
+        self.assertEqual(self.other.updates[-1].as_of_ms, 10_000)
 
-    async def test_an_aggregator_that_does_not_listen_yet_is_asked_again_soon(self):
-        """Symptom: at the first start of a fleet most nodes read tables themselves.
+    async def test_aggregator_that_refuses_connections_is_soon_queried_again(self):
+        """Guards against nodes that read tables themselves when a fleet starts.
 
-        They were listed before their links were open, and each passed over its
-        aggregator for as long as one that is lost.
+        Aggregators were listed before their links were open, and the other nodes waited
+        as long before the next query as after the loss of an aggregator.
         """
-        await self.begin()
-        self.first.is_dead = True
-        for refuses, asked_again_ms in ((True, 500), (False, 2_500)):
-            self.first.refuses = refuses
+        await self.step_both()
+        self.first.is_stopped = True
+        for refuses_connections, pause_ms in ((True, 500), (False, 2_500)):
+            self.first.refuses_connections = refuses_connections
             await self.other.follower.step()
             now_ms = self.clock.now_ms()
-            asked = self.other.tables._asked
-            self.assertIsNone(asked(now_ms + asked_again_ms - 1))
-            self.assertIsNotNone(asked(now_ms + asked_again_ms))
-            self.clock._now_ms += asked_again_ms
+            node_to_query = self.other.tables._node_to_query
+            self.assertIsNone(node_to_query(now_ms + pause_ms - 1))
+            self.assertIsNotNone(node_to_query(now_ms + pause_ms))
+            self.clock._now_ms += pause_ms
 
-    async def test_few_nodes_ask_the_store(self):
+    async def test_few_nodes_query_the_store(self):
         self.other.aggregators.set_members([])
-        await self.begin()
+        await self.step_both()
         calls = self.store.calls
         await self.other.follower.step()
         self.assertEqual(self.store.calls, calls + 1)
 
 
-class HistoryTests(unittest.IsolatedAsyncioTestCase):
-    async def test_whoever_is_behind_the_copy_reads_anew(self):
+class LostHistoryTests(unittest.IsolatedAsyncioTestCase):
+    async def test_reader_behind_the_cached_table_needs_a_full_read(self):
         clock = ManualClock()
         store = Store(clock)
         tables = SharedTables(
             store, clock=clock, aggregators=Aggregators("n0", "a", link_mbps=100)
         )
-        take = tables.caching_listener("t", lambda news: None)
+        listener = tables.caching_listener("t", lambda update: None)
         follower = FeedFollower(
-            "t", reader=tables, clock=clock, on_update=take, pace=lambda: Pace(0)
+            "t", reader=tables, clock=clock, on_update=listener, pace=lambda: Pace(0)
         )
         await follower.step()
-        copy = tables._copy_by_table["t"]
-        self.assertEqual(copy.after(at(0, 1)), HistoryLost())
-        self.assertEqual(copy.after(at(1, 1)), ())
+        cached = tables._cached_by_table["t"]
+        self.assertEqual(cached.changes_after(at(0, 1)), HistoryLost())
+        self.assertEqual(cached.changes_after(at(1, 1)), ())
