--- a/fireflyward/backing/__init__.py
+++ b/fireflyward/backing/__init__.py
@@ -1,4 +1,4 @@
-"""What the platform gives: table service, object store, weights, list of VMs."""
+"""Clients of the platform: table service, object store, weights, list of VMs."""
 
 from importlib import import_module
 from typing import TYPE_CHECKING, Any
@@ -30,8 +30,9 @@
     )
     from ._http import HttpObjects, HttpTable, HttpVms, HttpWeights
 
-# Guards and HTTP clients bring sessions and connection watches with them; whoever
-# only needs the messages, as a fleet's node does, does not pay for those at its start.
+# Guards and HTTP clients import HTTP sessions and connection watches. They are imported
+# late, so that a process that needs only the messages, such as a fleet's node, starts
+# without them.
 _LATE = {
     "Breaker": "._breaker",
     "Budget": "._budget",
@@ -48,7 +49,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import a guard or a client when it is first asked for."""
+    """Import a guard or a client on first access."""
     if name not in _LATE:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     return getattr(import_module(_LATE[name], __name__), name)
--- a/fireflyward/backing/_eras.py
+++ b/fireflyward/backing/_eras.py
@@ -1,4 +1,4 @@
-"""Which era of a store is the latest that is known."""
+"""Tracks the latest known era of a store."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -7,18 +7,19 @@
 
 log = logging.getLogger("fireflyward.store")
 
-# A number that is further ahead cannot be a count of drills. Believed, it would make
-# every later answer one of an earlier era.
-_MOST_MISSED = 1_000
+# The store begins a new era whenever it is restored from an older snapshot. A number
+# that is further ahead than this cannot be a count of restores. If it were accepted,
+# every later answer would count as one of an earlier era.
+_MAX_ERA_JUMP = 1_000
 
 
 class Eras:
-    """Judges answers and conditions by the era that they belong to; no I/O.
+    """Detects outdated answers and conditions by their era; no I/O.
 
-    An answer of an earlier era than the latest is late: what it tells may have been
-    lost by the store. A condition of an earlier era may hold by chance, since versions
-    are given out again. ``on_new_era`` is called when the store has come back from an older
-    copy.
+    An answer of an earlier era than the latest is outdated: the store may have lost
+    the rows in it. A condition of an earlier era may match by coincidence, because the
+    store assigns versions again in a new era. ``on_new_era`` is called when the store
+    has been restored from an older snapshot.
 
     >>> eras = Eras()
     >>> eras.era_of_answer(1), eras.era_of_answer(2), eras.era_of_answer(None)
@@ -35,15 +36,15 @@
 
     @property
     def latest(self) -> int:
-        """Return the latest era, 0 where none was told yet."""
+        """Return the latest era, or 0 if no era has been reported yet."""
         return self._latest or 0
 
     def observe(self, era: int) -> None:
-        """Take the era in which the store, or another node, was seen to be."""
+        """Record an era that the store or another node reported."""
         before = self._latest
         if before is None:
             self._latest = era
-            log.info("store: it is in era %d", era)
+            log.info("store: current era is %d", era)
         elif era > before:
             self._latest = era
             log.warning(
@@ -51,19 +52,23 @@
             )
             self.on_new_era()
 
-    def era_of_answer(self, told: int | None) -> int:
-        """Take the era of an answer; one that tells none is of the latest."""
-        era = self.latest if told is None else told
-        if self._latest is not None and era > self._latest + _MOST_MISSED:
-            log.error("store: an answer tells era %d after %d", era, self._latest)
+    def era_of_answer(self, reported_era: int | None) -> int:
+        """Record and return an answer's era; without one it counts as the latest."""
+        era = self.latest if reported_era is None else reported_era
+        if self._latest is not None and era > self._latest + _MAX_ERA_JUMP:
+            log.error(
+                "store: implausible era %d in an answer, after era %d",
+                era,
+                self._latest,
+            )
             era = self._latest
         self.observe(era)
         return era
 
     def is_outdated(self, era: int) -> bool:
-        """Tell whether an answer of this era comes after one of a later era."""
+        """Return whether a later era than this one is known."""
         return era < self.latest
 
     def may_match_reused_version(self, expected: Iterable[Position]) -> bool:
-        """Tell whether a condition rests on readings of an earlier era."""
-        return any(self.is_outdated(read.era) for read in expected)
+        """Return whether a condition refers to positions of an earlier era."""
+        return any(self.is_outdated(position.era) for position in expected)
--- a/fireflyward/backing/_guard.py
+++ b/fireflyward/backing/_guard.py
@@ -1,4 +1,4 @@
-"""Platform clients that give up in time, ask little and do not ask in vain."""
+"""Platform clients with deadlines, call budgets and circuit breakers."""
 
 import logging
 import random
@@ -30,11 +30,11 @@
 
 
 class Guard:
-    """What stands before one service: its breaker, its budgets, a deadline.
+    """Protects one service with a circuit breaker, call budgets and a deadline.
 
-    A call that is not made returns ``Unavailable`` at once, which is true: nothing
-    was asked, so nothing was written. A write whose deadline passes returns
-    ``Uncertain``, since it may have been taken.
+    A call that the guard does not send returns ``Unavailable`` at once, and nothing
+    has been written. A write that exceeds its deadline returns ``Uncertain``, because
+    the service may have applied it.
     """
 
     __slots__ = ("_breaker", "_clock", "_metrics", "_name", "_reads", "_writes")
@@ -59,45 +59,47 @@
     def __repr__(self) -> str:
         return f"Guard({self._name!r}, is_open={self._breaker.is_open})"
 
-    async def read(self, ask: Callable[[], Awaitable[T]]) -> T | Unavailable:
-        """Make a call that has no effect."""
-        return await self._call(ask, self._reads, Unavailable)
+    async def read(self, request: Callable[[], Awaitable[T]]) -> T | Unavailable:
+        """Make a call without side effects."""
+        return await self._call(request, self._reads, Unavailable)
 
     async def write(
-        self, ask: Callable[[], Awaitable[T]]
+        self, request: Callable[[], Awaitable[T]]
     ) -> T | Unavailable | Uncertain:
-        """Make a call that may have an effect even if no answer comes."""
-        return await self._call(ask, self._writes, Uncertain)
+        """Make a call that may take effect even if no answer arrives."""
+        return await self._call(request, self._writes, Uncertain)
 
     async def _call(
         self,
-        ask: Callable[[], Awaitable[T]],
+        request: Callable[[], Awaitable[T]],
         budget: Budget,
-        lost: Callable[[str], Unavailable | Uncertain],
+        timeout_result: Callable[[str], Unavailable | Uncertain],
     ) -> T | Unavailable | Uncertain:
-        refusal = await self._wait_for_turn(budget)
-        if refusal:
+        rejection = await self._wait_for_turn(budget)
+        if rejection:
             self._count("refused")
-            return refusal
+            return rejection
         try:
-            result = await within(self._clock, _DEADLINE_MS, ask())
+            result = await within(self._clock, _DEADLINE_MS, request())
         except TimeoutError:
-            result = lost(f"{self._name}: no answer within {_DEADLINE_MS} ms")
-        self._judge(result)
+            result = timeout_result(f"{self._name}: no answer within {_DEADLINE_MS} ms")
+        self._record_result(result)
         return result
 
     async def _wait_for_turn(self, budget: Budget) -> Unavailable | None:
         now_ms = self._clock.now_ms()
         if not self._breaker.may_call(now_ms):
-            return Unavailable(f"{self._name}: away, asked again later")
+            return Unavailable(
+                f"{self._name}: unavailable, not called until the next probe"
+            )
         wait_ms = budget.reserve(now_ms)
         if wait_ms is None:
-            return Unavailable(f"{self._name}: this node has used up its share")
+            return Unavailable(f"{self._name}: this node has used its share of calls")
         if wait_ms:
             await self._clock.sleep_ms(wait_ms)
         return None
 
-    def _judge(self, result: object) -> None:
+    def _record_result(self, result: object) -> None:
         now_ms = self._clock.now_ms()
         if isinstance(result, Unavailable | Uncertain):
             self._count("failed")
--- a/fireflyward/backing/_http.py
+++ b/fireflyward/backing/_http.py
@@ -1,8 +1,9 @@
-"""Adapters of the platform's services over HTTP, as docs/PLATFORM.md writes them.
+"""Clients of the platform's services over HTTP, as docs/PLATFORM.md describes them.
 
-Each call has a deadline. A write whose request may have left this process ends as
-``Uncertain`` when no answer comes: the service may have applied it, and only a
-read can tell. A refused connection or a 503 is ``Unavailable``: nothing happened.
+Each call has a deadline. If a write may have reached the service and no answer
+arrives, it returns ``Uncertain``: the service may have applied it, and only reading
+the value back can show this. A refused connection or a 503 response returns
+``Unavailable``: nothing was written.
 """
 
 from collections.abc import Mapping
@@ -29,7 +30,7 @@
 
 
 class RowBody(msgspec.Struct):
-    """A row as JSON; ``value`` travels in base64."""
+    """A row as JSON; ``value`` is encoded in base64."""
 
     key: str
     value: bytes
@@ -67,7 +68,7 @@
 
 
 class _HttpService:
-    """A base URL and the session that its calls go through."""
+    """The base URL of a service and the HTTP session for calls to it."""
 
     __slots__ = ("_base", "_deadline", "_session")
 
@@ -86,10 +87,10 @@
         return f"{type(self).__name__}({self._base!r})"
 
     async def _read(self, path: str, **query: str) -> tuple[int, bytes] | Unavailable:
-        """GET ``path``; reads have no effect, so every failure is Unavailable.
+        """GET ``path``; a read has no side effects, so every failure is Unavailable.
 
-        Only 200 and 404 are answers of the service. Anything else may come from
-        what stands before it, and its body is no row and no object.
+        Only responses with status 200 and 404 come from the service. Any other response
+        may come from a proxy in front of it, and its body is no row and no object.
         """
         url = self._base + path
         try:
@@ -164,11 +165,11 @@
         if isinstance(result, Unavailable | Uncertain):
             return result
         status, answer = result
-        found = _decode(answer, VersionsBody, Uncertain)
-        if isinstance(found, Uncertain):
-            return found
-        kind = Conflict if status == 409 else Committed
-        return kind(found.versions)
+        decoded = _decode(answer, VersionsBody, Uncertain)
+        if isinstance(decoded, Uncertain):
+            return decoded
+        result_type = Conflict if status == 409 else Committed
+        return result_type(decoded.versions)
 
 
 class HttpObjects(_HttpService):
@@ -225,11 +226,11 @@
 def _decode(
     body: bytes, body_type: Any, failure: type[Unavailable] | type[Uncertain]
 ) -> Any:
-    """Decode an answer; one that cannot be read is a failure and no exception."""
+    """Decode an answer; return a failure, not an exception, if that is impossible."""
     try:
         return msgspec.json.decode(body, type=body_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return failure(f"answer could not be read: {error}")
+        return failure(f"the answer could not be decoded: {error}")
 
 
 def _describe(error: BaseException) -> str:
--- a/fireflyward/backing/_messages.py
+++ b/fireflyward/backing/_messages.py
@@ -1,4 +1,4 @@
-"""Results of calls to the platform, as tagged values."""
+"""Results of calls to the platform, one class for each outcome."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row of the table: ``version`` grows with every write to it in an era."""
+    """One row of the table; within an era, each write to it increases ``version``."""
 
     key: str
     value: bytes
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """There is nothing under this key; its version counts as 0."""
+    """The key has no row or object; its version counts as 0."""
 
     key: str
     era: int = 0
@@ -33,47 +33,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """Every write of the transaction took effect, with these new versions."""
+    """All writes of the transaction took effect, with these new versions."""
 
     version_by_key: dict[str, int] = field(default_factory=dict)
     era: int = 0
 
     def position_of(self, key: str) -> Position:
-        """Return where a key was written."""
+        """Return the position of the write to a key."""
         return Position(self.era, self.version_by_key[key])
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Nothing was written: these keys had other versions than were expected."""
+    """Nothing was written, because these keys had unexpected versions."""
 
     version_by_key: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The object is in the store, by this call or by an equal earlier one."""
+    """The object is in the store, written by this call or by an equal earlier one."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The service did not take the call; nothing was written."""
+    """The service did not process the call; nothing was written."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class Uncertain:
-    """The answer was lost; the write may have taken effect. Read back to know."""
+    """The answer was lost, and the write may have taken effect; read it back."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class VmEntry:
-    """One VM of the platform's list: ``state`` is ``live`` or ``leaving``."""
+    """One VM in the platform's list; ``state`` is ``live`` or ``leaving``."""
 
     name: str
     state: str
@@ -83,7 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VmList:
-    """The list as of ``as_of_ms`` (wall clock of the platform); it lags."""
+    """The platform's list of VMs, which lags.
+
+    The list was current at ``as_of_ms`` of the platform's wall clock.
+    """
 
     entries: tuple[VmEntry, ...]
     as_of_ms: int
--- a/fireflyward/backing/_position.py
+++ b/fireflyward/backing/_position.py
@@ -1,9 +1,9 @@
-"""A place in the history of a store."""
+"""A position in the sequence of a store's writes."""
 
 from dataclasses import dataclass
 
-# Versions of one era stay below this; era and version together stay within the whole
-# numbers that JSON readers take exactly.
+# Versions within one era stay below this number. The integer that combines an era and a
+# version stays within the range that JSON parsers represent exactly.
 _VERSIONS_PER_ERA = 1 << 32
 
 
@@ -11,9 +11,9 @@
 class Position:
     """A version in one era of a store.
 
-    A store that comes back from an older copy begins another era and gives versions out
-    again. Versions of two eras do not compare, and any position of a later era is
-    later. A store that never does so is in era 0 for good.
+    When a store is restored from an older snapshot, it begins a new era and assigns
+    versions again. Versions of different eras cannot be compared; any position of a
+    later era is later. A store without eras is always in era 0.
 
     >>> Position(1, 900) < Position(2, 4) < Position(2, 5)
     True
@@ -26,10 +26,10 @@
         return f"version {self.version} of era {self.era}"
 
     @property
-    def number(self) -> int:
-        """Return a number that grows with the position, 0 for all of era 0.
+    def ordinal(self) -> int:
+        """Return an integer that increases with the position, or 0 in era 0.
 
-        >>> Position(2, 4).number - Position(1, 900).number > 0
+        >>> Position(2, 4).ordinal - Position(1, 900).ordinal > 0
         True
         """
         return self.era * _VERSIONS_PER_ERA + self.version if self.era else 0
--- a/fireflyward/backing/_protocols.py
+++ b/fireflyward/backing/_protocols.py
@@ -1,4 +1,4 @@
-"""What the product needs of a platform; any adapter of these four will do."""
+"""The four services that the product needs from a platform."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -18,9 +18,9 @@
 class Table(Protocol):
     """The transactional table service: rows of bytes with versions.
 
-    One that may come back from an older copy tells the era of what it read, and takes
-    that of the reads on which a condition rests: in a later era the condition may hold
-    by chance.
+    A service that may be restored from an older snapshot returns the era of each read.
+    A commit passes the era of the reads that its condition is based on, because in a
+    later era the condition may match by coincidence.
     """
 
     async def get(self, key: str) -> Row | Missing | Unavailable: ...
@@ -35,11 +35,11 @@
         deletes: tuple[str, ...] = (),
         era: int = 0,
     ) -> Committed | Conflict | Unavailable | Uncertain:
-        """Write all or nothing, if each key of ``expected`` has that version."""
+        """Apply all writes if each key of ``expected`` has that version, else none."""
 
 
 class Objects(Protocol):
-    """The object store: whole immutable blobs by name."""
+    """The object store: immutable objects by name."""
 
     async def get(self, name: str) -> bytes | Missing | Unavailable: ...
 
@@ -47,7 +47,7 @@
 
 
 class Weights(Protocol):
-    """The weight store, as far as control needs it: which versions exist."""
+    """The weight store's list of the versions that exist."""
 
     async def versions(self) -> dict[str, tuple[str, ...]] | Unavailable: ...
 
--- a/fireflyward/leases/_lease.py
+++ b/fireflyward/leases/_lease.py
@@ -234,7 +234,7 @@
         before = self._row
         fencing = before.fencing + 1 if before else 1
         # An older copy may have brought back an earlier row, with an earlier number.
-        fencing = max(fencing, self._position.number + 1)
+        fencing = max(fencing, self._position.ordinal + 1)
         era = self._position.era
         row = LeaseRow(self._holder, self._claim_id, fencing, era=era)
         after_expiry = self._is_from_earlier_era or not (
--- a/tests/backing/test_guard.py
+++ b/tests/backing/test_guard.py
@@ -22,7 +22,7 @@
 
 
 class SilentTable(MemoryTable):
-    """Takes every call and never answers."""
+    """Applies every write and never answers."""
 
     async def get(self, key):
         await asyncio.Event().wait()
@@ -46,8 +46,8 @@
             reads=Budget(per_second=per_second, nodes=lambda: 1),
         )
 
-    async def run_to_end(self, work):
-        task = asyncio.create_task(work)
+    async def run_to_completion(self, coroutine):
+        task = asyncio.create_task(coroutine)
         for _ in range(400):
             await self.clock.advance_ms(10)
             if task.done():
@@ -57,56 +57,65 @@
     async def test_answers_pass_through(self):
         table = GuardedTable(MemoryTable(), self.make_guard())
         put = table.commit(expected={"k": 0}, puts={"k": b"v"})
-        self.assertEqual(await self.run_to_end(put), Committed({"k": 1}))
-        row = await self.run_to_end(table.get("k"))
+        self.assertEqual(await self.run_to_completion(put), Committed({"k": 1}))
+        row = await self.run_to_completion(table.get("k"))
         self.assertEqual(row.value, b"v")
-        self.assertEqual(await self.run_to_end(table.scan("k")), (row,))
+        self.assertEqual(await self.run_to_completion(table.scan("k")), (row,))
         objects = GuardedObjects(MemoryObjects(), self.make_guard())
-        self.assertEqual(await self.run_to_end(objects.put("o", b"")), Stored("o"))
-        self.assertEqual(await self.run_to_end(objects.get("x")), Missing("x"))
+        self.assertEqual(
+            await self.run_to_completion(objects.put("o", b"")), Stored("o")
+        )
+        self.assertEqual(await self.run_to_completion(objects.get("x")), Missing("x"))
         weights = GuardedWeights(MemoryWeights({"m": ("v1",)}), self.make_guard())
-        self.assertEqual(await self.run_to_end(weights.versions()), {"m": ("v1",)})
+        self.assertEqual(
+            await self.run_to_completion(weights.versions()), {"m": ("v1",)}
+        )
         vms = GuardedVms(MemoryVms(), self.make_guard())
-        self.assertIsInstance(await self.run_to_end(vms.list()), VmList)
+        self.assertIsInstance(await self.run_to_completion(vms.list()), VmList)
 
-    async def test_silent_service_ends_each_call_in_time_and_truthfully(self):
-        """Symptom: requests hang while the table is silent, or are told "not run"
-        though their record was written. Sequence: the table takes the call and
-        its answer never comes. Cause: no deadline, or the wrong word for it."""
+    async def test_each_call_to_a_silent_service_ends_with_the_correct_result(self):
+        """Guards against requests that hang while the table does not answer.
+
+        Also guards against requests that are answered "not run" although their record
+        was written. The table applies a call and never answers it, and the call has no
+        deadline or returns the wrong result at its deadline.
+        """
         inner = SilentTable()
         table = GuardedTable(inner, self.make_guard())
-        read = await self.run_to_end(table.get("k"))
+        read = await self.run_to_completion(table.get("k"))
         self.assertIsInstance(read, Unavailable)
         self.assertEqual(self.clock.now_ms(), 2_500)
-        write = await self.run_to_end(table.commit(expected={}, puts={"k": b"v"}))
+        write = await self.run_to_completion(
+            table.commit(expected={}, puts={"k": b"v"})
+        )
         self.assertIsInstance(write, Uncertain)
         self.assertEqual(inner.row_by_key["k"].value, b"v")
 
-    async def test_service_that_is_away_is_hardly_asked(self):
+    async def test_unavailable_service_gets_few_calls(self):
         inner = MemoryTable()
         inner.away = True
-        asked = []
+        calls = []
         get = inner.get
 
-        async def counted(key):
-            asked.append(self.clock.now_ms())
+        async def counting_get(key):
+            calls.append(self.clock.now_ms())
             return await get(key)
 
-        inner.get = counted
+        inner.get = counting_get
         table = GuardedTable(inner, self.make_guard())
         with self.assertLogs("fireflyward.backing"):
             for _ in range(1_500):
                 result = await table.get("k")
                 self.assertIsInstance(result, Unavailable)
                 await self.clock.advance_ms(40)
-        self.assertLess(len(asked), 20)
+        self.assertLess(len(calls), 20)
         inner.away = False
         await self.clock.advance_ms(10_000)
         with self.assertLogs("fireflyward.backing") as logs:
-            self.assertEqual(await self.run_to_end(table.get("k")), Missing("k"))
+            self.assertEqual(await self.run_to_completion(table.get("k")), Missing("k"))
         self.assertIn("table is back", logs.output[0])
 
-    async def test_refused_by_the_breaker_means_nothing_was_written(self):
+    async def test_write_that_the_breaker_rejects_is_not_applied(self):
         inner = MemoryTable()
         inner.away = True
         table = GuardedTable(inner, self.make_guard())
@@ -118,12 +127,12 @@
         self.assertIsInstance(result, Unavailable)
         self.assertEqual(inner.row_by_key, {})
 
-    async def test_calls_over_the_share_wait_and_then_are_refused(self):
+    async def test_calls_over_the_share_wait_and_are_then_rejected(self):
         table = GuardedTable(MemoryTable(), self.make_guard(per_second=2))
         tasks = [asyncio.create_task(table.get("k")) for _ in range(9)]
         await self.clock.advance_ms(2_000)
         results = await asyncio.gather(*tasks)
-        refused = [item for item in results if isinstance(item, Unavailable)]
-        self.assertEqual(len(refused), 3)
+        rejected = [item for item in results if isinstance(item, Unavailable)]
+        self.assertEqual(len(rejected), 3)
         labels = {"service": "table", "result": "refused"}
         self.assertEqual(self.metrics.total("platform_calls_total", **labels), 3)
