--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -307,7 +307,9 @@
             lease_ms=self._settings.bounds.lease_ms,
             contends=self._contends,
             on_change=self._on_lease,
-            on_row=lambda row, position: self._lease_news.announce(row, position),
+            on_row_written=lambda row, position: self._lease_news.announce(
+                row, position
+            ),
             poll_interval_ms=lambda: self._weight_task.look_ms(),
         )
 
--- a/fireflyward/leases/_task.py
+++ b/fireflyward/leases/_task.py
@@ -51,7 +51,7 @@
     ``contends`` is asked before each look: a node that does not contend looks
     only once a minute, so that the lease finds a holder even if every node
     thinks that others contend. ``on_change`` hears of ``Gained`` and ``Lost``.
-    ``on_row`` hears of each row that this holder wrote, to tell contenders of it.
+    ``on_row_written`` hears of each row that this holder wrote, to tell contenders of it.
     ``poll_interval_ms`` is asked how long to wait for the next look; without it there are
     three looks in the length of a lease.
 
@@ -72,7 +72,7 @@
         "_looked_ms",
         "_observe",
         "_on_change",
-        "_on_row",
+        "_on_row_written",
         "_released",
         "_table",
         "_told_ms",
@@ -90,7 +90,9 @@
         lease_ms: int = DEFAULT_LEASE_MS,
         contends: Callable[[], bool] = lambda: True,
         on_change: Callable[[Gained | Lost], None] = lambda change: None,
-        on_row: Callable[[LeaseRow, Position], None] = lambda row, position: None,
+        on_row_written: Callable[[LeaseRow, Position], None] = lambda row, position: (
+            None
+        ),
         poll_interval_ms: Callable[[], float] | None = None,
         observe: StepObserver = ignore_step,
     ) -> None:
@@ -105,7 +107,7 @@
         self._wanted_fresh = asyncio.Event()
         self._contends = contends
         self._on_change = on_change
-        self._on_row = on_row
+        self._on_row_written = on_row_written
         self._told_ms: int | None = None
         self._observe = observe
         self._looked_ms: int | None = None
@@ -174,7 +176,7 @@
     def _tell_row(self) -> None:
         row, position = self._lease.row
         if row is not None:
-            self._on_row(row, position)
+            self._on_row_written(row, position)
 
     def _is_idle_look_due(self, now_ms: int) -> bool:
         if self._looked_ms is None:
--- a/tests/leases/test_news.py
+++ b/tests/leases/test_news.py
@@ -25,7 +25,7 @@
         self.table = _CountingTable()
         self.is_heard = True
         self.other = self.make("b")
-        self.holder = self.make("a", on_row=self.tell)
+        self.holder = self.make("a", on_row_written=self.tell)
 
     def make(self, holder, **options):
         return LeaseTask(
