--- a/fireflyward/leases/__init__.py
+++ b/fireflyward/leases/__init__.py
@@ -1,6 +1,7 @@
-"""Leases in the table service: one holder at a time, with a fencing number."""
+"""Leases in the table service, with one holder at a time and fencing numbers."""
 
-from ._contenders import CONTENDERS, contenders
+from ._announcer import LeaseAnnouncer
+from ._contenders import CONTENDER_COUNT, contenders
 from ._lease import Lease
 from ._messages import (
     Claim,
@@ -12,17 +13,16 @@
     ReadRow,
     Released,
     Renewed,
+    RowRead,
     RowReceived,
-    RowSeen,
     Tick,
     WriteAnswered,
     WriteRow,
 )
-from ._news import LeaseAnnouncer
 from ._task import DEFAULT_LEASE_MS, KEY_PREFIX, LeaseTask
 
 __all__ = [
-    "CONTENDERS",
+    "CONTENDER_COUNT",
     "DEFAULT_LEASE_MS",
     "KEY_PREFIX",
     "Claim",
@@ -37,7 +37,7 @@
     "ReadRow",
     "Released",
     "Renewed",
-    "RowSeen",
+    "RowRead",
     "RowReceived",
     "Tick",
     "WriteAnswered",
--- a/fireflyward/leases/_contenders.py
+++ b/fireflyward/leases/_contenders.py
@@ -1,20 +1,20 @@
-"""Which nodes look for a free lease, so that not all of them poll for it."""
+"""Selects the nodes that poll for a free lease, so that not all nodes do."""
 
 from collections.abc import Iterable
 
 from fireflyward.rendezvous import rendezvous_rank
 
-CONTENDERS = 3
+CONTENDER_COUNT = 3
 
 
 def contenders(
-    lease: str, nodes: Iterable[str], count: int = CONTENDERS
+    lease: str, nodes: Iterable[str], count: int = CONTENDER_COUNT
 ) -> tuple[str, ...]:
-    """Return the ``count`` nodes that contend for ``lease``, best first.
+    """Return the ``count`` nodes that contend for ``lease``, first preference first.
 
-    Every node draws the same order from the names alone (rendezvous hashing).
-    Views that differ cost some reads of the table and nothing else, because the
-    table's conditional write alone decides who holds the lease.
+    Every node derives the same order from the names alone, by rendezvous hashing.
+    Nodes whose views of the membership differ only cause more reads of the table,
+    because the table's conditional write alone decides which node holds the lease.
 
     >>> len(contenders("rollout", ["a", "b", "c", "d"]))
     3
--- a/fireflyward/leases/_messages.py
+++ b/fireflyward/leases/_messages.py
@@ -1,4 +1,4 @@
-"""A lease's row, and what passes between its decisions and its task."""
+"""A lease's row, and the messages between its decisions and its task."""
 
 from dataclasses import dataclass
 
@@ -17,7 +17,7 @@
 
 
 class LeaseStep(Step):
-    """The points of a lease at which a process may be struck."""
+    """The steps of a lease at which tests make its process fail."""
 
     ROW_SEEN = "lease: row seen"
     ACQUIRE_SENT = "lease: acquire sent"
@@ -33,9 +33,10 @@
 class LeaseRow(msgspec.Struct, frozen=True):
     """The row ``lease/NAME``; it is never deleted, so ``fencing`` never repeats.
 
-    ``claim`` names one acquisition by one process, ``beat`` counts its writes, and
-    ``released`` says that the holder gave it up with nothing left in flight. ``era`` is
-    the table's when the row was written: in a later one newer rows may have been lost.
+    ``claim`` identifies the process that acquired the lease, and ``beat`` counts its
+    renewals. ``released`` says that the holder released the lease with no operation
+    left in flight. ``era`` is the table's era when the row was written; if the table is
+    in a later era, newer rows of the lease may have been lost.
     """
 
     holder: str
@@ -48,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A lease held now: its fencing number and how its holder came to it.
+    """A lease that is held: its fencing number and when it expires.
 
-    ``after_expiry`` is true when an earlier holder did not hand over, so that
-    something which it sent may still be on its way.
+    ``after_expiry`` is true if the previous holder did not hand the lease over, so
+    that an order which it sent may still arrive.
     """
 
     fencing: int
@@ -61,9 +62,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; ``may_contend`` says whether to look for a free lease.
+    """Time has passed; ``may_contend`` says whether to check for a free lease.
 
-    With ``renews_now`` a claim is renewed although its time has not come.
+    With ``renews_now`` a claim is renewed although its renewal is not due.
     """
 
     may_contend: bool = True
@@ -71,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RowSeen:
+class RowRead:
     """The answer to ``ReadRow``."""
 
     result: Row | Missing | Unavailable
@@ -79,9 +80,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RowReceived:
-    """The holder says that its row was written there.
+    """The holder announced its row and the position of its last write.
 
-    It may be late, so it proves only that the row was written before it came.
+    The announcement may be late: it shows only that the row was written before the
+    announcement arrived.
     """
 
     row: LeaseRow
@@ -97,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """The holder stops on purpose and has nothing in flight."""
+    """The holder stops as planned and has no operations in flight."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRow:
-    """Write the lease's row if it still stands as it was read at ``expected``."""
+    """Write the lease's row if it is still the row read at ``expected``."""
 
     expected: Position
     row: LeaseRow
@@ -123,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renewed:
-    """The lease is held longer."""
+    """The lease was renewed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,8 +137,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """The table says that the lease is free for the next holder."""
+    """The table contains the release, so the lease is free for the next holder."""
 
 
-Message = Tick | RowSeen | RowReceived | WriteAnswered | HandOver
+Message = Tick | RowRead | RowReceived | WriteAnswered | HandOver
 Action = ReadRow | WriteRow | Gained | Renewed | Lost | Released
--- a/fireflyward/leases/_task.py
+++ b/fireflyward/leases/_task.py
@@ -1,4 +1,4 @@
-"""The task that keeps one lease: it reads, writes and waits as decided."""
+"""The task of one lease, which performs the reads and writes that it decides."""
 
 import asyncio
 import logging
@@ -24,8 +24,8 @@
     ReadRow,
     Released,
     Renewed,
+    RowRead,
     RowReceived,
-    RowSeen,
     Tick,
     WriteAnswered,
     WriteRow,
@@ -35,25 +35,26 @@
 
 DEFAULT_LEASE_MS = 9_000
 KEY_PREFIX = "lease/"
-_LOOKS_PER_LEASE = 3
-_IDLE_LOOK_MS = 60_000
-# Whoever was told by the holder looks at the table only after this part of a lease
-# without another word: two renewals, of which one may be lost, and still in time to
-# take a lease that lapses.
-_TOLD_SHARE = 0.7
-_HAND_OVER_TRIES = 5
+_POLLS_PER_LEASE = 3
+_IDLE_POLL_INTERVAL_MS = 60_000
+# A contender that received an announcement from the holder polls the table only after
+# this share of a lease without another announcement. The share covers two renewals, so
+# one announcement may be lost, and the contender is still in time for a lease that
+# expires.
+_ANNOUNCEMENT_VALID_SHARE = 0.7
+_MAX_HAND_OVER_ATTEMPTS = 5
 _HAND_OVER_PAUSE_MS = 100
 
 
 class LeaseTask:
-    """Holds the lease ``name`` whenever it can.
+    """Acquires the lease ``name`` when it is free and keeps it.
 
-    ``contends`` is asked before each look: a node that does not contend looks
-    only once a minute, so that the lease finds a holder even if every node
-    thinks that others contend. ``on_change`` hears of ``Gained`` and ``Lost``.
-    ``on_row_written`` hears of each row that this holder wrote, to tell contenders of it.
-    ``poll_interval_ms`` is asked how long to wait for the next look; without it there are
-    three looks in the length of a lease.
+    ``contends`` is called before each poll. A node that does not contend polls only
+    once a minute, so that the lease gets a holder even if every node assumes that
+    others contend. ``on_change`` is called with ``Gained`` and ``Lost``, and
+    ``on_row_written`` with each row that this holder wrote, which it announces to the
+    contenders. ``poll_interval_ms`` returns the time until the next poll; without it
+    the task polls three times in the length of a lease.
 
         lease = LeaseTask("sweep/store-1", clock=clock, table=table, holder="entry-1")
         asyncio.create_task(lease.run())
@@ -69,14 +70,14 @@
         "_key",
         "_lease",
         "_poll_interval_ms",
-        "_looked_ms",
+        "_last_poll_ms",
         "_observe",
         "_on_change",
         "_on_row_written",
-        "_released",
+        "_is_released",
         "_table",
-        "_told_ms",
-        "_wanted_fresh",
+        "_last_announcement_ms",
+        "_wake_up",
         "name",
     )
 
@@ -102,90 +103,92 @@
         self._key = KEY_PREFIX + name
         self._lease = Lease(holder=holder, lease_ms=lease_ms)
         self._poll_interval_ms = poll_interval_ms or (
-            lambda: lease_ms // _LOOKS_PER_LEASE
+            lambda: lease_ms // _POLLS_PER_LEASE
         )
-        self._wanted_fresh = asyncio.Event()
+        self._wake_up = asyncio.Event()
         self._contends = contends
         self._on_change = on_change
         self._on_row_written = on_row_written
-        self._told_ms: int | None = None
+        self._last_announcement_ms: int | None = None
         self._observe = observe
-        self._looked_ms: int | None = None
-        self._released = False
+        self._last_poll_ms: int | None = None
+        self._is_released = False
 
     def __repr__(self) -> str:
         return f"LeaseTask({self.name!r}, {self._lease!r})"
 
     def claim(self) -> Claim | None:
-        """Return the claim if it is held right now; ask before every order."""
+        """Return the claim if it is held now; call this before every order."""
         return self._lease.claim_at(self._clock.now_ms())
 
     async def run(self) -> None:
-        """Look for the lease, take it and keep it, until cancelled."""
+        """Poll for the lease, acquire it and keep it, until cancelled."""
         while True:
             await self.step()
-            await within_ms(
-                self._clock, self._poll_interval_ms(), self._wanted_fresh.wait()
-            )
+            await within_ms(self._clock, self._poll_interval_ms(), self._wake_up.wait())
 
     def request_renewal(self) -> None:
-        """Have a claim renewed at once, for an order that asks for a young one."""
-        self._wanted_fresh.set()
+        """Renew the claim at once, for an order that requires a recent renewal."""
+        self._wake_up.set()
 
-    async def on_told(self, row: LeaseRow, position: Position) -> None:
-        """Hear from the holder that its row was written there."""
+    async def on_row_received(self, row: LeaseRow, position: Position) -> None:
+        """Handle the holder's announcement of its row and position."""
         if row.released:
-            self._told_ms = None
-            self._wanted_fresh.set()
+            self._last_announcement_ms = None
+            self._wake_up.set()
             return
-        self._told_ms = self._clock.now_ms()
-        await self._take(RowReceived(row, position))
+        self._last_announcement_ms = self._clock.now_ms()
+        await self._process(RowReceived(row, position))
 
     async def step(self) -> None:
-        """Do what is due now: look, acquire, renew or settle."""
+        """Perform what is due: poll, acquire, renew or check a pending write."""
         now_ms = self._clock.now_ms()
-        looks = self._contends() and not self._is_told(now_ms)
-        may_contend = looks or self._is_idle_look_due(now_ms)
+        polls = self._contends() and not self._has_recent_announcement(now_ms)
+        may_contend = polls or self._is_idle_poll_due(now_ms)
         if may_contend:
-            self._looked_ms = now_ms
-        renews_now = self._wanted_fresh.is_set()
-        self._wanted_fresh.clear()
-        await self._take(Tick(may_contend, renews_now))
+            self._last_poll_ms = now_ms
+        renews_now = self._wake_up.is_set()
+        self._wake_up.clear()
+        await self._process(Tick(may_contend, renews_now))
 
     async def hand_over(self) -> bool:
-        """Free the lease for the next holder; return whether the table says so.
+        """Release the lease; return whether the table contains the release.
 
-        The caller has ended everything that it did under the lease, including
-        what was in flight: a successor acts at once.
+        The caller has stopped all work under the lease, including what was in flight,
+        because a successor acts at once.
         """
-        for _ in range(_HAND_OVER_TRIES):
+        for _ in range(_MAX_HAND_OVER_ATTEMPTS):
             if self._lease.is_settled:
-                await self._take(HandOver())
+                await self._process(HandOver())
             else:
-                await self._take(Tick(may_contend=False))
-            if self._released or self.claim() is None and self._lease.is_settled:
+                await self._process(Tick(may_contend=False))
+            if self._is_released or self.claim() is None and self._lease.is_settled:
                 break
             await self._clock.sleep_ms(_HAND_OVER_PAUSE_MS)
-        return self._released
+        return self._is_released
 
-    def _is_told(self, now_ms: int) -> bool:
-        if self._told_ms is None:
+    def _has_recent_announcement(self, now_ms: int) -> bool:
+        if self._last_announcement_ms is None:
             return False
-        return now_ms - self._told_ms < self._lease.lease_ms * _TOLD_SHARE
+        return (
+            now_ms - self._last_announcement_ms
+            < self._lease.lease_ms * _ANNOUNCEMENT_VALID_SHARE
+        )
 
-    def _tell_row(self) -> None:
+    def _announce_row(self) -> None:
         row, position = self._lease.row
         if row is not None:
             self._on_row_written(row, position)
 
-    def _is_idle_look_due(self, now_ms: int) -> bool:
-        if self._looked_ms is None:
-            # The first look of nodes that start together is spread as the later
-            # ones are, by the moment at which each was started.
-            self._looked_ms = now_ms
-        return now_ms - self._looked_ms >= _IDLE_LOOK_MS
+    def _is_idle_poll_due(self, now_ms: int) -> bool:
+        if self._last_poll_ms is None:
+            # The first idle poll comes a full interval after the start, as the later
+            # ones do, so the polls of nodes that start together are spread by their
+            # start times.
+            self._last_poll_ms = now_ms
+        return now_ms - self._last_poll_ms >= _IDLE_POLL_INTERVAL_MS
 
-    async def _take(self, message: Message) -> None:
+    async def _process(self, message: Message) -> None:
         pending = self._lease.decide(self._clock.now_ms(), message)
         while pending:
             answer = await self._perform(pending.pop(0))
@@ -194,13 +197,13 @@
 
     @singledispatchmethod
     async def _perform(self, action: Action) -> Message | None:
-        raise TypeError(f"no way to do {action!r}")
+        raise TypeError(f"unknown action {action!r}")
 
     @_perform.register
     async def _(self, action: ReadRow) -> Message | None:
         result = await self._table.get(self._key)
         self._observe(LeaseStep.ROW_SEEN)
-        return RowSeen(result)
+        return RowRead(result)
 
     @_perform.register
     async def _(self, action: WriteRow) -> Message | None:
@@ -219,12 +222,12 @@
         self._observe(LeaseStep.ACQUIRED)
         log.info("leases: %s held with number %d", self.name, action.claim.fencing)
         self._on_change(action)
-        self._tell_row()
+        self._announce_row()
 
     @_perform.register
     async def _(self, action: Renewed) -> Message | None:
         self._observe(LeaseStep.RENEWED)
-        self._tell_row()
+        self._announce_row()
 
     @_perform.register
     async def _(self, action: Lost) -> Message | None:
@@ -234,6 +237,6 @@
 
     @_perform.register
     async def _(self, action: Released) -> Message | None:
-        self._released = True
+        self._is_released = True
         self._observe(LeaseStep.RELEASED)
-        self._tell_row()
+        self._announce_row()
--- a/fireflyward/leases/leases.thrift
+++ b/fireflyward/leases/leases.thrift
@@ -1,7 +1,7 @@
-/* What the holder of a lease tells the nodes that contend for it. */
+/* The announcement that the holder of a lease sends to the contenders. */
 namespace py fireflyward.leases
 
-/* The lease's row, as it stands in the table with this version of this era. */
+/* The lease's row, which the table contains with this version of this era. */
 struct LeaseHeld {
   1: required string name,
   2: required binary row,
--- a/tests/leases/test_news.py
+++ b/tests/leases/test_announcer.py
@@ -1,4 +1,4 @@
-"""Contenders that hear of the lease from its holder."""
+"""Contenders that receive announcements of the lease from its holder."""
 
 import asyncio
 import unittest
@@ -19,13 +19,13 @@
         return await super().get(key)
 
 
-class NewsTests(unittest.IsolatedAsyncioTestCase):
+class AnnouncerTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.clock = ManualClock()
         self.table = _CountingTable()
-        self.is_heard = True
+        self.delivers_announcements = True
         self.other = self.make("b")
-        self.holder = self.make("a", on_row_written=self.tell)
+        self.holder = self.make("a", on_row_written=self.announce)
 
     def make(self, holder, **options):
         return LeaseTask(
@@ -37,9 +37,11 @@
             **options,
         )
 
-    def tell(self, row, position):
-        if self.is_heard:
-            self.told = asyncio.ensure_future(self.other.on_told(row, position))
+    def announce(self, row, position):
+        if self.delivers_announcements:
+            self.delivery = asyncio.ensure_future(
+                self.other.on_row_received(row, position)
+            )
 
     async def hold(self):
         holding = asyncio.create_task(self.holder.run())
@@ -49,10 +51,10 @@
         self.addCleanup(holding.cancel)
         return holding
 
-    async def test_who_hears_the_holder_does_not_look_at_the_table(self):
-        """Symptom: a fleet of 18 nodes calls the store ten times a second for a lease.
+    async def test_contender_with_recent_announcements_does_not_poll_the_table(self):
+        """Guards against ten store calls a second for one lease in a fleet of 18 nodes.
 
-        Seven contenders looked at its row all the time while its holder was well.
+        Seven contenders polled the row all the time while its holder renewed it.
         """
         await self.hold()
         self.table.reads = 0
@@ -60,10 +62,11 @@
         self.assertEqual(self.holder.claim().fencing, 1)
         self.assertLessEqual(self.table.reads, 1)
 
-    async def test_a_holder_that_falls_silent_is_followed_as_soon_as_before(self):
-        """Symptom: a rollout rests for seconds longer after its holder lost power.
+    async def test_silent_holder_is_succeeded_as_soon_as_without_announcements(self):
+        """Guards against a rollout that pauses for too long after its holder stopped.
 
-        Contenders that had been told began to count only when they looked again.
+        The holder lost power. Contenders that had received its announcements began to
+        count the lease only at their next poll, which took seconds longer.
         """
         holding = await self.hold()
         await self.clock.advance_ms(10_000)
@@ -71,23 +74,23 @@
         await self.clock.advance_ms(_LEASE_MS + 2_100)
         self.assertEqual(self.other.claim().fencing, 2)
 
-    async def test_two_hold_never_however_late_the_news_is(self):
-        """A row that is told late, or again, must never let a lease be taken sooner."""
+    async def test_late_announcements_never_lead_to_two_holders(self):
+        """A late or repeated announcement must not make a contender acquire earlier."""
         await self.hold()
         row = LeaseRow("a", "claim", 1)
         for _ in range(40):
-            await self.other.on_told(row, at(0))
+            await self.other.on_row_received(row, at(0))
             await self.clock.advance_ms(250)
             self.assertIsNone(self.other.claim())
 
-    async def test_without_news_the_table_is_looked_at(self):
-        self.is_heard = False
+    async def test_contender_without_announcements_polls_the_table(self):
+        self.delivers_announcements = False
         await self.hold()
         self.table.reads = 0
         await self.clock.advance_ms(30_000)
         self.assertGreater(self.table.reads, 20)
 
-    async def test_a_lease_that_is_handed_over_is_taken_at_once(self):
+    async def test_lease_that_is_handed_over_is_acquired_at_once(self):
         holding = await self.hold()
         await self.clock.advance_ms(10_000)
         holding.cancel()
--- a/tests/leases/test_contenders.py
+++ b/tests/leases/test_contenders.py
@@ -6,12 +6,12 @@
 
 
 class ContenderTests(unittest.TestCase):
-    def test_three_of_many_contend_in_whatever_order_names_come(self):
+    def test_three_contenders_regardless_of_the_order_of_names(self):
         chosen = contenders("rollout", NODES)
         self.assertEqual(len(chosen), 3)
         self.assertEqual(chosen, contenders("rollout", reversed(NODES)))
 
-    def test_a_node_that_leaves_is_replaced_by_the_next(self):
+    def test_leaving_node_is_replaced_by_the_next(self):
         first, second, third = contenders("rollout", NODES)
         rest = [node for node in NODES if node != first]
         self.assertEqual(contenders("rollout", rest)[:2], (second, third))
--- a/tests/leases/test_lease.py
+++ b/tests/leases/test_lease.py
@@ -14,8 +14,8 @@
     Lost,
     ReadRow,
     Released,
+    RowRead,
     RowReceived,
-    RowSeen,
     Tick,
     WriteAnswered,
     WriteRow,
@@ -44,12 +44,12 @@
 
 
 def drive(lease, table, now_ms, message, *, lose=0):
-    """Perform what ``lease`` decides; the first ``lose`` answers are lost."""
+    """Perform the actions of ``lease``; the first ``lose`` answers are lost."""
     results, queue = [], lease.decide(now_ms, message)
     while queue:
         action = queue.pop(0)
         if isinstance(action, ReadRow):
-            queue += lease.decide(now_ms, RowSeen(table.read()))
+            queue += lease.decide(now_ms, RowRead(table.read()))
         elif isinstance(action, WriteRow):
             answer = table.write(action)
             if lose:
@@ -67,12 +67,12 @@
         self.first = Lease(holder="a", lease_ms=LEASE_MS)
         self.second = Lease(holder="b", lease_ms=LEASE_MS)
 
-    def test_first_look_takes_a_lease_that_nobody_had(self):
+    def test_first_poll_acquires_a_lease_without_a_row(self):
         (gained,) = drive(self.first, self.table, 0, Tick())
         self.assertEqual(gained.claim.fencing, 1)
         self.assertFalse(gained.claim.after_expiry)
 
-    def test_contender_waits_a_whole_lease_by_its_own_clock(self):
+    def test_contender_waits_the_full_lease_by_its_own_clock(self):
         drive(self.first, self.table, 0, Tick())
         for now_ms in (1_000_000, 1_000_000 + LEASE_MS):
             self.assertEqual(drive(self.second, self.table, now_ms, Tick()), [])
@@ -104,45 +104,53 @@
         self.table = FakeRow()
         self.lease = Lease(holder="a", lease_ms=LEASE_MS)
 
-    def test_lost_answer_to_an_acquisition_is_settled_by_reading(self):
-        """Symptom: nobody holds a lease though its row names a holder. Sequence:
-        the acquisition takes effect and its answer is lost. Cause: the holder
-        took silence for failure."""
+    def test_lost_answer_to_an_acquisition_is_resolved_by_reading(self):
+        """Guards against a lease that no process holds though its row names a holder.
+
+        The acquisition takes effect and its answer is lost, and the process treats the
+        missing answer as a failure.
+        """
         (gained,) = drive(self.lease, self.table, 0, Tick(), lose=1)
         self.assertEqual(gained.claim.fencing, 1)
 
-    def test_lost_answer_to_a_renewal_is_settled_by_reading(self):
-        """Symptom: a holder gives its lease up in the middle. Sequence: a renewal
-        takes effect, its answer is lost, the next one conflicts. Cause: the
-        conflict was taken for another holder's write."""
+    def test_lost_answer_to_a_renewal_is_resolved_by_reading(self):
+        """Guards against a holder that drops its lease before it expires.
+
+        A renewal takes effect, its answer is lost, the next renewal conflicts, and the
+        holder treats the conflict as a write by another process.
+        """
         drive(self.lease, self.table, 0, Tick())
         drive(self.lease, self.table, 3_000, Tick(), lose=1)
         self.assertEqual(self.lease.claim_at(9_500).fencing, 1)
 
     def test_lost_write_that_never_arrived_is_sent_again_unchanged(self):
         (read,) = self.lease.decide(0, Tick())
-        (write,) = self.lease.decide(0, RowSeen(self.table.read()))
+        (write,) = self.lease.decide(0, RowRead(self.table.read()))
         self.lease.decide(2_000, WriteAnswered(Uncertain("lost")))
-        self.assertEqual(self.lease.decide(2_000, RowSeen(self.table.read())), [])
+        self.assertEqual(self.lease.decide(2_000, RowRead(self.table.read())), [])
         self.lease.decide(3_000, Tick())
-        self.assertEqual(self.lease.decide(3_000, RowSeen(self.table.read())), [write])
+        self.assertEqual(self.lease.decide(3_000, RowRead(self.table.read())), [write])
         gained = self.lease.decide(3_000, WriteAnswered(self.table.write(write)))
         self.assertEqual(gained[0].claim.until_ms, LEASE_MS)
 
-    def test_belief_counts_from_before_the_write_was_sent(self):
-        """Symptom: two holders at once. Sequence: a write waits in the network for
-        most of a lease and its answer as long. Cause: the holder counted its
-        lease from the answer, the contender from the row."""
+    def test_claim_counts_from_before_the_write_was_sent(self):
+        """Guards against two holders at the same time.
+
+        A write is delayed in the network for most of a lease, and so is its answer. The
+        holder counts its lease from the answer, but the contender from the row.
+        """
         (_,) = self.lease.decide(0, Tick())
-        (write,) = self.lease.decide(0, RowSeen(self.table.read()))
+        (write,) = self.lease.decide(0, RowRead(self.table.read()))
         answer = self.table.write(write)
         self.assertEqual(self.lease.decide(9_001, WriteAnswered(answer)), [])
         self.assertIsNone(self.lease.claim_at(9_001))
 
-    def test_paused_holder_wakes_without_its_lease(self):
-        """Symptom: a holder acts after its successor did. Sequence: it is paused
-        for longer than the lease and its next statement asks for the claim.
-        Cause: a flag that a timer should have reset still said that it holds."""
+    def test_holder_paused_past_its_lease_has_no_claim(self):
+        """Guards against a holder that acts after its successor has acted.
+
+        The holder is paused for longer than the lease, and its next statement requests
+        the claim. A flag that a timer should have reset still says that it is held.
+        """
         drive(self.lease, self.table, 0, Tick())
         self.assertIsNotNone(self.lease.claim_at(8_999))
         self.assertIsNone(self.lease.claim_at(9_000))
@@ -151,7 +159,7 @@
         drive(successor, self.table, 60_000, Tick())
         self.assertEqual(drive(self.lease, self.table, 60_000, Tick()), [Lost(1)])
 
-    def test_own_row_of_a_lapsed_claim_is_taken_again_with_a_new_number(self):
+    def test_own_expired_claim_is_acquired_again_with_a_new_number(self):
         drive(self.lease, self.table, 0, Tick())
         lost, gained = drive(self.lease, self.table, 20_000, Tick())
         self.assertEqual(lost, Lost(1))
@@ -172,10 +180,10 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Processes whose messages are delayed, lost and crossed, with pauses.
+    """Processes that pause, and whose messages are delayed, lost and reordered.
 
-    What a process sent lies in ``waiting`` until a rule delivers it, so any pause
-    and any delay of a request or an answer is some order of the rules.
+    A message stays in ``waiting`` until a rule delivers it, so any pause and any delay
+    of a request or an answer corresponds to some order of the rules.
     """
 
     def __init__(self):
@@ -190,7 +198,7 @@
         self.numbers = []
         self.late = []
 
-    def give(self, process, message):
+    def process_message(self, process, message):
         actions = process.lease.decide(process.now_ms(self.true_ms), message)
         for action in actions:
             if isinstance(action, Gained):
@@ -204,12 +212,12 @@
 
     @rule(index=st.integers(0, 2), turns=st.integers(0, 8), stop=st.booleans())
     def work(self, index, turns, stop):
-        """Let a process go on for some turns; it is paused after the last."""
+        """Run a process for some turns; it is paused after the last one."""
         process = self.processes[index]
         if not process.waiting:
             now_ms = process.now_ms(self.true_ms)
             held = process.lease.claim_at(now_ms) is not None
-            self.give(process, HandOver() if stop and held else Tick())
+            self.process_message(process, HandOver() if stop and held else Tick())
             process.lease._stopping = False
         for _ in range(turns):
             self.turn(process, lose=False)
@@ -220,11 +228,11 @@
 
     @rule(index=st.integers(0, 2))
     def arrive_late(self, index):
-        """Give a write up as lost and have it arrive after that."""
+        """Report the answer to a write as lost, and queue the write for later."""
         process = self.processes[index]
         if process.waiting and isinstance(process.waiting[0], WriteRow):
             write = process.waiting.pop(0)
-            self.give(process, WriteAnswered(Uncertain("lost")))
+            self.process_message(process, WriteAnswered(Uncertain("lost")))
             self.late.append(write)
 
     @rule()
@@ -233,29 +241,29 @@
             self.table.write(self.late.pop(0))
 
     def turn(self, process, *, lose):
-        """Move one thing on its way: a request to the table, or an answer back."""
+        """Deliver one request to the table, or one answer to the process."""
         if not process.waiting:
             return
         sent = process.waiting.pop(0)
         if isinstance(sent, ReadRow):
-            process.waiting.insert(0, RowSeen(self.table.read()))
+            process.waiting.insert(0, RowRead(self.table.read()))
         elif isinstance(sent, WriteRow):
             answer = self.table.write(sent)
             process.waiting.insert(0, WriteAnswered(Uncertain("") if lose else answer))
         else:
-            self.give(process, sent)
+            self.process_message(process, sent)
 
     @invariant()
-    def at_most_one_believes(self):
-        believers = [
+    def at_most_one_holder(self):
+        holders = [
             process
             for process in self.processes
             if process.lease.claim_at(process.now_ms(self.true_ms))
         ]
-        assert len(believers) <= 1, believers
+        assert len(holders) <= 1, holders
 
     @invariant()
-    def numbers_never_go_back(self):
+    def numbers_never_decrease(self):
         assert self.numbers == sorted(self.numbers), self.numbers
 
 
@@ -274,43 +282,43 @@
 
 
 class ForeignRowTests(unittest.TestCase):
-    def test_a_row_that_cannot_be_read_counts_as_held_and_is_replaced(self):
-        """Symptom: every process ends when it looks at the lease.
+    def test_undecodable_row_counts_as_held_and_is_replaced(self):
+        """Guards against processes that exit with an error when they read the lease.
 
-        Somebody else wrote the row. Its number is not known, so the next one is
-        taken from the row's version, which no holder's number can exceed.
+        A foreign program wrote the row. Its fencing number is unknown, so the next one
+        is derived from the row's version, which no holder's number can exceed.
         """
         lease = Lease(holder="a", lease_ms=3_000)
         lease.decide(0, Tick())
         with self.assertLogs("fireflyward.leases", "ERROR"):
-            foreign = RowSeen(Row("lease/x", b"\xff no row", 41))
+            foreign = RowRead(Row("lease/x", b"\xff no row", 41))
             self.assertEqual(lease.decide(0, foreign), [])
             (write,) = lease.decide(3_200, foreign)
         self.assertEqual((write.expected, write.row.fencing), (at(41), 42))
 
 
-class ToldRowTests(unittest.TestCase):
-    def test_a_holder_goes_by_its_own_row_whatever_it_is_told(self):
-        """Symptom: a lease is lost each time a former holder's datagram comes late.
+class ReceivedRowTests(unittest.TestCase):
+    def test_holder_ignores_announced_rows(self):
+        """Guards against a lease that is lost when a former holder's datagram is late.
 
-        The holder took the row that it was told for the table's, and its next
-        renewal was made on a condition that could not hold.
+        The holder treated the announced row as the row in the table, so the condition
+        of its next renewal could not match.
         """
         lease = Lease(holder="a", lease_ms=3_000)
         lease.decide(0, Tick())
-        lease.decide(0, RowSeen(Missing("lease/x")))
+        lease.decide(0, RowRead(Missing("lease/x")))
         lease.decide(0, WriteAnswered(Committed({"lease/x": 9})))
         lease.decide(10, RowReceived(LeaseRow("b", "old", 7), at(8)))
         lease.decide(20, RowReceived(LeaseRow("b", "new", 7), at(12)))
         (renewal,) = lease.decide(1_000, Tick())
         self.assertEqual((renewal.expected, renewal.row.holder), (at(9), "a"))
 
-    def test_an_older_row_does_not_begin_the_wait_again(self):
+    def test_older_announced_row_does_not_restart_the_wait(self):
         lease = Lease(holder="a", lease_ms=3_000)
         row = LeaseRow("b", "claim", 7)
         lease.decide(0, RowReceived(row, at(9)))
         lease.decide(2_000, RowReceived(row, at(8)))
-        held = RowSeen(Row("lease/x", msgspec.json.encode(row), 9))
+        held = RowRead(Row("lease/x", msgspec.json.encode(row), 9))
         self.assertEqual(lease.decide(3_149, held), [])
         (write,) = lease.decide(3_150, held)
         self.assertEqual((write.expected, write.row.fencing), (at(9), 8))
--- a/tests/leases/test_task.py
+++ b/tests/leases/test_task.py
@@ -7,7 +7,7 @@
 
 
 class Crash(Exception):
-    """Stands for the death of the process at a step."""
+    """Simulates a crash of the process at a step."""
 
 
 class TaskTests(unittest.IsolatedAsyncioTestCase):
@@ -39,7 +39,7 @@
         self.assertEqual(holder.claim().fencing, 1)
         self.assertIsNone(other.claim())
 
-    async def test_a_claim_is_renewed_at_once_when_asked(self):
+    async def test_claim_is_renewed_at_once_on_request(self):
         holder = self.make("a")
         self.start(holder)
         await self.clock.advance_ms(500)
@@ -48,7 +48,7 @@
         await self.clock.advance_ms(1)
         self.assertGreaterEqual(holder.claim().until_ms - until_ms, 499)
 
-    async def test_table_away_for_longer_than_the_lease_ends_the_claim(self):
+    async def test_claim_expires_when_the_table_is_unavailable_for_longer(self):
         holder = self.make("a")
         self.start(holder)
         await self.clock.advance_ms(1)
@@ -59,10 +59,12 @@
         await self.clock.advance_ms(4_000)
         self.assertEqual(holder.claim().fencing, 2)
 
-    async def test_every_lost_answer_leaves_the_holder_certain(self):
-        """Symptom: a lease without a holder, or one given up. Sequence: every
-        write takes effect and every answer is lost. Cause: a guess in place of
-        reading the row back."""
+    async def test_holder_keeps_the_lease_though_every_answer_is_lost(self):
+        """Guards against a lease without a holder, or with one that drops its claim.
+
+        Every write takes effect and every answer is lost, and the process assumes an
+        outcome and does not read the row back.
+        """
         holder = self.make("a")
         self.table.lose_answers = 1_000
         self.start(holder)
@@ -79,19 +81,22 @@
         self.assertEqual(other.claim().fencing, 2)
         self.assertFalse(other.claim().after_expiry)
 
-    async def test_holder_struck_at_each_step_is_followed_by_one_successor(self):
-        """Symptom: a duty that nobody does, or that two do. Sequence: the process
-        dies at one named step of its lease. Cause: state that the table lacks."""
+    async def test_holder_that_crashes_at_any_step_gets_one_successor(self):
+        """Guards against a duty that no process performs, or that two perform.
+
+        The process crashes at one step of its lease, and state that is missing from
+        the table is lost.
+        """
         for step in LeaseStep:
             if step in (LeaseStep.ANSWER_LOST, LeaseStep.LAPSED, LeaseStep.RELEASED):
                 continue
             with self.subTest(step=step):
                 self.table = MemoryTable()
-                await self.strike(step)
+                await self.crash_at(step)
 
-    async def strike(self, step):
-        def observe(seen):
-            if seen is step:
+    async def crash_at(self, step):
+        def observe(reached):
+            if reached is step:
                 raise Crash
 
         holder, other = self.make("a", observe=observe), self.make("b")
@@ -106,7 +111,7 @@
             self.assertFalse(holder.claim() and other.claim())
         self.assertIsNotNone(other.claim())
 
-    async def test_node_that_does_not_contend_looks_once_a_minute(self):
+    async def test_node_that_does_not_contend_polls_once_a_minute(self):
         bystander = self.make("a", contends=lambda: False)
         self.start(bystander)
         await self.clock.advance_ms(59_000)
