--- a/fireflyward/aggregators/__init__.py
+++ b/fireflyward/aggregators/__init__.py
@@ -1,4 +1,4 @@
-"""Which node of a failure domain sums up what the nodes there tell."""
+"""Selects the node that sums up the load reports of its failure domain."""
 
 from ._choice import Aggregators, Member
 
--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -1,4 +1,4 @@
-"""The choice of the node that sums up for its failure domain."""
+"""The choice of the aggregator of each failure domain."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,19 +6,23 @@
 from fireflyward.rendezvous import rendezvous_rank
 
 _DUTY = "aggregator"
-# An aggregator speaks at least every 200 ms, so this is one lost datagram and the
-# next one late. What a node believes of loads is as old as this at the worst.
+# An aggregator sends at least every 200 ms, so this allows for one lost datagram and a
+# delayed next one. It is also the highest age of the loads that a node uses.
 SILENT_AFTER_MS = 450
-# Up to this many nodes all tell each other; beyond it the datagrams, which grow with
-# the square of the nodes, cost more than the second hop.
-_FEW_NODES = 12
+# With fewer other nodes than this, all nodes send their loads to each other. With more,
+# the datagrams, which grow with the square of the number of nodes, cost more than the
+# additional hop through an aggregator.
+_MIN_OTHER_NODES = 12
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One node as its row tells: its name, place, address for datagrams and link."""
+    """One node as described by its row in the table of nodes.
+
+    ``address`` receives datagrams, and ``link_mbps`` is the capacity of its link.
+    """
 
     name: str
     failure_domain: str
@@ -27,18 +31,19 @@
 
 
 class Aggregators:
-    """Names one aggregator for each failure domain; no I/O.
+    """Selects one aggregator for each failure domain; no I/O.
 
-    Every node ranks the nodes of a domain alike and takes the first that is not
-    silent, so no message is spent on agreeing. The widest links come first: an
-    aggregator sends what all its neighbours receive, and one whose link is full tells
-    everyone of loads that have long changed. Two nodes may take different ones for
-    a moment, which is why whoever is told anything sums it up: the sums of all
-    aggregators of a domain together count each node once.
+    Every node ranks the nodes of a domain in the same order and selects the first one
+    that is not silent, so the nodes need no messages to agree. Nodes with the fastest
+    links come first: an aggregator sends to all other nodes of its domain, and if its
+    link is saturated, they receive outdated loads. Two nodes may select different
+    aggregators for a short time. Therefore every node that receives load reports sums
+    them up, and the sums of all aggregators of a domain together count each node once.
 
-    A node is silent when it was spoken to and nothing came back for a while. Once
-    anything comes from it again it is taken again, which a node that was paused
-    brings about itself, because it is always its own first choice.
+    A node is silent if this node sent it a message and has received nothing from it for
+    ``SILENT_AFTER_MS``. When anything arrives from it again, it can be selected again.
+    A node that was paused sends again as soon as it continues, because a node never
+    considers itself silent.
 
     >>> nodes = Aggregators("a", "d1", link_mbps=100)
     >>> nodes.set_members([Member("b", "d2", ("10.0.0.2", 77), 100)])
@@ -51,7 +56,7 @@
         "_members_by_domain",
         "_name",
         "_own_rank",
-        "_spoken_to_ms_by_name",
+        "_unanswered_since_ms_by_name",
     )
 
     def __init__(self, name: str, failure_domain: str, *, link_mbps: float) -> None:
@@ -59,24 +64,24 @@
         self._own_rank = _rank(name, link_mbps)
         self._domain = failure_domain
         self._members_by_domain: dict[str, list[Member]] = {}
-        self._spoken_to_ms_by_name: dict[str, int] = {}
+        self._unanswered_since_ms_by_name: dict[str, int] = {}
 
     @property
     def are_needed(self) -> bool:
-        """Tell whether there are too many nodes for all to tell all."""
-        return sum(map(len, self._members_by_domain.values())) >= _FEW_NODES
+        """Return whether there are too many nodes for each to send to all others."""
+        return sum(map(len, self._members_by_domain.values())) >= _MIN_OTHER_NODES
 
     def set_members(self, members: Iterable[Member]) -> None:
-        """Take the other nodes."""
+        """Set the other nodes of the fleet."""
         by_domain: dict[str, list[Member]] = {}
         for member in members:
             by_domain.setdefault(member.failure_domain, []).append(member)
-        for found in by_domain.values():
-            found.sort(key=_rank_of)
+        for group in by_domain.values():
+            group.sort(key=_rank_of)
         self._members_by_domain = by_domain
 
     def other_domains(self) -> list[str]:
-        """Return the failure domains of other nodes but this one's."""
+        """Return all failure domains except the domain of this node."""
         return [domain for domain in self._members_by_domain if domain != self._domain]
 
     def neighbour_addresses(self) -> list[Address]:
@@ -90,7 +95,7 @@
         return [member.address for group in groups for member in group]
 
     def own_aggregator(self, now_ms: int) -> Member | None:
-        """Return this domain's aggregator, None if it is this node itself."""
+        """Return this domain's aggregator, or None if it is this node."""
         for member in self._members_by_domain.get(self._domain, ()):
             if self._own_rank < _rank_of(member):
                 return None
@@ -99,21 +104,21 @@
         return None
 
     def aggregator_of(self, now_ms: int, failure_domain: str) -> Member | None:
-        """Return another domain's aggregator; the first if all are silent."""
+        """Return another domain's aggregator, or its first node if all are silent."""
         members = self._members_by_domain.get(failure_domain, [])
         for member in members:
             if not self._is_silent(now_ms, member.name):
                 return member
         return members[0] if members else None
 
-    def publishing_nodes(self, now_ms: int, telling: Iterable[str]) -> list[Member]:
-        """Return the other nodes that may sum up for some domain now.
+    def publishing_nodes(self, now_ms: int, sum_senders: Iterable[str]) -> list[Member]:
+        """Return the other nodes that may currently be aggregators of some domain.
 
-        They are each other domain's aggregator, the nodes of this domain that would
-        go first, whom this node takes for silent and others may not, and those of
-        ``telling``, who told this node a sum.
+        These are the aggregators of the other domains, the nodes of this domain with a
+        better rank, which this node considers silent and other nodes may not, and the
+        nodes named in ``sum_senders``, which sent a sum to this node.
         """
-        names = set(telling)
+        names = set(sum_senders)
         for domain in self.other_domains():
             member = self.aggregator_of(now_ms, domain)
             if member is not None:
@@ -127,10 +132,10 @@
         ]
 
     def root_aggregator(self, now_ms: int) -> Member | None:
-        """Return the first of all domains' aggregators, None if it is this node.
+        """Return the first of all domains' aggregators, or None if it is this node.
 
-        It reads for all domains what one node can read for them. Everyone ranks all
-        nodes alike, so whoever this names never names this node in turn.
+        The root aggregator reads the store's tables on behalf of all domains. All nodes
+        rank the nodes in the same order, so two nodes never name each other as root.
         """
         best: Member | None = None
         for domain in self.other_domains():
@@ -144,15 +149,15 @@
         return best
 
     def on_sent_to(self, now_ms: int, name: str) -> None:
-        """Note that something was sent to a node that should soon be heard."""
-        self._spoken_to_ms_by_name.setdefault(name, now_ms)
+        """Record that a message was sent to a node, which should soon answer."""
+        self._unanswered_since_ms_by_name.setdefault(name, now_ms)
 
     def on_received_from(self, name: str) -> None:
-        """Note that something came from a node."""
-        self._spoken_to_ms_by_name.pop(name, None)
+        """Record that a message was received from a node."""
+        self._unanswered_since_ms_by_name.pop(name, None)
 
     def _is_silent(self, now_ms: int, name: str) -> bool:
-        since_ms = self._spoken_to_ms_by_name.get(name)
+        since_ms = self._unanswered_since_ms_by_name.get(name)
         return since_ms is not None and now_ms - since_ms >= SILENT_AFTER_MS
 
 
--- a/fireflyward/leases/_lease.py
+++ b/fireflyward/leases/_lease.py
@@ -80,13 +80,13 @@
         "_claim",
         "_claim_id",
         "_holder",
+        "_last_renewal_ms",
         "_lease_ms",
         "_pending",
         "_position",
         "_row",
-        "_unchanged_since_ms",
-        "_last_renewal_ms",
         "_stopping",
+        "_unchanged_since_ms",
     )
 
     def __init__(self, *, holder: str, lease_ms: int, claim_id: str = "") -> None:
--- a/fireflyward/leases/_task.py
+++ b/fireflyward/leases/_task.py
@@ -52,9 +52,9 @@
     ``contends`` is called before each poll. A node that does not contend polls only
     once a minute, so that the lease gets a holder even if every node assumes that
     others contend. ``on_change`` is called with ``Gained`` and ``Lost``, and
-    ``on_row_written`` with each row that this holder wrote, which it announces to the
-    contenders. ``poll_interval_ms`` returns the time until the next poll; without it
-    the task polls three times in the length of a lease.
+    ``on_row_written`` with each row that this holder wrote, so that it can be announced
+    to the contenders. ``poll_interval_ms`` returns the time until the next poll;
+    without it the task polls three times in the length of a lease.
 
         lease = LeaseTask("sweep/store-1", clock=clock, table=table, holder="entry-1")
         asyncio.create_task(lease.run())
@@ -67,16 +67,16 @@
     __slots__ = (
         "_clock",
         "_contends",
+        "_is_released",
         "_key",
-        "_lease",
-        "_poll_interval_ms",
+        "_last_announcement_ms",
         "_last_poll_ms",
+        "_lease",
         "_observe",
         "_on_change",
         "_on_row_written",
-        "_is_released",
+        "_poll_interval_ms",
         "_table",
-        "_last_announcement_ms",
         "_wake_up",
         "name",
     )
--- a/tests/aggregators/test_choice.py
+++ b/tests/aggregators/test_choice.py
@@ -1,4 +1,4 @@
-"""Which node sums up for its failure domain."""
+"""The choice of the aggregator of each failure domain."""
 
 import unittest
 
@@ -12,31 +12,33 @@
 MEMBERS = [member(f"{domain}-{i}", domain) for domain in "abc" for i in range(6)]
 
 
-def of_node(own):
+def make_aggregators(own):
     nodes = Aggregators(own.name, own.failure_domain, link_mbps=own.link_mbps)
     nodes.set_members(item for item in MEMBERS if item != own)
     return nodes
 
 
 class AggregatorsTests(unittest.TestCase):
-    def test_all_nodes_name_the_same_one(self):
+    def test_all_nodes_select_the_same_aggregator(self):
         named = {domain: set() for domain in "abc"}
         for own in MEMBERS:
-            nodes = of_node(own)
+            nodes = make_aggregators(own)
             found = nodes.own_aggregator(0)
             named[own.failure_domain].add(found.name if found else own.name)
             for domain in nodes.other_domains():
                 named[domain].add(nodes.aggregator_of(0, domain).name)
         self.assertEqual([len(names) for names in named.values()], [1, 1, 1])
 
-    def test_a_silent_one_is_passed_over_and_taken_again(self):
-        """Symptom: a domain's nodes all choose the same replicas for seconds.
+    def test_silent_aggregator_is_skipped_and_selected_again_later(self):
+        """Guards against nodes of a domain that choose the same replicas for seconds.
 
-        The aggregator lost power; its row in the store stays, and whoever goes on
-        telling it hears nothing of the others any more.
+        The aggregator lost power, but its row stayed in the store. Nodes that continued
+        to report to it received no loads of other nodes.
         """
-        own = next(m for m in MEMBERS if of_node(m).own_aggregator(0) is not None)
-        nodes = of_node(own)
+        own = next(
+            m for m in MEMBERS if make_aggregators(m).own_aggregator(0) is not None
+        )
+        nodes = make_aggregators(own)
         first = nodes.own_aggregator(0)
         nodes.on_sent_to(0, first.name)
         nodes.on_sent_to(400, first.name)
@@ -46,30 +48,30 @@
         nodes.on_received_from(first.name)
         self.assertEqual(nodes.own_aggregator(500), first)
 
-    def test_with_all_others_silent_a_node_sums_up_itself(self):
+    def test_node_is_its_own_aggregator_if_all_others_are_silent(self):
         own = MEMBERS[0]
-        nodes = of_node(own)
+        nodes = make_aggregators(own)
         for item in MEMBERS:
             nodes.on_sent_to(0, item.name)
         self.assertIsNone(nodes.own_aggregator(1_000))
         self.assertIsNotNone(nodes.aggregator_of(1_000, "b"))
 
-    def test_the_widest_link_comes_first(self):
-        """Symptom: loads are told late though nothing is lost, and calls time out.
+    def test_fastest_link_comes_first(self):
+        """Guards against late loads and call timeouts although no packet is lost.
 
-        The aggregator sat on a link of 10 Mbit/s, a twentieth of its neighbour's;
-        what it sent stood in the link's queue for half a second.
+        The aggregator had a link of 10 Mbit/s, a twentieth of another node's link, and
+        its datagrams waited in the link's queue for half a second.
         """
         for name in ("wide", "a-wide"):
-            wide = member(name, "a", link_mbps=200)
+            fast = member(name, "a", link_mbps=200)
             nodes = Aggregators("a-0", "a", link_mbps=10)
-            nodes.set_members([*MEMBERS[1:6], wide])
-            self.assertEqual(nodes.own_aggregator(0), wide)
+            nodes.set_members([*MEMBERS[1:6], fast])
+            self.assertEqual(nodes.own_aggregator(0), fast)
             nodes = Aggregators(name, "a", link_mbps=200)
             nodes.set_members(MEMBERS)
             self.assertIsNone(nodes.own_aggregator(0))
 
-    def test_few_nodes_need_none(self):
+    def test_few_nodes_need_no_aggregators(self):
         nodes = Aggregators("a-0", "a", link_mbps=100)
         nodes.set_members(MEMBERS[1:12])
         self.assertFalse(nodes.are_needed)
--- a/tests/aggregators/test_root.py
+++ b/tests/aggregators/test_root.py
@@ -1,4 +1,4 @@
-"""Which aggregator reads the platform's tables for all domains."""
+"""The choice of the aggregator that reads the platform's tables for all."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 DOMAINS = {"a0": "a", "a1": "a", "b0": "b", "b1": "b", "c0": "c", "c1": "c"}
 
 
-def seen_by(name):
+def make_aggregators(name):
     nodes = Aggregators(name, DOMAINS[name], link_mbps=100)
     nodes.set_members(
         Member(other, domain, (other, 1), 100)
@@ -17,7 +17,7 @@
     return nodes
 
 
-def roots(now_ms, nodes_by_name):
+def roots_by_aggregator(now_ms, nodes_by_name):
     return {
         name: nodes.root_aggregator(now_ms)
         for name, nodes in nodes_by_name.items()
@@ -27,21 +27,22 @@
 
 class RootTests(unittest.TestCase):
     def setUp(self):
-        self.nodes_by_name = {name: seen_by(name) for name in DOMAINS}
+        self.nodes_by_name = {name: make_aggregators(name) for name in DOMAINS}
 
-    def test_all_aggregators_name_the_same_and_it_names_itself(self):
-        named = roots(0, self.nodes_by_name)
+    def test_all_aggregators_agree_on_the_root(self):
+        named = roots_by_aggregator(0, self.nodes_by_name)
         self.assertEqual(len(named), 3)
         (first,) = [name for name, root in named.items() if root is None]
         others = {root.name for root in named.values() if root is not None}
         self.assertEqual(others, {first})
 
-    def test_a_root_that_fell_silent_is_passed_over(self):
-        """Symptom: four failure domains serve by old tables after a fifth was cut off.
+    def test_silent_root_is_skipped(self):
+        """Guards against four failure domains that use outdated tables.
 
-        Their aggregators went on asking the root, which was in that domain.
+        The root was in a fifth domain, which was partitioned from them, and their
+        aggregators continued to query it.
         """
-        named = roots(0, self.nodes_by_name)
+        named = roots_by_aggregator(0, self.nodes_by_name)
         (first,) = [name for name, root in named.items() if root is None]
         for name in named.keys() - {first}:
             nodes = self.nodes_by_name[name]
