--- a/fireflyward/feeds/_follower.py
+++ b/fireflyward/feeds/_follower.py
@@ -25,7 +25,7 @@
 def valid_as_of_ms(
     result: Changes, sent_ms: int, received_ms: int, wait_ms: int
 ) -> int:
-    """Return the latest time at which the table is known to have had a state.
+    """Return the latest time for which an answer confirms the table's state.
 
     ``result`` answers a call that was sent at ``sent_ms`` and waited for changes.
 
@@ -166,7 +166,7 @@
     def _valid_as_of_ms(
         self, result: Snapshot | Changes, sent_ms: int, wait_ms: int
     ) -> int:
-        """Return the latest time at which the table had the result's state."""
+        """Return the latest time for which a result confirms the table's state."""
         if isinstance(result, Snapshot):
             return sent_ms if result.as_of_ms is None else result.as_of_ms
         return valid_as_of_ms(result, sent_ms, self._clock.now_ms(), wait_ms)
--- a/tests/feeds/test_sharing.py
+++ b/tests/feeds/test_sharing.py
@@ -121,7 +121,7 @@
         self.assertEqual(self.other.updates[-1].as_of_ms, 11_300)
 
     async def test_deletions_in_lost_history_require_a_full_read(self):
-        """Guards against a removed replica that one domain sends requests to for ever.
+        """Guards against one domain that never stops sending to a removed replica.
 
         The aggregator read the full table after the store had lost its history, and
         could not report to other nodes which rows had been deleted in between.
