--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -108,7 +108,7 @@
     async def test_an_era_that_an_aggregator_tells_of_counts_for_writes(self):
         """Guards against conditions of an earlier era that are sent meanwhile."""
         news = TableUpdate((), False, 0, position=at(1, 5))
-        self.node._followers[0]._on_news(news)
+        self.node._followers[0]._on_update(news)
         self.assertEqual(self.node._store.eras.latest, 5)
 
     async def test_the_list_of_nodes_is_read_without_delay(self):
