--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -296,7 +296,7 @@
         await self.until(lambda: {e.version for e in self.engines} == {2})
         self.assertEqual({len(e.orders) for e in self.engines}, {1})
         orders = [e.orders[0] for e in self.engines]
-        first = Position(self.store.era, 1).number
+        first = Position(self.store.era, 1).ordinal
         self.assertEqual({order["fence"] for order in orders}, {first})
         self.assertEqual({order["holder"] for order in orders}, {"entry-1"})
         status, _, _ = await self.ask("POST", "/s/x", headers=STREAM)
