--- a/fireflyward/bench/_limiting.py
+++ b/fireflyward/bench/_limiting.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from fireflyward.limits import Admission, Ask, Ticket
+from fireflyward.limits import Admission, AdmissionRequest, Ticket
 from fireflyward.outcomes import NotRun
 
 from ._balancing import MODEL, Balancing, Request, Shape, make_router
@@ -36,7 +36,7 @@
         self._request_by_run: dict[str, Request] = {}
 
     def _arrive(self, now_ms: float, request: Request, run_id: str) -> None:
-        ask = Ask(
+        ask = AdmissionRequest(
             request.account,
             MODEL,
             request.prompt_tokens + _TOKENS_PER_DECODED * request.max_tokens,
@@ -49,13 +49,13 @@
             return
         self._waiting[id(ticket)] = request, run_id
         self._ticket_by_run[run_id] = ticket
-        self._at(ticket.refuse_at_ms + 1, self._decide, request.node)
+        self._at(ticket.reject_at_ms + 1, self._decide, request.node)
         self._decide(now_ms, request.node)
 
     def _decide(self, now_ms: float, node: int) -> None:
         for ticket in self.admissions[node].decide(int(now_ms)):
             request, run_id = self._waiting.pop(id(ticket))
-            if ticket.refusal:
+            if ticket.rejection:
                 self.refusals.held_ms.append(now_ms - request.at_ms)
                 self.admissions[node].leave(ticket)
                 del self._ticket_by_run[run_id]
@@ -71,7 +71,7 @@
         request = self._request_by_run[run_id]
         waited = self.first_token_by_account.setdefault(request.account, [])
         waited.append(now_ms - request.at_ms)
-        late_ms = self._balancers[node].take_late_ms(run_id)
+        late_ms = self._balancers[node].pop_queueing_delay_ms(run_id)
         ticket = self._ticket_by_run[run_id]
         self.admissions[node].on_first_token(int(now_ms), ticket, late_ms)
         self._decide(now_ms, node)
--- a/fireflyward/bench/_load_mesh.py
+++ b/fireflyward/bench/_load_mesh.py
@@ -16,7 +16,7 @@
     Poll,
     Send,
     SharingAction,
-    Watched,
+    WatchedReplica,
 )
 from fireflyward.upstreams import LoadReport
 
@@ -61,7 +61,7 @@
         self._events: list[tuple[int, int, str, str, bytes]] = []
         self._order = itertools.count()
         watched = [
-            Watched(f"replica-{index}", DOMAIN, {f"model-{index % 17}": "v1"})
+            WatchedReplica(f"replica-{index}", DOMAIN, {f"model-{index % 17}": "v1"})
             for index in range(replicas)
         ]
         self.report_by_name: dict[str, LoadReport | None] = {
@@ -115,7 +115,7 @@
             node.received_bytes += len(frame)
             began = time.perf_counter()
             news = unpack(LoadNews, self._codec.open(frame).body)
-            entries, actions = node.sharing.on_news(self.now_ms, sender, news)
+            entries, actions = node.sharing.on_load_update(self.now_ms, sender, news)
             self.seconds_cpu += time.perf_counter() - began
             for entry in entries:
                 node.age_ms.append(self.now_ms - entry.measured_ms)
@@ -147,7 +147,7 @@
     @_perform.register
     def _(self, action: Send, name: str) -> None:
         for peer in action.peers:
-            frame = self._frame(name, action.news)
+            frame = self._frame(name, action.update)
             node = self.node_by_name[name]
             node.datagrams += 1
             node.sent_bytes += len(frame)
--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -26,10 +26,10 @@
     ImportWatch,
     KeepOffer,
     KeepPolicy,
-    KnownPrefixes,
     Placement,
     PlacementCosts,
-    PromptSeen,
+    PrefixLocations,
+    ServedPrompt,
     StoredRun,
     Tier,
 )
@@ -59,9 +59,9 @@
         self._router = router
         self.store_names: frozenset[str] = frozenset()
         self.followed: frozenset[str] = frozenset()
-        self._last: tuple[float, RunShape, KnownPrefixes] | None = None
+        self._last: tuple[float, RunShape, PrefixLocations] | None = None
 
-    def known(self, now_ms: float, shape: RunShape) -> KnownPrefixes:
+    def locate(self, now_ms: float, shape: RunShape) -> PrefixLocations:
         """Return the replicas' and the stores' parts of a prompt.
 
         Routing asks once for each replica within one choice; the answer is worked
@@ -78,7 +78,7 @@
         await self._look_up.ask(shape.block_keys)
         self._last = None
 
-    def _find(self, shape: RunShape) -> KnownPrefixes:
+    def _find(self, shape: RunShape) -> PrefixLocations:
         sent = self._router.affinity.record.cached_tokens(shape.block_keys)
         held = {
             name: tokens // BLOCK_TOKENS
@@ -91,7 +91,7 @@
                 stored.append(StoredRun(run.holder, run.first, run.blocks))
             elif run.first == 0:
                 held[run.holder] = run.blocks
-        return KnownPrefixes(held, tuple(stored))
+        return PrefixLocations(held, tuple(stored))
 
     def start_of(self, shape: RunShape, plan: Import) -> int:
         """Return where the store's run begins that a plan is a part of."""
@@ -248,16 +248,16 @@
                 "kept_link_bytes_total", size, store=store, direction="import"
             )
         else:
-            links.on_nothing(now_ms, store)
+            links.on_no_data(now_ms, store)
         self._metrics.count("kept_imported_blocks_total", result.blocks, store=store)
         if result.reason:
             self._metrics.count("kept_misses_total", reason=result.reason.value)
 
     async def _export_prompt(self, served: _Served) -> None:
         shape = served.shape
-        known = self.prefixes.known(self._clock.now_ms(), shape)
+        known = self.prefixes.locate(self._clock.now_ms(), shape)
         kept = max((run.end for run in known.stored if not run.first), default=0)
-        seen = PromptSeen(
+        seen = ServedPrompt(
             shape.account,
             shape.block_keys,
             has_session=served.hint.has_session,
--- a/fireflyward/daemon/_load_duty.py
+++ b/fireflyward/daemon/_load_duty.py
@@ -18,7 +18,7 @@
     Router,
     Send,
     SharingAction,
-    Watched,
+    WatchedReplica,
 )
 from fireflyward.upstreams import Broken, Engine, LoadReport
 
@@ -62,7 +62,7 @@
     def set_bundle(self, bundle: Bundle) -> None:
         """Watch the engines of a bundle."""
         self.sharing.set_replicas(
-            Watched(
+            WatchedReplica(
                 name,
                 upstream.failure_domain,
                 {model: bundle.models[model].version for model in upstream.models},
@@ -90,7 +90,9 @@
                 await self._clock.sleep_ms(_TICK_MS)
                 now_ms = self._clock.now_ms()
                 self._tell_leaving(now_ms)
-                self._perform_all([Poll(name) for name in self._router.take_doubted()])
+                self._perform_all(
+                    [Poll(name) for name in self._router.pop_outdated_replicas()]
+                )
                 self._perform_all(self.sharing.tick(now_ms))
 
     def _look_at_peers(self) -> None:
@@ -126,7 +128,7 @@
         for name in action.peers:
             member = self._members.get(name)
             if member is not None:
-                self._link.send(member.address, _KIND, action.news)
+                self._link.send(member.address, _KIND, action.update)
 
     async def _poll(self, name: str) -> None:
         engine = self._engine_by_name.get(name)
@@ -142,7 +144,7 @@
 
     async def _on_news(self, sender: str, news: Any) -> None:
         now_ms = self._clock.now_ms()
-        entries, actions = self.sharing.on_news(now_ms, sender, news)
+        entries, actions = self.sharing.on_load_update(now_ms, sender, news)
         for entry in entries:
             self._take(now_ms, entry)
         self._perform_all(actions)
--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -3,7 +3,7 @@
 import msgspec
 from aiohttp import web
 
-from fireflyward.limits import Ask, Ticket
+from fireflyward.limits import AdmissionRequest, Ticket
 from fireflyward.outcomes import Answered, NotRun, Reason, Unknown
 from fireflyward.runs import Deliver, Mark, Placed
 from fireflyward.upstreams import count_tokens
@@ -91,10 +91,10 @@
     return refusal or read_asked(parts, request, renewed, prompt, body)
 
 
-def _ask(asked: Asked) -> Ask:
+def _ask(asked: Asked) -> AdmissionRequest:
     identity, prompt = asked.identity, asked.prompt
     cost = count_tokens(prompt.text) + _TOKENS_PER_DECODED * prompt.max_tokens
-    return Ask(
+    return AdmissionRequest(
         identity.account_name,
         prompt.model,
         cost,
@@ -109,7 +109,7 @@
     parts = request.app[PARTS]
     ticket = request[_TICKET]
     if ticket.is_pending:
-        late_ms = parts.router.take_late_ms(asked.run_id)
+        late_ms = parts.router.pop_queueing_delay_ms(asked.run_id)
         parts.admission.on_first_token(ticket, late_ms)
 
 
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -9,7 +9,7 @@
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, FleetSettings
 from fireflyward.feeds import FeedFollower, Pace, SharedTables, TableUpdate
-from fireflyward.forwarding import Forwarder, WeightBook
+from fireflyward.forwarding import Forwarder, WeightVersions
 from fireflyward.http1 import ConnectionPool
 from fireflyward.leases import Gained, LeaseAnnouncer, LeaseTask, Lost
 from fireflyward.observe import Metrics
@@ -21,7 +21,7 @@
     ReplicaApi,
     StoreClient,
 )
-from fireflyward.prefixes import Janitor, PartPlanner
+from fireflyward.prefixes import GarbageCollector, PartPlanner
 from fireflyward.quarantine import Quarantine
 from fireflyward.retries import RetryBudget
 from fireflyward.routes import RouteTable
@@ -69,7 +69,7 @@
         self._metrics = Metrics()
         self._pool = ConnectionPool(clock)
         self._store = StoreClient(settings.store.address, clock=clock)
-        self._weights = WeightBook(version_ms=bounds.version_ms)
+        self._weights = WeightVersions(version_ms=bounds.version_ms)
         self._routes = RouteTable(
             revoke_ms=bounds.revoke_ms,
             closes_without_contact=bounds.closes_without_contact,
@@ -184,7 +184,7 @@
             lease_ms=bounds.lease_ms,
             slack_ms=bounds.thaw_slack_ms,
         )
-        self._janitor = Janitor(
+        self._garbage_collector = GarbageCollector(
             clock=clock,
             planner=self._planner,
             freer=self._api,
@@ -249,7 +249,7 @@
             self._lost_rows.run(),
             self._lease.run(),
             self._weight_task.run(),
-            self._janitor.run(),
+            self._garbage_collector.run(),
             self._quarantine.run(),
             self._known.notices.run(),
         )
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -7,7 +7,7 @@
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, ReplicaEntry
 from fireflyward.feeds import RETENTION_MS, TableRow, TableUpdate
-from fireflyward.forwarding import WeightBook
+from fireflyward.forwarding import WeightVersions
 from fireflyward.http1 import ConnectionPool
 from fireflyward.platform import (
     CONFIGURATION_KEY,
@@ -35,7 +35,7 @@
         *,
         clock: Clock,
         routes: RouteTable,
-        weights: WeightBook,
+        weights: WeightVersions,
         directory: ReplicaDirectory,
         failure_domains: tuple[str, ...],
         on_configuration: Callable[[Configuration], None],
@@ -116,7 +116,7 @@
             # The store takes only valid rows, so this one is of a newer format;
             # what is in force stays.
             log.error("views: row %s is not understood", row.key)
-        elif self._routes.take(configuration):
+        elif self._routes.apply(configuration):
             log.info("views: configuration %d in force", configuration.version)
             self._on_configuration(configuration)
 
@@ -124,7 +124,7 @@
         target = decode_weight_target(row.value)
         if target is None:
             log.error("views: row %s is not understood", row.key)
-        elif self._weights.take(self._clock.now_ms(), target, at_start=at_start):
+        elif self._weights.set_target(self._clock.now_ms(), target, at_start=at_start):
             log.info("views: %s named for %s", target.version, target.model)
 
 
--- a/fireflyward/forwarding/__init__.py
+++ b/fireflyward/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Carrying one request to replicas and one whole answer back."""
+"""Forwards each request to replicas and returns one complete answer to its caller."""
 
 from ._events import EventSplitter
 from ._exchange import Reply
@@ -9,14 +9,14 @@
     Finish,
     NoReplica,
     Rejected,
-    RejectedBecause,
+    RejectionReason,
     TryAgain,
     Unsent,
     WholeAnswer,
 )
 from ._plan import AttemptPlan
 from ._trace import Trace
-from ._weights import WeightBook
+from ._weights import WeightVersions
 
 __all__ = [
     "AttemptPlan",
@@ -27,11 +27,11 @@
     "Forwarder",
     "NoReplica",
     "Rejected",
-    "RejectedBecause",
+    "RejectionReason",
     "Reply",
     "Trace",
     "TryAgain",
     "Unsent",
-    "WeightBook",
+    "WeightVersions",
     "WholeAnswer",
 ]
--- a/fireflyward/placement/__init__.py
+++ b/fireflyward/placement/__init__.py
@@ -1,23 +1,23 @@
-"""Which way of serving a prompt gives its first token soonest, and what to keep."""
+"""Chooses the fastest way to serve a prompt, and which of its blocks to keep."""
 
 from ._budget import BudgetAction, Dropped, Grant, LinkBudget, Transfer, Urgency
-from ._keep import PIECE_BLOCKS, KeepOffer, KeepPolicy, Piece, PromptSeen
+from ._keep import PIECE_BLOCKS, KeepOffer, KeepPolicy, Piece, ServedPrompt
 from ._placement import Placement, PlacementCosts, PrefixIndex
 from ._plans import (
     Estimate,
     Import,
-    KnownPrefixes,
     Plan,
+    PrefixLocations,
     Recompute,
     Reuse,
     StoredRun,
     Tier,
 )
 from ._rates import LinkRates
-from ._returns import ReturnClass, ReturnTimes
+from ._returns import ReuseClass, ReuseStatistics
 from ._sketch import FrequencySketch
 from ._space import Admit, Decline, StoreSpace
-from ._spread import anchor_key, home_store, spread
+from ._spread import anchor_key, assign_stores, preferred_store
 from ._watch import ImportWatch
 
 __all__ = [
@@ -33,7 +33,7 @@
     "ImportWatch",
     "KeepOffer",
     "KeepPolicy",
-    "KnownPrefixes",
+    "PrefixLocations",
     "LinkBudget",
     "LinkRates",
     "Piece",
@@ -41,10 +41,10 @@
     "PlacementCosts",
     "Plan",
     "PrefixIndex",
-    "PromptSeen",
+    "ServedPrompt",
     "Recompute",
-    "ReturnClass",
-    "ReturnTimes",
+    "ReuseClass",
+    "ReuseStatistics",
     "Reuse",
     "StoreSpace",
     "StoredRun",
@@ -52,6 +52,6 @@
     "Transfer",
     "Urgency",
     "anchor_key",
-    "home_store",
-    "spread",
+    "preferred_store",
+    "assign_stores",
 ]
--- a/fireflyward/workloads/_import.py
+++ b/fireflyward/workloads/_import.py
@@ -50,7 +50,7 @@
         number = next(self._numbers)
         self._work[number] = work
         transfer = Transfer(number, urgency, self._piece_bytes, account)
-        self._perform(self._budget.ask(transfer))
+        self._perform(self._budget.request(transfer))
         return number
 
     def end(self, number: int) -> None:
@@ -62,7 +62,7 @@
         if self._work.pop(number, None) is None:
             self.end(number)
         else:
-            self._budget.withdraw(number)
+            self._budget.cancel(number)
 
     def _perform(self, actions: list[BudgetAction]) -> None:
         for action in actions:
@@ -187,11 +187,11 @@
     def _look_at_the_time(self) -> None:
         if self._is_over:
             return
-        give_up_ms = self._watch.give_up_ms()
-        if give_up_ms <= self._clock.exact_ms:
+        abort_at_ms = self._watch.abort_at_ms()
+        if abort_at_ms <= self._clock.exact_ms:
             self._finish()
         else:
-            self._clock.call_at(give_up_ms, self._look_at_the_time)
+            self._clock.call_at(abort_at_ms, self._look_at_the_time)
 
     def _finish(self) -> None:
         """Give back what is not needed, learn the rate, and go on."""
@@ -210,8 +210,8 @@
                 self._last_ms - self._began_ms,
             )
         elif self._left:
-            self._rates.on_nothing(self._clock.exact_ms, self._plan.store)
-        self._done(self._clock.exact_ms - self._watch.give_up_ms())
+            self._rates.on_no_data(self._clock.exact_ms, self._plan.store)
+        self._done(self._clock.exact_ms - self._watch.abort_at_ms())
 
 
 class ReplayExport:
@@ -246,7 +246,7 @@
             self._link.ask(Urgency.EXPORT, self._offer.account, self._write)
 
     def _is_open(self) -> bool:
-        return self._rates.is_open(self._clock.exact_ms, self._link.store.name)
+        return self._rates.is_available(self._clock.exact_ms, self._link.store.name)
 
     def _write(self, number: int) -> None:
         if not self._is_open() or not self._engine.holds(self._keys):
@@ -261,5 +261,5 @@
 
     def _expire(self, number: int) -> None:
         if not self._is_over:
-            self._rates.on_nothing(self._clock.exact_ms, self._link.store.name)
+            self._rates.on_no_data(self._clock.exact_ms, self._link.store.name)
             self._end(number)
--- a/fireflyward/workloads/_node.py
+++ b/fireflyward/workloads/_node.py
@@ -11,11 +11,11 @@
     KeepPolicy,
     Placement,
     PlacementCosts,
-    PromptSeen,
+    ServedPrompt,
     StoredRun,
     Tier,
-    home_store,
-    spread,
+    assign_stores,
+    preferred_store,
 )
 from fireflyward.routing import Candidate, Router, RunShape
 from fireflyward.upstreams import Accepted, Finished, LoadReport, Piece
@@ -133,7 +133,7 @@
         attempt.send()
 
     def _tier(self, plan: Import, shape: RunShape) -> Tier:
-        known = self._world.index.known(self._world.clock.now_ms(), shape)
+        known = self._world.index.locate(self._world.clock.now_ms(), shape)
         return next((run.tier for run in known.stored if _is_in(plan, run)), Tier.DISK)
 
     def sent(self, replica: str) -> None:
@@ -165,13 +165,13 @@
         if not keys:
             return
         owners = tuple(world.keeper_by_name)
-        owner = home_store(keys[min(_SESSION_BLOCK, len(keys) - 1)], owners)
+        owner = preferred_store(keys[min(_SESSION_BLOCK, len(keys) - 1)], owners)
         now_ms = world.clock.now_ms()
-        seen = PromptSeen(
+        seen = ServedPrompt(
             prompt.account, keys, prompt.has_session, prompt.hinted_blocks
         )
         offers = world.keeper_by_name[owner].on_prompt(now_ms, seen)
-        for store_name, offer in spread(offers, keys, tuple(self._links)):
+        for store_name, offer in assign_stores(offers, keys, tuple(self._links)):
             store = self._links[store_name].store
             if offer.piece.key in store.published:
                 key = offer.piece.key
