--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -173,7 +173,7 @@
         may hold by chance, since versions are given out again: it is not sent, and a
         write that met another era than its conditions is ``Uncertain``.
         """
-        if self.eras.may_hold_by_chance(expected.values()):
+        if self.eras.may_match_reused_version(expected.values()):
             return Conflict()
         where = {"table": table, "part": part}
         body = {
@@ -194,7 +194,7 @@
             return _refused(answer)
         if any(answer.era != read.era for read in expected.values()):
             return Uncertain(f"conditions were met in another era, {answer.era}")
-        if self.eras.is_late(answer.era):
+        if self.eras.is_outdated(answer.era):
             return Uncertain(_EARLIER_ERA)
         page = decoded(answer.body, _Rows)
         if page is None:
@@ -212,7 +212,7 @@
             return Unavailable(answer.detail)
         if isinstance(answer, Unavailable):
             return answer
-        if self.eras.is_late(answer.era):
+        if self.eras.is_outdated(answer.era):
             return Unavailable(_EARLIER_ERA)
         if answer.status == _GONE:
             return HistoryLost()
@@ -248,12 +248,12 @@
         told = next((text for name, text in answer.headers if name == _ERA), "")
         if told.isascii() and told.isdigit() and len(told) <= _ERA_DIGITS:
             self._unread_era = None
-            return self.eras.of_answer(int(told))
+            return self.eras.era_of_answer(int(told))
         if told != self._unread_era:
             # Once for each change, and not at all where no answer ever told one.
             self._unread_era = told
             log.warning("platform: an answer tells no era: %r", told[:80])
-        return self.eras.of_answer(None)
+        return self.eras.era_of_answer(None)
 
 
 def _refused(answer: _Answer) -> Unavailable:
--- a/fireflyward/prefixes/_sharing.py
+++ b/fireflyward/prefixes/_sharing.py
@@ -127,7 +127,7 @@
     def _current_aggregator(self) -> Member | None:
         if self._link is None or not self._aggregators.are_needed:
             return None
-        return self._aggregators.own(self._clock.now_ms())
+        return self._aggregators.own_aggregator(self._clock.now_ms())
 
     async def _call_aggregator(self, request: Any) -> Any | None:
         """Return the aggregator's answer, None if the store must be called instead."""
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from fireflyward.clock import ManualClock
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.quarantine import Free, Held, Quarantine, SuspectRow, Trial
 from fireflyward.replicas import ReplicaDirectory
 from tests.positions import at
@@ -294,10 +294,10 @@
             row = SuspectRow((1, 2, 3), trials)
             rows = (TableRow("suspect/a", msgspec.json.encode(row), at(version)),)
             self.node.quarantine.on_table_update(
-                Followed(rows, False, 0, position=at(version))
+                TableUpdate(rows, False, 0, position=at(version))
             )
         self.node.quarantine.on_table_update(
-            Followed(
+            TableUpdate(
                 (TableRow("suspect/b", b'{"ends": [1, 2, 3]}', at(6)),),
                 False,
                 0,
