--- a/fireflyward/quarantine/_rows.py
+++ b/fireflyward/quarantine/_rows.py
@@ -65,7 +65,7 @@
         self._trial_until_ms = 0
 
     def on_table_update(self, update: TableUpdate) -> list[str]:
-        """Apply changes of the table ;return the suspects whose rows to write again."""
+        """Apply changes of the table; return the suspects whose rows to write again."""
         self._era = max(self._era, update.position.era)
         to_rewrite = []
         if update.is_snapshot:
--- a/fireflyward/replicas/_load_reports.py
+++ b/fireflyward/replicas/_load_reports.py
@@ -162,17 +162,17 @@
         self._peers.follow(None)
         own = self._own()
         if self._is_due(self._clock.now_ms(), own):
-            link.send_all(self._aggregators.everyone(), _REPORT, _encode(own))
+            link.send_all(self._aggregators.all_addresses(), _REPORT, _encode(own))
 
     def _report_to_aggregator(self, link: PeerLink) -> None:
         now_ms, own = self._clock.now_ms(), self._own()
-        aggregator = self._aggregators.own(now_ms)
+        aggregator = self._aggregators.own_aggregator(now_ms)
         if aggregator != self._reported_to:
             self._change_aggregator(link, now_ms, aggregator)
         self._peers.follow(aggregator.name if aggregator is not None else None)
         if aggregator is not None and self._is_due(now_ms, own):
             link.send(aggregator.address, _REPORT, _encode(own))
-            self._aggregators.on_spoken_to(now_ms, aggregator.name)
+            self._aggregators.on_sent_to(now_ms, aggregator.name)
             self._peers.on_own_report(now_ms, own)
         # When no node reports to this one any more, it still has to withdraw the
         # entries that it published last.
@@ -197,7 +197,7 @@
     def _publish_sums(self, link: PeerLink, now_ms: int, own: LoadByReplica) -> None:
         if now_ms < self._next_sum_ms - _PERIOD_MS / 2:
             return
-        neighbours = self._aggregators.neighbours()
+        neighbours = self._aggregators.neighbour_addresses()
         self._next_sum_ms = now_ms + self._sum_period_ms(link, len(neighbours))
         self._publish_domain_sum(link, now_ms, _plus(self._peers.reported(now_ms), own))
         total = _plus(self._peers.total(now_ms), own)
@@ -222,24 +222,24 @@
         sends its own sum to both.
         """
         senders = self._peers.sum_senders(now_ms)
-        others = self._aggregators.summing(now_ms, senders)
+        others = self._aggregators.publishing_nodes(now_ms, senders)
         addresses = [member.address for member in others]
         parts = _parts(self._sum_changes.due(now_ms, own_sum))
         for part in parts:
             link.send_all(addresses, _SUM, _encode(part))
         for member in others if parts else ():
-            self._aggregators.on_spoken_to(now_ms, member.name)
+            self._aggregators.on_sent_to(now_ms, member.name)
 
     async def _on_load_report(self, sender: str, message: Any) -> None:
-        self._aggregators.on_heard(sender)
+        self._aggregators.on_received_from(sender)
         self._peers.on_load_report(self._clock.now_ms(), sender, _decode(message))
 
     async def _on_domain_sum(self, sender: str, message: Any) -> None:
-        self._aggregators.on_heard(sender)
+        self._aggregators.on_received_from(sender)
         self._peers.on_domain_sum(self._clock.now_ms(), sender, _decode(message))
 
     async def _on_total(self, sender: str, message: Any) -> None:
-        self._aggregators.on_heard(sender)
+        self._aggregators.on_received_from(sender)
         self._peers.on_total(self._clock.now_ms(), sender, _decode(message))
 
 
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -95,7 +95,7 @@
         if change.claim.fencing == 1:
             wait_ms = 0
         elif change.claim.after_expiry:
-            # The last holder renewed the lease at least one lease duration ago ,and
+            # The last holder renewed the lease at least one lease duration ago, and
             # stopped ordering one order window after that.
             wait_ms = int(self._order_window_ms) + self._slack_ms
         self._may_order_at_ms = self._clock.now_ms() + wait_ms
