--- a/fireflyward/bundles/__init__.py
+++ b/fireflyward/bundles/__init__.py
@@ -1,4 +1,4 @@
-"""Signed bundles: the one way in which operators change anything."""
+"""Signed bundles: the only way in which operators change a deployment."""
 
 from ._bundle import (
     Account,
@@ -12,17 +12,24 @@
 )
 from ._checks import cross_errors, weight_errors
 from ._diff import Difference, diff
-from ._exchange import BundleShelf, collect_whole, decode_changes
-from ._follow import (
+from ._exchange import BundleCache, decode_changes, fetch_all_pages
+from ._follower import (
+    AnnounceNumber,
     BundleFollower,
     FetchFromPeer,
     FetchFromStore,
     ReadHead,
-    Tell,
 )
 from ._holder import BundleHolder
 from ._keys import KeyProblem, create_key, load_key
 from ._loader import BundleLoader, Loaded
+from ._node_status import (
+    Condition,
+    NodeObservation,
+    NodeStatus,
+    NodeStatusTracker,
+    is_in_force_everywhere,
+)
 from ._parts import ChunkedAccounts, canonical_bytes, digest_of
 from ._plan import Plan, make_plan
 from ._signing import (
@@ -30,7 +37,7 @@
     SignedBundle,
     SigningKey,
     Statement,
-    key_error,
+    find_verifying_key,
     public_hex,
     root_people,
 )
@@ -51,14 +58,7 @@
     statement_of,
 )
 from ._toml import parse_bundle, to_toml
-from ._verify import read_state, verify_bundle, verify_change, verify_whole
-from ._watch import (
-    BundleWatch,
-    Condition,
-    NodeStatus,
-    Seen,
-    is_in_force_everywhere,
-)
+from ._verify import read_state, verify_bundle, verify_change, verify_snapshot
 
 __all__ = [
     "AcceptStep",
@@ -68,10 +68,10 @@
     "BundleFollower",
     "BundleHolder",
     "BundleLoader",
-    "BundleShelf",
+    "BundleCache",
     "BundleState",
     "BundleStore",
-    "BundleWatch",
+    "NodeStatusTracker",
     "Caller",
     "ChunkedAccounts",
     "Condition",
@@ -86,17 +86,17 @@
     "Person",
     "Plan",
     "ReadHead",
-    "Seen",
+    "NodeObservation",
     "Service",
     "Signature",
     "SignedBundle",
     "SigningKey",
     "Statement",
-    "Tell",
+    "AnnounceNumber",
     "Upstream",
     "Whole",
     "canonical_bytes",
-    "collect_whole",
+    "fetch_all_pages",
     "create_key",
     "cross_errors",
     "decode_changes",
@@ -106,7 +106,7 @@
     "draft",
     "encode_signed",
     "is_in_force_everywhere",
-    "key_error",
+    "find_verifying_key",
     "load_key",
     "make_plan",
     "parse_bundle",
@@ -118,7 +118,7 @@
     "to_toml",
     "verify_bundle",
     "verify_change",
-    "verify_whole",
+    "verify_snapshot",
     "weight_errors",
     "with_approver",
     "with_author",
--- a/fireflyward/daemon/_node.py
+++ b/fireflyward/daemon/_node.py
@@ -1,4 +1,4 @@
-"""A node: every duty of an entry VM, put together."""
+"""A node: the parts and duties of an entry VM, assembled."""
 
 import asyncio
 import logging
@@ -9,9 +9,9 @@
 from fireflyward.bundles import Bundle, BundleHolder
 from fireflyward.clock import Clock
 from fireflyward.connections import SilenceLimits, within
-from fireflyward.entry import EntryParts, InFlight, build_app
+from fireflyward.entry import EntryContext, InFlightRequests, build_app
 from fireflyward.kept import BlockNames
-from fireflyward.leaving import LeavingSigns, LeavingTask
+from fireflyward.leaving import LeavingTask, LeavingUpstreams
 from fireflyward.limits import AdmissionGate
 from fireflyward.membership import Member, Membership, MembershipTask
 from fireflyward.observe import Metrics, Tracing
@@ -28,17 +28,17 @@
 from ._lifecycle_steps import StartStep, StopStep
 from ._limits_duty import LimitsDuty
 from ._load_duty import LoadDuty
-from ._outside import Outside
-from ._planned_stop import HandOn, PlannedStop
+from ._node_io import NodeIO
+from ._planned_stop import Handover, PlannedStop
 from ._rollout_duty import RolloutDuty
-from ._sweep_duty import sweep_for_ever
+from ._sweep_duty import run_sweeper
 
 log = logging.getLogger("fireflyward.daemon")
 
-_CONFIRM_LIMIT_MS = 300
-_MOST_CONFIRMED = 8
-_DETACHED_LIMIT_S = 30.0
-_CERTIFICATE_POLL_MS = 60_000
+_REFRESH_TIMEOUT_MS = 300
+_MAX_REFRESHED_REPLICAS = 8
+_DETACHED_RUNS_TIMEOUT_S = 30.0
+_CERTIFICATE_CHECK_PERIOD_MS = 60_000
 ENGINE = "engine"
 SERVICE = "service"
 
@@ -51,12 +51,12 @@
         settings: Settings,
         *,
         clock: Clock | None = None,
-        outside: Outside | None = None,
+        io: NodeIO | None = None,
         observe: StepObserver = ignore_step,
     ) -> None:
         self.settings = settings
         self.clock = clock or Clock()
-        self.outside = outside or Outside(settings)
+        self.io = io or NodeIO(settings)
         self.observe = observe
         self.holder = BundleHolder()
         self.router = Router(settings["failure_domain"])
@@ -67,23 +67,23 @@
         self.service_by_name: dict[str, PlainService] = {}
         self._retired_ms_by_name: dict[str, int] = {}
         self.port = settings["port"]
-        self.link = self.outside.make_link(self.clock.wall_ms())
+        self.link = self.io.make_link(self.clock.wall_ms())
         self._membership = Membership(self.clock.now_ms(), self._own_member())
         self.members = self._membership.members
         self.guards = Guards(
             settings, clock=self.clock, members=self.members, metrics=self.metrics
         )
-        self.in_flight = InFlight()
+        self.in_flight = InFlightRequests()
         self.rollout = RolloutDuty(
             settings,
             clock=self.clock,
             members=self.members,
             holder=self.holder,
             router=self.router,
-            outside=self.outside,
+            io=self.io,
             observe=observe,
         )
-        self.hand_on: list[HandOn] = [self.rollout.hand_on]
+        self.handovers: list[Handover] = [self.rollout.hand_over]
         self._planned_stop: PlannedStop | None = None
         self._stopping = False
         self._tasks: list[asyncio.Task[None]] = []
@@ -93,7 +93,7 @@
             router=self.router,
             members=self.members,
             engine_by_name=self.engine_by_name,
-            as_routed=self.rollout.as_routed,
+            without_loading_models=self.rollout.without_loading_models,
         )
         self.account_limits = LimitsDuty(
             link=self.link,
@@ -104,7 +104,7 @@
         self.bundles: BundleDuty | None = None
         self.admin: AdminDuty | None = None
         self.membership: MembershipTask | None = None
-        self.leaving_signs = LeavingSigns()
+        self.leaving_upstreams = LeavingUpstreams()
         self.leaving: LeavingTask | None = None
         self.records: RunRecords | None = None
         self.kept: KeptDuty | None = None
@@ -113,10 +113,10 @@
         return f"Node({self.settings['node_name']!r}, port={self.port})"
 
     async def start(self) -> None:
-        """Open the sockets and begin the periodic tasks."""
-        await self.outside.open()
-        table = self.guards.table(self.outside.make_table())
-        objects = self.guards.objects(self.outside.make_objects())
+        """Open the sockets and start the periodic tasks."""
+        await self.io.open()
+        table = self.guards.table(self.io.make_table())
+        objects = self.guards.objects(self.io.make_objects())
         self.bundles = make_bundle_duty(
             self.settings,
             link=self.link,
@@ -132,7 +132,7 @@
             bundles=self.bundles,
             table=table,
             objects=objects,
-            weights=self.guards.weights(self.outside.make_weights()),
+            weights=self.guards.weights(self.io.make_weights()),
         )
         self.records = RunRecords(
             table, self.clock, node_name=self.settings["node_name"]
@@ -140,7 +140,7 @@
         self.kept = KeptDuty(
             self.settings,
             clock=self.clock,
-            outside=self.outside,
+            io=self.io,
             table=table,
             objects=objects,
             router=self.router,
@@ -150,15 +150,15 @@
             holder=self.holder,
             observe=self.observe,
         )
-        app = build_app(self._entry_parts(self.records))
-        self.port = await self.outside.listen(app)
+        app = build_app(self._entry_context(self.records))
+        self.port = await self.io.listen(app)
         self.observe(StartStep.PORT_OPEN)
         await self.link.start()
-        vms = self.guards.vms(self.outside.make_vms())
+        vms = self.guards.vms(self.io.make_vms())
         self.membership = self._make_membership(self.bundles, vms)
         self.membership.start()
         self.leaving = LeavingTask(
-            signs=self.leaving_signs,
+            upstreams=self.leaving_upstreams,
             clock=self.clock,
             link=self.link,
             members=self.members,
@@ -171,9 +171,9 @@
         await self.admin.start()
         await self.rollout.start(table)
         self.kept.start()
-        self._every(_CERTIFICATE_POLL_MS, self._renew_certificate)
+        self._start_periodic(_CERTIFICATE_CHECK_PERIOD_MS, self._renew_certificate)
         sweeper = Sweeper(table, self.clock, observe=self.observe)
-        self._tasks.append(asyncio.create_task(sweep_for_ever(sweeper, self.clock)))
+        self._tasks.append(asyncio.create_task(run_sweeper(sweeper, self.clock)))
         self.observe(StartStep.DUTIES_BEGUN)
         await self.loads.start()
         await self.account_limits.start()
@@ -186,7 +186,7 @@
         )
 
     async def stop(self) -> None:
-        """Shut down gracefully: no request that could be served is cut."""
+        """Stop as planned; requests that finish within the limit are not cut."""
         self._stopping = True
         self._planned_stop = PlannedStop(
             clock=self.clock,
@@ -194,26 +194,26 @@
             observe=self.observe,
             balancer_wait_ms=self.settings["balancer_wait_ms"],
             limit_ms=self.settings["drain_limit_ms"],
-            tell_peers=self._tell_peers,
-            hand_on=self.hand_on,
-            stop_accepting=self.outside.stop_accepting,
+            announce_leaving=self._announce_leaving,
+            handovers=self.handovers,
+            stop_accepting=self.io.stop_accepting,
         )
         await self._planned_stop.run()
         if not self._planned_stop.is_cut:
-            await finish_detached(_DETACHED_LIMIT_S)
+            await finish_detached(_DETACHED_RUNS_TIMEOUT_S)
         await self.close()
 
     def cut(self) -> None:
-        """End a planned stop that waits; what is still under way is cut."""
+        """End the waiting of a planned stop; requests in flight are cancelled."""
         if self._planned_stop:
             self._planned_stop.cut()
 
-    def _tell_peers(self) -> None:
+    def _announce_leaving(self) -> None:
         if self.membership:
             self.membership.leave()
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close everything immediately."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -232,18 +232,18 @@
             await self.membership.stop()
         if self.records:
             self.records.stop()
-        await self.outside.stop_listening()
+        await self.io.stop_listening()
         await self.link.stop()
         self.observe(StopStep.CLOSED)
-        await self.outside.close()
+        await self.io.close()
         self.tracing.close()
 
     def is_ready(self) -> bool:
-        """Tell the balancer whether new requests may come here."""
+        """Return whether the balancer may send new requests to this node."""
         return not self._stopping and self.holder.bundle is not None
 
     async def _renew_certificate(self) -> None:
-        self.outside.tls.renew()
+        self.io.tls.renew()
 
     def _own_member(self) -> Member:
         return Member(
@@ -261,13 +261,13 @@
             link=self.link,
             metrics=self.metrics,
             bundle_number=lambda: self.holder.number,
-            on_number=bundles.on_member_number,
+            on_bundle_number=bundles.on_member_number,
             seeds=self.settings["peers"],
             vms=vms,
         )
 
-    def _entry_parts(self, records: RunRecords) -> EntryParts:
-        return EntryParts(
+    def _entry_context(self, records: RunRecords) -> EntryContext:
+        return EntryContext(
             clock=self.clock,
             holder=self.holder,
             router=self.router,
@@ -280,25 +280,25 @@
             tracing=self.tracing,
             request_limit_bytes=self.settings["request_limit_bytes"],
             deadline_ms=self.settings["request_deadline_ms"],
-            ready=self.is_ready,
+            is_ready=self.is_ready,
             observe=self.observe,
             catch_up=self.bundles.catch_up,
-            confirm_versions=self.confirm_versions,
+            refresh_reports=self.refresh_reports,
             prepare=self.kept.work.prepare,
             prefixes=self.kept.prefixes,
-            on_hint=self.kept.work.hint,
+            on_hint=self.kept.work.on_hint,
             run_ids=RunIds(self.settings["kept_key"]),
-            limits=SilenceLimits(silence_ms=self.settings["silence_limit_ms"]),
+            silence_limits=SilenceLimits(silence_ms=self.settings["silence_limit_ms"]),
             in_flight=self.in_flight,
-            versions=self.rollout.versions,
-            leaving=self.leaving_signs,
+            serving_versions=self.rollout.versions,
+            leaving_upstreams=self.leaving_upstreams,
         )
 
-    async def confirm_versions(self, model: str, version: str) -> None:
-        """Ask a few replicas that are not known to have a version what they have.
+    async def refresh_reports(self, model: str, version: str) -> None:
+        """Poll a few replicas whose last load report does not contain the version.
 
-        Few, since in a large deployment every node would otherwise ask every
-        replica at once when a version ends.
+        The number is limited: in a large deployment, every node would otherwise poll
+        every replica at the same time when the last replica leaves a version.
         """
         names = [
             name
@@ -306,24 +306,26 @@
             if model in self.router.candidate(name).models
             and self.router.candidate(name).version_by_model.get(model) != version
         ]
-        asked = random.sample(names, min(len(names), _MOST_CONFIRMED))
-        await asyncio.gather(*(self._confirm(name) for name in asked))
+        sampled_names = random.sample(names, min(len(names), _MAX_REFRESHED_REPLICAS))
+        await asyncio.gather(*(self._refresh_report(name) for name in sampled_names))
 
-    async def _confirm(self, name: str) -> None:
+    async def _refresh_report(self, name: str) -> None:
         engine = self.engine_by_name.get(name)
         if engine is None:
             return
         try:
-            report = await within(self.clock, _CONFIRM_LIMIT_MS, engine.load())
+            report = await within(self.clock, _REFRESH_TIMEOUT_MS, engine.load())
         except TimeoutError:
             return
         if not isinstance(report, Broken):
             self.router.on_report(self.clock.now_ms(), name, report)
 
-    def _every(self, period_ms: int, step: Callable[[], Awaitable[None]]) -> None:
-        self._tasks.append(asyncio.create_task(self._repeat(period_ms, step)))
+    def _start_periodic(
+        self, period_ms: int, step: Callable[[], Awaitable[None]]
+    ) -> None:
+        self._tasks.append(asyncio.create_task(self._run_periodic(period_ms, step)))
 
-    async def _repeat(
+    async def _run_periodic(
         self, period_ms: int, step: Callable[[], Awaitable[None]]
     ) -> None:
         while True:
@@ -331,8 +333,8 @@
             await step()
 
     def apply(self, bundle: Bundle) -> None:
-        """Serve by ``bundle`` from now on, unless it is not newer."""
-        if not self.holder.offer(bundle):
+        """Bring ``bundle`` into force, if it is newer than the current one."""
+        if not self.holder.update(bundle):
             return
         self.rollout.versions.on_bundle(
             {name: model.version for name, model in bundle.models.items()}
@@ -342,12 +344,13 @@
             "daemon: bundle %d in force", bundle.number, extra={"bundle": bundle.number}
         )
 
-    def _retire_upstreams(self, bundle: Bundle) -> None:
-        """Forget upstreams that bundles left out, once no run can still need them.
+    def _remove_retired_upstreams(self, bundle: Bundle) -> None:
+        """Remove upstreams that the bundle no longer has, after a delay.
 
-        A run that goes on over a change has to be resumed or cancelled where it
-        is. Had its client gone with the bundle, it would be lost to its caller
-        and go on costing its engine.
+        A run that is in flight during the change may have to be resumed or cancelled
+        at its upstream. Without the client, its caller would lose the run and the
+        engine would continue to compute it. So a client is kept for as long as a
+        request can last.
         """
         now_ms = self.clock.now_ms()
         for name in (*self.engine_by_name, *self.service_by_name):
@@ -361,21 +364,21 @@
                 del self._retired_ms_by_name[name]
 
     def _connect_upstreams(self, bundle: Bundle) -> None:
-        self._retire_upstreams(bundle)
+        self._remove_retired_upstreams(bundle)
         candidates = []
         for name, upstream in bundle.upstreams.items():
             if upstream.kind == ENGINE:
-                engine = self.outside.make_engine(name, upstream)
-                self.engine_by_name[name] = self.rollout.watched(engine)
+                engine = self.io.make_engine(name, upstream)
+                self.engine_by_name[name] = self.rollout.count_runs(engine)
                 candidates.append(
                     Candidate(name, upstream.failure_domain, upstream.models)
                 )
             elif upstream.kind == SERVICE:
-                self.service_by_name[name] = self.outside.make_service(name, upstream)
+                self.service_by_name[name] = self.io.make_service(name, upstream)
         self.router.set_replicas(candidates)
         if self.kept:
             self.kept.apply(bundle)
-        self.leaving_signs.set_upstreams(
+        self.leaving_upstreams.set_upstreams(
             {name: upstream.url for name, upstream in bundle.upstreams.items()}
         )
         self.loads.set_bundle(bundle)
--- a/fireflyward/fleet/_known_replicas.py
+++ b/fireflyward/fleet/_known_replicas.py
@@ -12,10 +12,10 @@
 from fireflyward.replicas import (
     Chooser,
     ColdShares,
-    PeerUnderWay,
+    LoadReportTask,
+    PeerLoad,
     RateLimits,
     ReplicaDirectory,
-    UnderWayTask,
 )
 
 
@@ -32,8 +32,8 @@
     ) -> None:
         self._clock = clock
         self.directory = ReplicaDirectory()
-        under_way = PeerUnderWay()
-        self.under_way_task = UnderWayTask(
+        under_way = PeerLoad()
+        self.under_way_task = LoadReportTask(
             clock=clock,
             directory=self.directory,
             peers=under_way,
@@ -55,10 +55,10 @@
             clock=clock,
             pool=pool,
             directory=self.directory,
-            peers=aggregators.everyone,
+            peers=aggregators.all_addresses,
         )
         self.notices = NoticeTask(
-            clock=clock, directory=self.directory, peers=aggregators.everyone
+            clock=clock, directory=self.directory, peers=aggregators.all_addresses
         )
 
     def set_nodes(self, names: Collection[str]) -> None:
@@ -81,7 +81,7 @@
             "cold_sends_total": self.cold_shares.granted,
             "leaving_replicas": sum(state.is_leaving for state in states),
             "limited_replicas": sum(x.limit.per_second is not None for x in asked),
-            "resting_replicas": sum(x.rest_ms(now_ms) > 0 for x in asked),
+            "resting_replicas": sum(x.backoff_ms(now_ms) > 0 for x in asked),
             "evacuated_failure_domains": len(self.directory.evacuated),
             "unreachable_failure_domains": len(self.directory.unreachable),
         }
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -8,10 +8,10 @@
 from fireflyward.aggregators import Aggregators
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, FleetSettings
-from fireflyward.feeds import FeedFollower, Followed, Pace, SharedTables
+from fireflyward.feeds import FeedFollower, Pace, SharedTables, TableUpdate
 from fireflyward.forwarding import Forwarder, WeightVersions
 from fireflyward.http1 import ConnectionPool
-from fireflyward.leases import Gained, LeaseNews, LeaseTask, Lost
+from fireflyward.leases import Gained, LeaseAnnouncer, LeaseTask, Lost
 from fireflyward.observe import Metrics
 from fireflyward.peers import PeerLink
 from fireflyward.platform import (
@@ -25,7 +25,7 @@
 from fireflyward.quarantine import Quarantine
 from fireflyward.retries import RetryBudget
 from fireflyward.routes import RouteTable
-from fireflyward.weights import LoadNews, WeightTask
+from fireflyward.weights import LoadAnnouncer, WeightTask
 
 from ._callers import CallerDoor
 from ._gauges import link_gauges
@@ -89,10 +89,10 @@
             settings, clock=clock, pool=self._pool, aggregators=self._aggregators
         )
         self._directory = self._known.directory
-        self._news = LoadNews(
+        self._news = LoadAnnouncer(
             clock=clock,
             directory=self._directory,
-            peer_addresses=self._aggregators.everyone,
+            peer_addresses=self._aggregators.all_addresses,
         )
         self._quarantine = Quarantine(
             clock=clock,
@@ -101,8 +101,8 @@
             store=self._store,
             table=NODE_TABLE,
             node=settings.node,
-            peer_addresses=self._aggregators.everyone,
-            look_soon=lambda: self._joining.look_soon(),
+            peer_addresses=self._aggregators.all_addresses,
+            poll_soon=lambda: self._joining.look_soon(),
         )
         self._forwarder = self._make_forwarder()
         self._gate = StartGate(clock)
@@ -140,11 +140,11 @@
             tables=self._tables,
             aggregators=self._aggregators,
             on_nodes=self._on_nodes,
-            on_rows=self._quarantine.on_news,
+            on_rows=self._quarantine.on_table_update,
             on_link=self._on_link,
         )
         # What nodes wrote of themselves may be lost, and is read by all others.
-        self._store.eras.on_new = self._joining.look_soon
+        self._store.eras.on_new_era = self._joining.look_soon
         self._lost_rows = LostRows(
             CONFIGURATION_TABLE,
             tables=self._tables,
@@ -156,19 +156,19 @@
                 CONFIGURATION_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._kept(CONFIGURATION_TABLE, self._lost_rows.heard_by),
+                on_update=self._kept(CONFIGURATION_TABLE, self._lost_rows.heard_by),
                 pace=self._configuration_pace,
             ),
             FeedFollower(
                 REPLICA_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._kept(REPLICA_TABLE, self._replicas.on_news),
+                on_update=self._kept(REPLICA_TABLE, self._replicas.on_news),
                 pace=self._replicas_pace,
             ),
         )
         self._lease = self._make_lease()
-        self._lease_news = LeaseNews(
+        self._lease_news = LeaseAnnouncer(
             self._lease,
             contenders=lambda: self._peers.addresses_of_first(_CONTENDERS, _LEASE),
         )
@@ -178,7 +178,7 @@
             api=self._api,
             directory=self._directory,
             weights=self._weights,
-            news=self._news,
+            announcer=self._news,
             busy_ms=self._known.chooser.queue_ms,
             node=settings.node,
             lease_ms=bounds.lease_ms,
@@ -307,8 +307,10 @@
             lease_ms=self._settings.bounds.lease_ms,
             contends=self._contends,
             on_change=self._on_lease,
-            on_row=lambda row, position: self._lease_news.tell(row, position),
-            look_ms=lambda: self._weight_task.look_ms(),
+            on_row_written=lambda row, position: self._lease_news.announce(
+                row, position
+            ),
+            poll_interval_ms=lambda: self._weight_task.lease_poll_ms(),
         )
 
     def _on_lease(self, change: Gained | Lost) -> None:
@@ -321,26 +323,26 @@
     def _configuration_pace(self) -> Pace:
         return configuration_pace(
             is_shared=self._aggregators.are_needed,
-            is_for_others=self._tables.is_for_others,
+            serves_other_nodes=self._tables.serves_other_nodes,
         )
 
     def _replicas_pace(self) -> Pace:
         return replicas_pace(
             self._settings.bounds.drain_ms,
             is_shared=self._aggregators.are_needed,
-            is_for_others=self._tables.is_for_others,
+            serves_other_nodes=self._tables.serves_other_nodes,
         )
 
     def _kept(
-        self, table: str, on_news: Callable[[Followed], None]
-    ) -> Callable[[Followed], None]:
+        self, table: str, on_news: Callable[[TableUpdate], None]
+    ) -> Callable[[TableUpdate], None]:
         """Keep a table's news for others; the last one needed opens the gate."""
         is_operators = table == CONFIGURATION_TABLE
-        take = self._tables.kept(table, on_news, carries=is_operators)
+        take = self._tables.caching_listener(table, on_news, retains_rows=is_operators)
 
-        def take_and_note(news: Followed) -> None:
+        def take_and_note(news: TableUpdate) -> None:
             # An aggregator may tell of a new era before the store itself does.
-            self._store.eras.note(news.position.era)
+            self._store.eras.observe(news.position.era)
             take(news)
 
         return self._gate.opened_by(take_and_note, is_ready=lambda: self.is_ready)
--- a/fireflyward/forwarding/_request_run.py
+++ b/fireflyward/forwarding/_request_run.py
@@ -187,11 +187,11 @@
         )
 
     def _on_unsent(self, replica: ReplicaState, failure: NotConnected) -> Unsent:
-        replica.on_trouble(self._clock.now_ms())
+        replica.on_send_failure(self._clock.now_ms())
         if not failure.is_refused:
             self._deps.reach.on_silent(replica)
         self._quarantine_check.on_connect_failed(replica, is_refused=failure.is_refused)
-        self._tried.add(replica.number)
+        self._tried.add(replica.incarnation_id)
         self._stop_late_wait(None)
         return Unsent(failure.detail)
 
@@ -242,12 +242,12 @@
             replica.waiting_late += 1
         else:
             replica.in_flight += 1
-        replica.held_tokens += self._requirements.peak_tokens
+        replica.resident_tokens += self._requirements.peak_tokens
         self._sent_ms = self._clock.now_ms()
         replica.on_cold_sent(self._sent_ms)
         self._trace.sends += 1
         self._trace.stored_tokens = headers.stored_tokens
-        self._tried.add(replica.number)
+        self._tried.add(replica.incarnation_id)
         try:
             connection.send(
                 self._caller.method,
@@ -264,7 +264,7 @@
         finally:
             self._stop_late_wait(replica)
             replica.in_flight -= 1
-            replica.held_tokens -= self._requirements.peak_tokens
+            replica.resident_tokens -= self._requirements.peak_tokens
             prefill.release()
         if isinstance(result, NotRunThere):
             return self._on_rejected(choice, result.facts)
@@ -304,7 +304,7 @@
 
     def _on_rejected(self, choice: Choice, facts: ResponseFacts) -> Rejected:
         replica, now_ms = choice.replica, self._clock.now_ms()
-        replica.refusals += 1
+        replica.rejections += 1
         if not facts.is_other_replica:
             newest = self._deps.weights.newest(self._caller.model)
             if newest is not None and choice.weights != newest:
@@ -314,10 +314,10 @@
             return Rejected(RejectionReason.FULL)
         is_same = facts.incarnation == replica.entry.incarnation
         if is_same and choice.weights is not None:
-            self._tried.discard(replica.number)
+            self._tried.discard(replica.incarnation_id)
             self._correct_weights(replica, choice, facts)
             return Rejected(RejectionReason.OTHER_WEIGHTS)
-        replica.on_trouble(now_ms)
+        replica.on_send_failure(now_ms)
         return Rejected(RejectionReason.OTHER_REPLICA)
 
     def _correct_weights(
--- a/fireflyward/kept/_look_up.py
+++ b/fireflyward/kept/_look_up.py
@@ -22,7 +22,7 @@
     """Queries the holders of a shard, and answers queries for local shards.
 
     In a failure domain of up to four nodes every node holds every shard, so no
-    queries are sent. If no answer arrives within ``limit_s``, the prompt is computed
+    queries are sent. If no answer arrives within ``timeout_s``, the prompt is computed
     as if no blocks had been stored. The second holder is not queried then, since the
     caller has already waited for the first one.
     """
@@ -33,10 +33,10 @@
         index: PrefixIndex,
         domain_members: Callable[[], tuple[Member, ...]],
         *,
-        limit_s: float = _TIMEOUT_S,
+        timeout_s: float = _TIMEOUT_S,
     ) -> None:
         self._link = link
-        self._limit_s = limit_s
+        self._timeout_s = timeout_s
         self._index = index
         self._domain_members = domain_members
         self._runs_by_last_key: OrderedDict[str, tuple[HeldRun, ...]] = OrderedDict()
@@ -58,7 +58,7 @@
         entries = entries_of(block_keys)[:_MAX_ENTRIES]
         message = LookUp(shard=shard, entries=entries)
         found = await self._link.call(
-            holder.address, KIND, message, Found, limit_s=self._limit_s
+            holder.address, KIND, message, Found, timeout_s=self._timeout_s
         )
         if isinstance(found, CallFailed):
             self.failed += 1
--- a/fireflyward/quarantine/__init__.py
+++ b/fireflyward/quarantine/__init__.py
@@ -1,14 +1,14 @@
-"""Requests that end the replicas that run them."""
+"""Detects requests that crash replicas, and limits where they are sent."""
 
 from ._cuts import Cuts
 from ._fingerprint import fingerprint_of
 from ._messages import Free, Held, OnTrial, SuspectRow, Trial
-from ._suspects import MOST_ENDS, Suspects
-from ._task import TRIAL_IS_OVER, Quarantine
+from ._suspects import MAX_CRASHES, Suspects
+from ._task import TRIAL_ENDED, Quarantine
 
 __all__ = [
-    "MOST_ENDS",
-    "TRIAL_IS_OVER",
+    "MAX_CRASHES",
+    "TRIAL_ENDED",
     "Cuts",
     "Free",
     "Held",
--- a/fireflyward/runs/_service_task.py
+++ b/fireflyward/runs/_service_task.py
@@ -142,7 +142,7 @@
                     break
                 if number and not in_flight:
                     await self._clock.sleep_ms(self._budget.backoff_ms(number))
-                call = replace(self._call, needs_fresh=number > 0)
+                call = replace(self._call, needs_new_connection=number > 0)
                 in_flight.add(asyncio.ensure_future(self._call_replica(name, call)))
                 reply = await self._first_reply(in_flight, self._reply_timeout_ms)
                 if reply:
--- a/tests/faults/_world.py
+++ b/tests/faults/_world.py
@@ -18,7 +18,7 @@
     root_people,
     sign_bundle,
     verify_change,
-    verify_whole,
+    verify_snapshot,
 )
 from fireflyward.checker import BundleAccepted, Checker, NodeLost, Reachable, StopBegan
 from fireflyward.clock import ManualClock
@@ -32,7 +32,7 @@
 )
 
 from ._callers import MODEL, Ask, Caller
-from ._fakes import URL_PREFIX, EngineVm, MemoryOutside, Remote, WatchedTable
+from ._fakes import URL_PREFIX, EngineVm, MemoryNodeIO, Remote, WatchedTable
 from ._network import PEER_PORT, Network, Process, ProcessClock
 from ._stores import WatchedStore
 
@@ -170,7 +170,7 @@
         """Note which of the offered bundles the table took."""
         signed, base = self.offered_by_digest[digest]
         if base is None:
-            self.bundle_state = verify_whole(
+            self.bundle_state = verify_snapshot(
                 signed, (), roots=_ROOT_PEOPLE, deployment="demo"
             )
         else:
@@ -183,7 +183,7 @@
         node = Node(
             settings,
             clock=ProcessClock(self.network, process),
-            outside=MemoryOutside(self, process, settings),
+            io=MemoryNodeIO(self, process, settings),
             observe=lambda step: self.on_step(step, process),
         )
         node.process = process
@@ -203,7 +203,7 @@
             node = self.node_by_name[names[(self._turn + index) % len(names)]]
             process = node.process
             is_paused = process.paused_until_ms > self.clock.now_ms()
-            if process.is_alive and node.outside.is_listening and not is_paused:
+            if process.is_alive and node.io.is_listening and not is_paused:
                 if node.is_ready():
                     return node
         return None
@@ -230,7 +230,7 @@
 
     def kill_node(self, node: Node) -> None:
         self.see(NodeLost(self.clock.now_ms(), node.settings["node_name"]))
-        node.outside.is_listening = False
+        node.io.is_listening = False
         node.process.die()
         for task in node._tasks:
             task.cancel()
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -263,8 +263,8 @@
         )
 
     async def test_the_lease_is_looked_at_as_its_duty_asks(self):
-        look_ms = self.node._lease._look_ms
-        self.node._weight_task.look_ms = lambda: 123.0
+        look_ms = self.node._lease._poll_interval_ms
+        self.node._weight_task.lease_poll_ms = lambda: 123.0
         self.assertEqual(look_ms(), 123.0)
 
     async def test_a_replica_that_starts_again_under_its_name_is_another_one(self):
@@ -274,7 +274,7 @@
         """
         engine = self.engines[0]
         state = self.node._directory.find(engine.incarnation)
-        state.on_trouble(self.node._clock.now_ms())
+        state.on_send_failure(self.node._clock.now_ms())
         engine.start_again()
         self.list_replicas()
         find = self.node._directory.find
@@ -298,7 +298,7 @@
         await self.until(lambda: {e.version for e in self.engines} == {2})
         self.assertEqual({len(e.orders) for e in self.engines}, {1})
         orders = [e.orders[0] for e in self.engines]
-        first = Position(self.store.era, 1).number
+        first = Position(self.store.era, 1).ordinal
         self.assertEqual({order["fence"] for order in orders}, {first})
         self.assertEqual({order["holder"] for order in orders}, {"entry-1"})
         status, _, _ = await self.ask("POST", "/s/x", headers=STREAM)
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -51,7 +51,7 @@
     def register(self, kind, struct_type, handle):
         self.struct_type, self.handle = struct_type, handle
 
-    async def call(self, address, kind, message, reply_type, *, limit_s):
+    async def call(self, address, kind, message, reply_type, *, timeout_s):
         other = self.network[address[0]]
         if other.is_down:
             return CallFailed("no answer")
@@ -67,7 +67,7 @@
         aggregators.set_members(
             Member(other, "a", (other, 1), 100) for other in NAMES if other != name
         )
-        self.is_aggregator = aggregators.own(0) is None
+        self.is_aggregator = aggregators.own_aggregator(0) is None
         self.index = StoreIndex(STORE, 10_000)
         self.events = SharedStoreReader(
             store,
--- a/tests/runs/test_once.py
+++ b/tests/runs/test_once.py
@@ -269,7 +269,7 @@
         self.first_service.replies = [None]
         outcome = await self.await_within(self.make(), 5_100)
         self.assertEqual(outcome, REPLY)
-        self.assertTrue(self.second_service.calls[0].needs_fresh)
+        self.assertTrue(self.second_service.calls[0].needs_new_connection)
 
     async def test_slow_idempotent_call_is_not_cancelled_by_its_repetition(self):
         self.first_service.delay_ms, self.second_service.delay_ms = 6_000, 20_000
