--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -183,7 +183,7 @@
         engine = self.kv_by_replica.get(reader.name)
         if engine is None:
             return
-        after = reader.after(self._clock.now_ms(), shards)
+        after = reader.start_after(self._clock.now_ms(), shards)
         events = await engine.cache_events(after, stride=INDEX_STRIDE)
         if not isinstance(events, Broken):
             reader.apply(events, self.index)
--- a/fireflyward/kept/_readers.py
+++ b/fireflyward/kept/_readers.py
@@ -93,7 +93,7 @@
         self._snapshot_requested_ms = -_MIN_SNAPSHOT_INTERVAL_MS
         self._shards: frozenset[int] = frozenset()
 
-    def after(self, now_ms: int, shards: frozenset[int]) -> int:
+    def start_after(self, now_ms: int, shards: frozenset[int]) -> int:
         """Return the sequence after which to request events, or ``ALL_EVENTS``."""
         self._needs_snapshot = self._needs_snapshot or bool(shards - self._shards)
         self._shards = shards
--- a/tests/kept/test_readers.py
+++ b/tests/kept/test_readers.py
@@ -94,7 +94,7 @@
             self.cache.store(key, position, keys[0])
 
     def read(self, now_ms):
-        after = self.reader.after(now_ms, ALL_SHARDS)
+        after = self.reader.start_after(now_ms, ALL_SHARDS)
         self.reader.apply(self.cache.events(after, stride=INDEX_STRIDE), self.index)
 
     def test_duplicate_and_late_events_give_the_same_index(self):
