--- a/tests/invariants/test_invariants.py
+++ b/tests/invariants/test_invariants.py
@@ -26,14 +26,14 @@
     def test_handlers_of_exception_do_not_catch_it(self):
         self.assertFalse(issubclass(InvariantBroken, Exception))
 
-    def test_admission_that_is_left_twice(self):
+    def test_leaving_admission_twice_breaks_an_invariant(self):
         admission = Admission()
         ticket = admission.enter(0, AdmissionRequest("bridge", "clauses", 1.0, 2, 100))
         admission.leave(ticket)
         found = self.broken_by(lambda: admission.leave(ticket))
         self.assertIs(found, Invariant.IN_FLIGHT)
 
-    def test_older_bundle_set_without_comparing_numbers(self):
+    def test_setting_an_older_bundle_breaks_an_invariant(self):
         holder = BundleHolder()
         holder.update(Bundle("demo", 2, {}, {}, {}))
         old = Bundle("demo", 1, {}, {}, {})
--- a/tests/kept/kv_fixtures.py
+++ b/tests/kept/kv_fixtures.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class FakeLease:
     """A lease with its fencing number."""
 
     fencing: int
--- a/tests/kept/test_export.py
+++ b/tests/kept/test_export.py
@@ -14,7 +14,7 @@
     KEYS,
     MODEL,
     VERSION,
-    Held,
+    FakeLease,
     KvWorld,
     ProcessCrashed,
     crash_at,
@@ -59,7 +59,7 @@
                 kept = len(self.store.model.describe(KEYS[:4]).refs)
                 self.assertEqual(kept, 4 if step is ExportStep.PUBLISHED else 0)
                 await self.world.clock.advance_ms(70_000)
-                await Sweeper(lambda: Held(1)).sweep(self.store)
+                await Sweeper(lambda: FakeLease(1)).sweep(self.store)
                 self.assertEqual(self.store.model.used_slots(), kept)
 
     async def test_blocks_after_a_missing_one_are_abandoned(self):
--- a/tests/kept/test_import.py
+++ b/tests/kept/test_import.py
@@ -125,6 +125,6 @@
                 self.kv = self.world.other_engine()
                 with self.assertRaises(ProcessCrashed):
                     await self.load(self.importer(observe=crash_at(step)))
-                held = self.kv.engine.cache.prefix_blocks(KEYS)
-                self.assertEqual(held, len(self.kv.engine.cache))
+                cached_blocks = self.kv.engine.cache.prefix_blocks(KEYS)
+                self.assertEqual(cached_blocks, len(self.kv.engine.cache))
                 self.assertEqual(self.store.model.used_slots(), len(KEYS))
--- a/tests/kept/test_life_cycle.py
+++ b/tests/kept/test_life_cycle.py
@@ -26,7 +26,7 @@
 from fireflyward.upstreams import block_checksum
 
 KEYS = tuple(f"{number:02x}" * 16 for number in range(2))
-_KNOWN = 12
+_MAX_RECENT_REFS = 12
 COSTS = StoreCosts(memory_slots=2, disk_slots=2, block_bytes=10)
 
 
@@ -34,7 +34,7 @@
     reserved = Bundle("reserved")
     written = Bundle("written")
     sealed = Bundle("sealed")
-    held = Bundle("held")
+    described = Bundle("described")
 
     @initialize()
     def begin(self):
@@ -42,22 +42,24 @@
         self.fencing = 1
         self.now_ms = 0
         self.published: dict[tuple[int, int], BlockRef] = {}
-        self.known: list[BlockRef] = []
-        self.given: set[tuple[int, int]] = set()
+        self.recent_refs: list[BlockRef] = []
+        self.reserved_places: set[tuple[int, int]] = set()
         self.listings: list[tuple[int, tuple]] = []
 
     # Writers. A writer crashes if Hypothesis never draws its next rule.
 
     @rule(target=reserved, key=sampled_from(KEYS))
     def reserve(self, key):
-        return multiple(*self.take_slot(key))
+        return multiple(*self.reserve_slot(key))
 
-    def take_slot(self, key):
+    def reserve_slot(self, key):
         self.now_ms += 10
         refs = self.store.reserve(self.now_ms, (SlotRequest(key, 1),)).refs
         for ref in refs:
-            assert (ref.slot, ref.generation) not in self.given, "generation repeated"
-            self.given.add((ref.slot, ref.generation))
+            assert (ref.slot, ref.generation) not in self.reserved_places, (
+                "generation repeated"
+            )
+            self.reserved_places.add((ref.slot, ref.generation))
         return refs
 
     @rule(target=written, ref=consumes(reserved), is_torn=booleans())
@@ -76,31 +78,33 @@
     def seal(self, ref):
         payload = kv_payload(ref.key)
         checksum = block_checksum(ref.key, ref.generation, payload)
-        asked = BlockRef(
+        sealed_ref = BlockRef(
             ref.key, "s1", ref.slot, ref.generation, len(payload), checksum, 1
         )
-        self.store.seal((asked,))
-        return asked
+        self.store.seal((sealed_ref,))
+        return sealed_ref
 
     @rule(ref=consumes(sealed))
     def publish_sealed(self, ref):
         self.publish(ref)
 
     def publish(self, ref):
-        self.note_published(self.store.publish((ref,)).refs)
+        self.record_published(self.store.publish((ref,)).refs)
 
     @rule(ref=consumes(written))
     def publish_without_a_seal(self, ref):
-        self.note_published(self.store.publish((ref,)).refs)
+        self.record_published(self.store.publish((ref,)).refs)
 
-    @rule(target=held, key=sampled_from(KEYS), is_torn=booleans(), listing=booleans())
-    def keep_block(self, key, is_torn, listing):
+    @rule(
+        target=described, key=sampled_from(KEYS), is_torn=booleans(), listing=booleans()
+    )
+    def write_block(self, key, is_torn, listing):
         """Do all steps of a write, so that the other rules often have blocks to use."""
-        self.keep(key, is_torn, listing)
-        return self.hold(key)
+        self.write_and_publish(key, is_torn, listing)
+        return self.fetch_descriptors(key)
 
-    def keep(self, key, is_torn, listing):
-        for ref in self.take_slot(key):
+    def write_and_publish(self, key, is_torn, listing):
+        for ref in self.reserve_slot(key):
             if listing:
                 self.list_garbage()
             self.write_bytes(ref, is_torn)
@@ -110,24 +114,26 @@
     def abandon(self, ref):
         self.store.abandon((ref,))
 
-    def note_published(self, refs):
+    def record_published(self, refs):
         for ref in refs:
             self.published[ref.slot, ref.generation] = ref
 
     # Readers may keep descriptors for any length of time.
 
-    @rule(target=held, key=sampled_from(KEYS))
+    @rule(target=described, key=sampled_from(KEYS))
     def describe(self, key):
-        return self.hold(key)
+        return self.fetch_descriptors(key)
 
-    def hold(self, key):
+    def fetch_descriptors(self, key):
         refs = self.store.describe((key,)).refs
-        self.known = list(dict.fromkeys((*self.known, *refs)))[-_KNOWN:]
+        self.recent_refs = list(dict.fromkeys((*self.recent_refs, *refs)))[
+            -_MAX_RECENT_REFS:
+        ]
         return multiple(*refs)
 
     @invariant()
     def every_descriptor_reads_its_own_block_or_misses(self):
-        for ref in self.known:
+        for ref in self.recent_refs:
             found = self.store.read(ref)
             if isinstance(found, bytes):
                 place = (ref.slot, ref.generation)
@@ -139,7 +145,7 @@
     @invariant()
     def an_engine_uses_no_wrong_bytes_of_a_store(self):
         faults = self.store.faults
-        for ref in self.known:
+        for ref in self.recent_refs:
             for faults.damaged_bytes in (False, True):
                 faults.wrong_bytes = not faults.damaged_bytes
                 found = self.store.read(ref)
@@ -169,12 +175,12 @@
             was_published = (ref.slot, ref.generation) in self.published
             done = self.store.free((ref,), state=state, fencing=fencing)
             if fencing < self.fencing:
-                was_refused = isinstance(done, Fenced) or not done.refs
-                assert was_refused, "a call of an earlier lease holder took effect"
+                was_rejected = isinstance(done, Fenced) or not done.refs
+                assert was_rejected, "a call of an earlier lease holder took effect"
             elif was_published:
                 assert not done.refs, "a published block was swept as garbage"
 
-    @rule(ref=held)
+    @rule(ref=described)
     def evict_held(self, ref):
         self.evict(ref)
 
@@ -184,11 +190,11 @@
             place = (freed.slot, freed.generation)
             assert self.published.pop(place, None), "another block was freed"
 
-    @rule(ref=held, key=sampled_from(KEYS))
+    @rule(ref=described, key=sampled_from(KEYS))
     def evict_and_fill(self, ref, key):
         """Free a block and write another one, which may reuse its slot."""
         self.evict(ref)
-        self.keep(key, False, False)
+        self.write_and_publish(key, False, False)
 
     @rule()
     @precondition(lambda self: len(self.published) > 1)
--- a/tests/kept/test_sweep.py
+++ b/tests/kept/test_sweep.py
@@ -11,7 +11,7 @@
     choose_victims,
 )
 from fireflyward.upstreams import BlockRef, block_checksum
-from tests.kept.kv_fixtures import KEYS, Held, KvWorld, ProcessCrashed, crash_at
+from tests.kept.kv_fixtures import KEYS, FakeLease, KvWorld, ProcessCrashed, crash_at
 
 
 class SweeperTests(unittest.IsolatedAsyncioTestCase):
@@ -34,7 +34,7 @@
     async def test_old_garbage_is_freed_and_a_recent_write_is_not(self):
         await self.begin_write(KEYS[0])
         await self.store.reserve((SlotRequest(KEYS[1], 1),))
-        result = await Sweeper(lambda: Held(1)).sweep(self.store)
+        result = await Sweeper(lambda: FakeLease(1)).sweep(self.store)
         self.assertEqual(result, Swept(1))
         self.assertEqual(self.model.used_slots(), 1)
 
@@ -54,7 +54,7 @@
                     if step is trigger:
                         self.model.raise_fence(2)
 
-                paused = Sweeper(lambda: Held(1), observe=next_holder)
+                paused = Sweeper(lambda: FakeLease(1), observe=next_holder)
                 self.assertIsInstance(await paused.sweep(self.store), NotSwept)
                 self.assertEqual(self.model.used_slots(), 1)
 
@@ -70,7 +70,7 @@
             if step is FreeStep.LISTED:
                 self.finish_write(ref)
 
-        result = await Sweeper(lambda: Held(1), observe=finish).sweep(self.store)
+        result = await Sweeper(lambda: FakeLease(1), observe=finish).sweep(self.store)
         self.assertEqual(result, Swept(0))
         self.assertEqual(len(self.model.describe(KEYS[:1]).refs), 1)
 
@@ -80,9 +80,9 @@
                 self.setUp()
                 await self.begin_write(KEYS[0])
                 with self.assertRaises(ProcessCrashed):
-                    sweeper = Sweeper(lambda: Held(1), observe=crash_at(step))
+                    sweeper = Sweeper(lambda: FakeLease(1), observe=crash_at(step))
                     await sweeper.sweep(self.store)
-                await Sweeper(lambda: Held(2)).sweep(self.store)
+                await Sweeper(lambda: FakeLease(2)).sweep(self.store)
                 self.assertEqual(self.model.used_slots(), 0)
 
     async def test_sweep_without_the_lease_is_aborted(self):
@@ -98,7 +98,7 @@
         for key in keys[:2]:
             (ref,) = self.model.describe((key,)).refs
             self.model.note_read(self.world.clock.now_ms(), ref)
-        result = await Sweeper(lambda: Held(1)).sweep(self.store)
+        result = await Sweeper(lambda: FakeLease(1)).sweep(self.store)
         self.assertEqual(result, Swept(0, 2))
         evicted_keys = [key for key in keys if not self.model.describe((key,)).refs]
         self.assertEqual(evicted_keys, keys[2:4])
--- a/tests/runs/test_records.py
+++ b/tests/runs/test_records.py
@@ -64,7 +64,7 @@
         self.assertTrue(task.done())
         return task.result()
 
-    async def test_of_two_claims_one_is_permitted(self):
+    async def test_only_one_of_two_claims_is_permitted(self):
         first, second = self.record(0), self.record(1)
         results = await self.await_within(
             asyncio.gather(first.claim("r"), second.claim("s"))
--- a/tests/runs/test_run.py
+++ b/tests/runs/test_run.py
@@ -45,8 +45,8 @@
         self.run_.decide(0, Dispatching(start.attempt))
         return start.attempt
 
-    def send_event(self, attempt, send_event, now_ms=0):
-        return self.run_.decide(now_ms, AttemptEvent(attempt, send_event))
+    def send_event(self, attempt, event, now_ms=0):
+        return self.run_.decide(now_ms, AttemptEvent(attempt, event))
 
     def texts(self, actions):
         return [action.text for action in actions if isinstance(action, Deliver)]
@@ -257,7 +257,7 @@
 
 
 class RetryTests(RunTests):
-    def test_no_retry_past_the_deadline(self):
+    def test_run_is_not_retried_after_its_deadline(self):
         self.begin_run()
         late_ms = DEADLINE_MS
         (end,) = self.send_event(self.place("a"), Broken(False, "refused"), late_ms)
--- a/tests/runs/test_task.py
+++ b/tests/runs/test_task.py
@@ -100,7 +100,7 @@
         await reader
         self.assertEqual(pending[:-1], [False] * (TOKENS - 1))
 
-    async def test_plain_run(self):
+    async def test_run_without_faults(self):
         await self.run_for(self.make(), 500)
         self.assert_complete()
 
@@ -161,7 +161,7 @@
         await self.run_for(self.make(), 1_000)
         self.assert_complete()
 
-    async def test_deadline_ends_a_run_in_the_middle(self):
+    async def test_deadline_ends_a_started_run(self):
         await self.run_for(self.make(deadline_ms=50), 60)
         self.assertEqual(self.outcome.reason, Reason.DEADLINE)
         self.assertIsInstance(self.outcome, Unknown)
@@ -172,7 +172,7 @@
         await self.clock.advance_ms(1)
         self.assertEqual(self.a.cancelled_run_ids, ["r1"])
 
-    async def test_no_replica_is_not_run(self):
+    async def test_run_without_a_replica_is_not_run(self):
         self.router.set_replicas([])
         await self.run_for(self.make(), 10)
         self.assertIsInstance(self.outcome, NotRun)
