--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -6,7 +6,7 @@
 
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, ReplicaEntry
-from fireflyward.feeds import CARRIED_MS, Followed, TableRow
+from fireflyward.feeds import RETENTION_MS, TableRow, TableUpdate
 from fireflyward.forwarding import WeightVersions
 from fireflyward.http1 import ConnectionPool
 from fireflyward.platform import (
@@ -51,7 +51,7 @@
         self._carried: set[str] = set()
         self._carried_until_ms = 0
 
-    def on_news(self, news: Followed) -> None:
+    def on_news(self, news: TableUpdate) -> None:
         """Put newer rows in force and note how fresh the configuration is."""
         for row in news.rows:
             if not row.is_deleted:
@@ -66,20 +66,20 @@
         elif row.key.startswith(WEIGHTS_PREFIX):
             self._take_target(row, at_start=at_start)
 
-    def _take_evacuations(self, news: Followed) -> None:
+    def _take_evacuations(self, news: TableUpdate) -> None:
         """Stop or resume sending to failure domains as their rows come and go."""
         before = self._directory.evacuated
         now_ms = self._clock.now_ms()
         if news.is_new_era:
             self._carried = set(before)
-            self._carried_until_ms = now_ms + CARRIED_MS
+            self._carried_until_ms = now_ms + RETENTION_MS
         # Of a whole table, what has no row any more was taken back unseen.
-        evacuated = self._carried & before if news.is_whole else set(before)
+        evacuated = self._carried & before if news.is_snapshot else set(before)
         for row in news.rows:
             if not row.key.startswith(EVACUATION_PREFIX):
                 continue
             domain = row.key.removeprefix(EVACUATION_PREFIX)
-            if row.is_copied:
+            if row.is_restored:
                 if domain in before:
                     evacuated.add(domain)
                     self._carried.discard(domain)
@@ -89,7 +89,7 @@
                 self._carried.discard(domain)
             else:
                 self._carried.add(domain)
-                self._carried_until_ms = now_ms + CARRIED_MS
+                self._carried_until_ms = now_ms + RETENTION_MS
             if row.is_deleted:
                 continue
             if decode_evacuation(domain, row.value) is None:
@@ -146,13 +146,13 @@
         self._outage_end_ms: int | None = None
         self.is_known = False
 
-    def on_news(self, news: Followed) -> None:
+    def on_news(self, news: TableUpdate) -> None:
         """Bring the directory up to date."""
         now_ms = self._clock.now_ms()
-        if news.away_ms or news.is_new_era:
+        if news.unavailable_ms or news.is_new_era:
             self._outage_end_ms = now_ms
-        found = _sorted_out(row for row in news.rows if not row.is_copied)
-        copied = _sorted_out(row for row in news.rows if row.is_copied).entries
+        found = _sorted_out(row for row in news.rows if not row.is_restored)
+        copied = _sorted_out(row for row in news.rows if row.is_restored).entries
         if news.is_new_era:
             # This node may not have seen the row of before the replica said so.
             copied += [entry for entry in found.entries if self._unsays_leaving(entry)]
@@ -160,7 +160,7 @@
             self._outage_end_ms is not None
             and now_ms - self._outage_end_ms < _AFTER_OUTAGE_MS
         )
-        if news.is_whole:
+        if news.is_snapshot:
             gone = self._directory.on_full_read(
                 now_ms,
                 found.entries,
--- a/fireflyward/quarantine/_rows.py
+++ b/fireflyward/quarantine/_rows.py
@@ -13,7 +13,7 @@
     Uncertain,
 )
 from fireflyward.clock import Clock
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.platform import StoreClient
 
 from ._messages import SuspectRow, Trial, TrialRow
@@ -64,11 +64,11 @@
         self._era = 0
         self._trial_until_ms = 0
 
-    def on_table_update(self, update: Followed) -> list[str]:
+    def on_table_update(self, update: TableUpdate) -> list[str]:
         """Apply changes of the table; return the suspects whose rows to write again."""
         self._era = max(self._era, update.position.era)
         to_rewrite = []
-        if update.is_whole:
+        if update.is_snapshot:
             listed = {row.key for row in update.rows}
             for key in self._position_by_key.keys() - listed:
                 # A read from before the row was written does not show that it is gone.
@@ -85,7 +85,7 @@
                 continue
             if row.is_deleted:
                 self._on_removed(row.key)
-            elif row.is_copied:
+            elif row.is_restored:
                 self._position_by_key[row.key] = row.position
                 to_rewrite += self._rows_to_rewrite(row.key)
             else:
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from fireflyward.clock import Clock, within_ms
-from fireflyward.feeds import Followed
+from fireflyward.feeds import TableUpdate
 from fireflyward.http1 import ConnectionPool, NotConnected
 from fireflyward.peers import Address, PeerLink
 from fireflyward.platform import StoreClient
@@ -97,7 +97,7 @@
         """Send and receive announcements over a link from now on."""
         self._announcements.use(link)
 
-    def on_table_update(self, update: Followed) -> None:
+    def on_table_update(self, update: TableUpdate) -> None:
         """Apply changes of the table."""
         to_rewrite = self._rows.on_table_update(update)
         if to_rewrite:
--- a/fireflyward/runs/_sweep.py
+++ b/fireflyward/runs/_sweep.py
@@ -1,4 +1,4 @@
-"""How records grow old and are deleted, by whichever nodes live."""
+"""Deletes expired records; every node takes part, without coordination."""
 
 import logging
 from dataclasses import dataclass
@@ -21,14 +21,14 @@
 log = logging.getLogger("fireflyward.runs")
 
 PERIOD_MS = 3_600_000
-KEPT_PERIODS = 24
-LOOK_MS = 60_000
-_PACE_MS = 50
+RETAINED_PERIODS = 24
+SWEEP_INTERVAL_MS = 60_000
+_PAUSE_BETWEEN_SHARDS_MS = 50
 _CURSOR_KEY = "runs/swept"
 
 
 class SweepStep(Step):
-    """Points of the sweep."""
+    """Steps of the sweep."""
 
     PERIOD_ADVANCING = "sweep: period advancing"
     BATCH_DELETING = "sweep: batch deleting"
@@ -38,15 +38,15 @@
 class PeriodWatch:
     """Decides when the period may be advanced.
 
-    A node advances it after it has seen the same row for a whole period by its own
-    monotonic clock, counted from after it read the row. No wall clock is compared,
-    so no jump of one can make a record disappear early; if no node lives long
-    enough, records only live longer.
+    A node advances the period after it has read the same row for a full period of its
+    own monotonic clock, counted from its first read. Wall clocks are not compared, so
+    a jump of a wall clock cannot delete a record early. If no node runs long enough,
+    records are only kept longer.
 
     >>> watch = PeriodWatch(100)
-    >>> watch.see(0, Period(7, 3)), watch.see(99, Period(7, 3))
+    >>> watch.observe_row(0, Period(7, 3)), watch.observe_row(99, Period(7, 3))
     (False, False)
-    >>> watch.see(100, Period(7, 3))
+    >>> watch.observe_row(100, Period(7, 3))
     True
     """
 
@@ -57,8 +57,8 @@
         self._period: Period | None = None
         self._since_ms = 0
 
-    def see(self, now_ms: int, period: Period) -> bool:
-        """Take what was read; return whether this node may advance it now."""
+    def observe_row(self, now_ms: int, period: Period) -> bool:
+        """Record the row that was read; return whether this node may now advance it."""
         if period != self._period:
             self._period = period
             self._since_ms = now_ms
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cursor:
-    """The shard of the period that is swept next, and its row's version."""
+    """The period and shard to sweep next, and the version of the cursor's row."""
 
     period: int = 0
     shard: int = 0
@@ -81,12 +81,12 @@
 
 
 class Sweeper:
-    """Advances the period and deletes the records of those that are over.
+    """Advances the period and deletes the records of expired periods.
 
-    Every node runs one. They need no leader: the period and the cursor move only
-    from the version that was read, and a record is deleted only at the version
-    that was read and found old, so two nodes that sweep the same shard do work
-    twice and never harm.
+    Every node runs a sweeper, and no leader is needed. The period and the cursor
+    advance only from the version that was read, and a record is deleted only at the
+    version at which it was found expired. Two nodes that sweep the same shard
+    duplicate work but do no damage.
     """
 
     def __init__(
@@ -95,26 +95,26 @@
         clock: Clock,
         *,
         period_ms: int = PERIOD_MS,
-        kept_periods: int = KEPT_PERIODS,
+        retained_periods: int = RETAINED_PERIODS,
         observe: StepObserver = ignore_step,
     ) -> None:
         self._table = table
         self._clock = clock
-        self._kept_periods = kept_periods
+        self._retained_periods = retained_periods
         self._observe = observe
-        self._watch = PeriodWatch(period_ms)
+        self._period_watch = PeriodWatch(period_ms)
 
-    async def look(self) -> int:
-        """Look once and do what is due; return how many batches were deleted."""
+    async def poll(self) -> int:
+        """Advance the period if it is due, then sweep; return how many batches went."""
         row = await self._table.get(PERIOD_KEY)
         if isinstance(row, Unavailable):
             return 0
         period = period_of(row)
-        if self._watch.see(self._clock.now_ms(), period):
-            await self._advance(period)
-        return await self._sweep(period.number - self._kept_periods)
+        if self._period_watch.observe_row(self._clock.now_ms(), period):
+            await self._advance_period(period)
+        return await self._sweep(period.number - self._retained_periods)
 
-    async def _advance(self, period: Period) -> None:
+    async def _advance_period(self, period: Period) -> None:
         self._observe(SweepStep.PERIOD_ADVANCING)
         result = await self._table.commit(
             expected={PERIOD_KEY: period.version},
@@ -122,20 +122,20 @@
         )
         if isinstance(result, Committed):
             advanced = Period(period.number + 1, period.version + 1)
-            self._watch.see(self._clock.now_ms(), advanced)
+            self._period_watch.observe_row(self._clock.now_ms(), advanced)
 
-    async def _sweep(self, before: int) -> int:
-        """Sweep shards from the cursor on, until the period ``before``."""
+    async def _sweep(self, end_period: int) -> int:
+        """Sweep shards from the cursor up to, but without, period ``end_period``."""
         deleted = 0
         while True:
             cursor = await self._read_cursor()
-            if cursor is None or cursor.period >= before:
+            if cursor is None or cursor.period >= end_period:
                 return deleted
-            done = await self._sweep_shard(cursor)
-            if done is None or not await self._move(cursor):
+            deleted_in_shard = await self._sweep_shard(cursor)
+            if deleted_in_shard is None or not await self._advance_cursor(cursor):
                 return deleted
-            deleted += done
-            await self._clock.sleep_ms(_PACE_MS)
+            deleted += deleted_in_shard
+            await self._clock.sleep_ms(_PAUSE_BETWEEN_SHARDS_MS)
 
     async def _sweep_shard(self, cursor: Cursor) -> int | None:
         rows = await self._table.scan(shard_prefix(cursor.period, cursor.shard))
@@ -147,9 +147,9 @@
         return len(rows)
 
     async def _delete_batch(self, batch: Row, period: int) -> bool:
-        """Delete a batch's row together with those of its records that are old.
+        """Delete a batch's marker together with its expired records.
 
-        A record that was claimed again, after a request that was not run, belongs
+        A record that was claimed again, after its first request was not run, belongs
         to a later batch and stays.
         """
         self._observe(SweepStep.BATCH_DELETING)
@@ -174,7 +174,7 @@
         period, shard = msgspec.json.decode(row.value, type=tuple[int, int])
         return Cursor(period, shard, row.version)
 
-    async def _move(self, cursor: Cursor) -> bool:
+    async def _advance_cursor(self, cursor: Cursor) -> bool:
         self._observe(SweepStep.CURSOR_MOVING)
         result = await self._table.commit(
             expected={_CURSOR_KEY: cursor.version},
@@ -184,10 +184,10 @@
 
 
 def _is_old(row: Row, period: int) -> bool:
-    """Tell whether a record belongs to ``period`` or an earlier one.
+    """Return whether a record belongs to ``period`` or an earlier one.
 
-    Batches list the rows that they wrote; what cannot be read as a record is left
-    alone rather than deleted by mistake.
+    A marker lists the rows of its batch. A row that cannot be decoded as a record is
+    not deleted, since that could be a mistake.
     """
     try:
         return msgspec.json.decode(row.value, type=Record).period <= period
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -5,7 +5,7 @@
 import unittest
 
 from fireflyward.clock import ManualClock
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.fleet._views import OperatorView, ReplicaView
 from fireflyward.forwarding import WeightVersions
 from fireflyward.replicas import ReplicaDirectory
@@ -28,7 +28,7 @@
         )
 
     def take(self, *rows, is_whole):
-        self.view.on_news(Followed(rows, is_whole, 0))
+        self.view.on_news(TableUpdate(rows, is_whole, 0))
         return self.directory.evacuated
 
     def row(self, domain, *, is_deleted=False):
@@ -63,12 +63,12 @@
     """The store comes back from an older copy of the operator's table."""
 
     def come_back(self, *rows):
-        news = Followed(rows, True, 0, position=at(9, 2), is_new_era=True)
+        news = TableUpdate(rows, True, 0, position=at(9, 2), is_new_era=True)
         self.view.on_news(news)
         return self.directory.evacuated
 
     def copied(self, domain):
-        return TableRow(f"evacuate/{domain}", b"{}", at(1, 2), is_copied=True)
+        return TableRow(f"evacuate/{domain}", b"{}", at(1, 2), is_restored=True)
 
     def test_a_copy_that_lacks_the_row_takes_nothing_back(self):
         self.take(self.row("a"), is_whole=False)
@@ -148,14 +148,14 @@
             on_gone=self.gone.append,
         )
 
-    def row(self, state, version, era, *, is_copied=False):
+    def row(self, state, version, era, *, is_restored=False):
         entry = ReplicaStandIn("r1").entry("s", state=state)
         entry = json.loads(entry) | {"address": "10.0.0.1:80"}
         value = json.dumps(entry).encode()
-        return TableRow("r1", value, at(version, era), is_copied=is_copied)
+        return TableRow("r1", value, at(version, era), is_restored=is_restored)
 
     def read(self, *rows, is_new_era=True):
-        self.view.on_news(Followed(rows, True, 0, is_new_era=is_new_era))
+        self.view.on_news(TableUpdate(rows, True, 0, is_new_era=is_new_era))
 
     @property
     def listed(self):
@@ -169,7 +169,7 @@
 
     def test_a_row_of_the_copy_does_not_either(self):
         self.read(self.row("draining", 45, 1), is_new_era=False)
-        self.read(self.row("ready", 30, 2, is_copied=True))
+        self.read(self.row("ready", 30, 2, is_restored=True))
         self.assertEqual(self.listed, [])
 
     def test_one_that_leaves_in_the_new_era_is_believed(self):
--- a/tests/quarantine/test_older_snapshot.py
+++ b/tests/quarantine/test_older_snapshot.py
@@ -3,7 +3,7 @@
 import json
 from dataclasses import replace
 
-from fireflyward.feeds import Followed
+from fireflyward.feeds import TableUpdate
 from fireflyward.quarantine import Free, Held, Trial
 from tests.positions import at
 
@@ -21,10 +21,10 @@
             for row in row_by_key.values()
         ]
         self.table.row_by_key = {row.key: row for row in rows}
-        restored = tuple(replace(row, is_copied=True) for row in rows)
+        restored = tuple(replace(row, is_restored=True) for row in rows)
         position = self.table.position
         node.quarantine.on_table_update(
-            Followed(restored, True, 0, position=position, is_new_era=True)
+            TableUpdate(restored, True, 0, position=position, is_new_era=True)
         )
 
     async def test_a_request_whose_row_is_lost_is_still_held(self):
