--- a/benchmarks/entry_cost.py
+++ b/benchmarks/entry_cost.py
@@ -37,13 +37,13 @@
     )
     wait_for_port(bare_port)
     node, node_port, other_processes = start_node(engine_url)
-    process_by_way = {"direct": engine, "bare": bare_proxy, "node": node}
-    port_by_way = {"direct": engine_port, "bare": bare_port, "node": node_port}
+    process_by_path = {"direct": engine, "bare": bare_proxy, "node": node}
+    port_by_path = {"direct": engine_port, "bare": bare_port, "node": node_port}
     rows = []
     try:
         for streams in options.streams:
-            for way, port in port_by_way.items():
-                row = _measure(way, process_by_way[way], port, streams, options)
+            for path, port in port_by_path.items():
+                row = _measure(path, process_by_path[path], port, streams, options)
                 rows.append(row)
                 if not options.json:
                     print(_format_row(row), flush=True)
@@ -56,7 +56,7 @@
     return 0
 
 
-def _measure(way, process, port, streams, options) -> dict:
+def _measure(path, process, port, streams, options) -> dict:
     """Measure with several caller processes, so that no caller is the bottleneck."""
     url = f"http://127.0.0.1:{port}/v1/completions"
     count = min(options.callers, streams)
@@ -78,7 +78,7 @@
     cpu_s = process.cpu_s() - cpu_before
     sent = options.requests // count * count
     return {
-        "way": way,
+        "way": path,
         "streams": streams,
         "per_s": sum(result["per_s"] for result in results),
         "p50_ms": max(result["p50_ms"] for result in results),
@@ -99,7 +99,7 @@
 
 def _format_row(row: dict) -> str:
     return (
-        f"{row['way']:<7} {row['streams']:>4} streams {row['per_s']:>8.0f}/s "
+        f"{row['path']:<7} {row['streams']:>4} streams {row['per_s']:>8.0f}/s "
         f"p50 {row['p50_ms']:>7.2f} ms  p99 {row['p99_ms']:>7.2f} ms  "
         f"cpu {row['cpu_us_per_request']:>6.0f} µs a request "
         f"{row['cpu_us_per_token']:>5.1f} µs a token  {row['resident_mb']:>5.1f} MB"
--- a/fireflyward/bench/_limiting.py
+++ b/fireflyward/bench/_limiting.py
@@ -25,7 +25,7 @@
     queued_ms: list[float] = field(default_factory=list)
 
     @property
-    def immediate(self) -> int:
+    def immediate_count(self) -> int:
         return sum(1 for queued_ms in self.queued_ms if queued_ms == 0)
 
 
@@ -38,7 +38,7 @@
         super().__init__(shape, make_router, seed=seed, chunked=chunked)
         self.admissions = [Admission() for _ in shape.node_domains]
         self.rejections = Rejections()
-        self.first_token_by_account: dict[str, list[float]] = {}
+        self.first_token_ms_by_account: dict[str, list[float]] = {}
         self._queued_by_ticket: dict[int, tuple[Request, str]] = {}
         self._ticket_by_run: dict[str, Ticket] = {}
         self._request_by_run: dict[str, Request] = {}
@@ -77,7 +77,7 @@
     def _on_first_token(self, now_ms: float, node: int, name: str, run_id: str) -> None:
         super()._on_first_token(now_ms, node, name, run_id)
         request = self._request_by_run[run_id]
-        first_token_ms = self.first_token_by_account.setdefault(request.account, [])
+        first_token_ms = self.first_token_ms_by_account.setdefault(request.account, [])
         first_token_ms.append(now_ms - request.at_ms)
         queueing_delay_ms = self._balancers[node].pop_queueing_delay_ms(run_id)
         ticket = self._ticket_by_run[run_id]
--- a/fireflyward/bench/_overload.py
+++ b/fireflyward/bench/_overload.py
@@ -88,6 +88,6 @@
 ) -> float:
     simulation.run(requests)
     first_token_ms = sorted(
-        simulation.first_token_by_account["small"][_WARM_UP_REQUESTS:]
+        simulation.first_token_ms_by_account["small"][_WARM_UP_REQUESTS:]
     )
     return first_token_ms[int(0.95 * len(first_token_ms))]
--- a/fireflyward/bench/measures/bundle_cost.py
+++ b/fireflyward/bench/measures/bundle_cost.py
@@ -32,7 +32,7 @@
 
 
 def _run() -> list[Figure]:
-    baseline_s = _best_of(lambda: hashlib.sha256(_MEBIBYTE).digest())
+    baseline_s = _fastest_s(lambda: hashlib.sha256(_MEBIBYTE).digest())
     figures = []
     for accounts in (100, 1_000, 5_000, 19_000):
         figures += _time_figures(accounts, baseline_s) + _memory_figures(accounts)
@@ -50,33 +50,33 @@
     for name in names:
         follower.on_peer_number(0, name, 1)
     times_ms = iter(range(0, 1 << 30, 100))
-    tick_s = _best_of(lambda: follower.on_tick(next(times_ms), names))
-    observe_s = _best_of(lambda: tracker.observe(0, 1, observations))
-    core = (tick_s * _TICKS_PER_SECOND + observe_s) * 100
+    tick_s = _fastest_s(lambda: follower.on_tick(next(times_ms), names))
+    observe_s = _fastest_s(lambda: tracker.observe(0, 1, observations))
+    core_percent = (tick_s * _TICKS_PER_SECOND + observe_s) * 100
     return [
         Figure(f"bundle_cost.nodes_{_NODES}.tick_us", tick_s * 1e6, "µs"),
         Figure(f"bundle_cost.nodes_{_NODES}.watch_us", observe_s * 1e6, "µs"),
-        Figure(f"bundle_cost.nodes_{_NODES}.core_percent", core, "%"),
+        Figure(f"bundle_cost.nodes_{_NODES}.core_percent", core_percent, "%"),
     ]
 
 
-def _best_of(function: Callable[[], Any]) -> float:
-    times = []
+def _fastest_s(function: Callable[[], Any]) -> float:
+    times_s = []
     for _ in range(_REPEATS):
         began_s = time.perf_counter()
         function()
-        times.append(time.perf_counter() - began_s)
-    return min(times)
+        times_s.append(time.perf_counter() - began_s)
+    return min(times_s)
 
 
 def _time_figures(accounts: int, baseline_s: float) -> list[Figure]:
     base = first_state(accounts)
     following = make_bundle(accounts, 2, weight_of_first=7)
     signed = sign_bundle(following, author=AUTHOR, approver=APPROVER, base=base)
-    verify_s = _best_of(lambda: verify_change(signed, base, deployment=DEPLOYMENT))
+    verify_s = _fastest_s(lambda: verify_change(signed, base, deployment=DEPLOYMENT))
     holder = BundleHolder()
     holder.update(base.bundle)
-    lookup_s = _best_of(lambda: _look_up(holder, accounts)) / _LOOKUPS
+    lookup_s = _fastest_s(lambda: _look_up(holder, accounts)) / _LOOKUPS
     prefix = f"bundle_cost.accounts_{accounts}"
     return [
         Figure(f"{prefix}.verify_change_ms", verify_s * 1_000, "ms"),
--- a/fireflyward/bench/measures/bundle_spread.py
+++ b/fireflyward/bench/measures/bundle_spread.py
@@ -1,8 +1,8 @@
 """Measures how long it takes until an accepted bundle is in force at every node.
 
-The ``BundleFollower`` objects of all nodes run on one faked clock. Messages between
-them arrive after fixed delays or are lost at a fixed rate. The platform and the
-network are not modelled beyond that.
+The ``BundleFollower`` objects of all nodes run on one faked clock. Reads and
+announcements arrive after fixed delays, and a fixed share of the announcements is
+lost. The platform and the network are not modelled beyond that.
 """
 
 import heapq
@@ -29,7 +29,7 @@
 _STORE_READ_MS = 40
 _VERIFY_MS = 5
 _SETTLING_MS = 10_000
-_WINDOW_MS = 3_700
+_BETWEEN_CHANGES_MS = 3_700
 _OUTAGE_MS = 60_000
 _REGIONS = 3
 _ACCEPTANCES = 3
@@ -72,19 +72,19 @@
 
     def run(self, duration_ms: int) -> None:
         """Run all events that are due within ``duration_ms``."""
-        ends_ms = self.now_ms + duration_ms
-        while self._events and self._events[0][0] <= ends_ms:
-            self.now_ms, _, (deliver, arguments) = heapq.heappop(self._events)
-            deliver(*arguments)
-        self.now_ms = ends_ms
+        until_ms = self.now_ms + duration_ms
+        while self._events and self._events[0][0] <= until_ms:
+            self.now_ms, _, (handler, arguments) = heapq.heappop(self._events)
+            handler(*arguments)
+        self.now_ms = until_ms
 
     def run_until_in_force(self, names: list[str], limit_ms: int) -> int:
         """Return the time until all of ``names`` serve under the head's number."""
         began_ms = self.now_ms
         pending = set(names)
         while self._events and self.now_ms - began_ms < limit_ms:
-            self.now_ms, _, (deliver, arguments) = heapq.heappop(self._events)
-            deliver(*arguments)
+            self.now_ms, _, (handler, arguments) = heapq.heappop(self._events)
+            handler(*arguments)
             if self._has_head(arguments[0]):
                 pending.discard(arguments[0])
             if not pending:
@@ -97,8 +97,8 @@
     def _has_head(self, name: str) -> bool:
         return self.follower_by_name[name].number >= self.head_number
 
-    def _schedule(self, after_ms: int, deliver: Any, *arguments: Any) -> None:
-        event = (self.now_ms + after_ms, next(self._sequence), (deliver, arguments))
+    def _schedule(self, after_ms: int, handler: Any, *arguments: Any) -> None:
+        event = (self.now_ms + after_ms, next(self._sequence), (handler, arguments))
         heapq.heappush(self._events, event)
 
     def _tick(self, name: str) -> None:
@@ -190,7 +190,7 @@
         spread.head_number += 1
         took_ms = spread.run_until_in_force(list(spread.follower_by_name), 60_000)
         in_force_ms = max(in_force_ms, took_ms)
-        spread.run(_WINDOW_MS)
+        spread.run(_BETWEEN_CHANGES_MS)
     counts, elapsed_s = spread.counts, (spread.now_ms - began_ms) / 1_000
     without_announcements = SpreadSimulation(nodes, domains, seed=nodes, lost_share=1.0)
     without_announcements.run(_SETTLING_MS)
--- a/fireflyward/bench/measures/kept_names.py
+++ b/fireflyward/bench/measures/kept_names.py
@@ -16,8 +16,8 @@
 def run() -> list[Figure]:
     """Return the time per token and the ratio to SHA-256 over the same bytes."""
     names = BlockNames(b"k" * 32)
-    naming_s = _best_s(lambda: names.of_prompt("a", "m", "v1", "", _PROMPT))
-    hashing_s = _best_s(lambda: hashlib.sha256(_PROMPT.encode()).digest())
+    naming_s = _fastest_s(lambda: names.of_prompt("a", "m", "v1", "", _PROMPT))
+    hashing_s = _fastest_s(lambda: hashlib.sha256(_PROMPT.encode()).digest())
     per_token_ns = naming_s * _NANOSECONDS_PER_SECOND / count_tokens(_PROMPT)
     return [
         Figure("kept_names.ns_per_token", per_token_ns, "ns"),
@@ -25,13 +25,13 @@
     ]
 
 
-def _best_s(function: Callable[[], object]) -> float:
-    times = []
+def _fastest_s(function: Callable[[], object]) -> float:
+    times_s = []
     for _ in range(_ROUNDS):
         began_s = time.perf_counter()
         function()
-        times.append(time.perf_counter() - began_s)
-    return min(times)
+        times_s.append(time.perf_counter() - began_s)
+    return min(times_s)
 
 
 BENCH = Bench("kept_names", run, is_count=False)
--- a/fireflyward/bench/measures/kept_shards.py
+++ b/fireflyward/bench/measures/kept_shards.py
@@ -40,7 +40,7 @@
 
 
 def _moved(before: dict[int, set[str]], remaining: tuple[Member, ...]) -> float:
-    """Return the share of all copies that the remaining nodes have to read."""
+    """Return the share of all copies that the remaining nodes must read then."""
     after = _holders_by_shard(remaining)
     gained = sum(len(after[shard] - before[shard]) for shard in ALL_SHARDS)
     return gained / (_HOLDERS_PER_SHARD * len(ALL_SHARDS))
