--- a/benchmarks/entry_cost.py
+++ b/benchmarks/entry_cost.py
@@ -99,7 +99,7 @@
 
 def _format_row(row: dict) -> str:
     return (
-        f"{row['path']:<7} {row['streams']:>4} streams {row['per_s']:>8.0f}/s "
+        f"{row['way']:<7} {row['streams']:>4} streams {row['per_s']:>8.0f}/s "
         f"p50 {row['p50_ms']:>7.2f} ms  p99 {row['p99_ms']:>7.2f} ms  "
         f"cpu {row['cpu_us_per_request']:>6.0f} µs a request "
         f"{row['cpu_us_per_token']:>5.1f} µs a token  {row['resident_mb']:>5.1f} MB"
