--- a/fireflyward/checker/__init__.py
+++ b/fireflyward/checker/__init__.py
@@ -3,7 +3,7 @@
 from ._checker import Checker
 from ._observations import (
     AttemptEnded,
-    AttemptResult,
+    AttemptStatus,
     BlockFreed,
     BlockRead,
     BlockSealed,
@@ -30,7 +30,7 @@
     "CallerDisconnected",
     "Checker",
     "AttemptEnded",
-    "AttemptResult",
+    "AttemptStatus",
     "NodeLost",
     "Observation",
     "Promise",
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -33,11 +33,11 @@
     Without ``observes_platform`` the checker receives no ``BundleAccepted``. For
     bundles it then only checks that the number of each node never decreases.
 
-    >>> from fireflyward.checker import AttemptEnded, AttemptResult
+    >>> from fireflyward.checker import AttemptEnded, AttemptStatus
     >>> from fireflyward.checker import Checker, RequestSent
     >>> checker = Checker()
     >>> checker.observe(RequestSent(0, "r", "a", ("yes",)))
-    >>> checker.observe(AttemptEnded(9, "r", AttemptResult.ANSWERED, "yes"))
+    >>> checker.observe(AttemptEnded(9, "r", AttemptStatus.ANSWERED, "yes"))
     >>> checker.finish(10)
     ()
     """
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 
-class AttemptResult(enum.StrEnum):
+class AttemptStatus(enum.StrEnum):
     """The result of an attempt as its caller received it."""
 
     ANSWERED = "answered"
@@ -37,7 +37,7 @@
 class AttemptEnded:
     """An attempt ended for its caller, who had received ``text`` up to that time.
 
-    ``AttemptResult.CUT`` means that the connection was lost without an outcome.
+    ``AttemptStatus.CUT`` means that the connection was lost without an outcome.
     ``node`` is the node that the caller was connected to. ``is_final`` is false when
     the caller is going to retry. ``begun_ms`` is when the attempt began, or -1 if
     that is not known.
@@ -45,7 +45,7 @@
 
     at_ms: int
     request: str
-    result: AttemptResult
+    result: AttemptStatus
     text: str = ""
     run_id: str = ""
     node: str = ""
--- a/fireflyward/demo/_demo.py
+++ b/fireflyward/demo/_demo.py
@@ -6,7 +6,7 @@
 import aiohttp
 import msgspec
 
-from fireflyward.checker import AttemptResult, Checker
+from fireflyward.checker import AttemptStatus, Checker
 from fireflyward.clock import Clock
 from fireflyward.load import LoadCaller, LoadPlan, LoadRequest, Way, make_report
 from fireflyward.standins import EngineCosts
@@ -56,7 +56,7 @@
         self._deployment = deployment
         self._clock = Clock()
         self._checker = Checker(observes_platform=False)
-        self._count_by_ending: Counter[AttemptResult | None] = Counter()
+        self._count_by_ending: Counter[AttemptStatus | None] = Counter()
         self._plan = LoadPlan(0, 0, KEY_BY_ACCOUNT)
         self._caller = LoadCaller(
             session,
@@ -102,8 +102,8 @@
         """Put the figures together from what callers, engines and service saw."""
         load = make_report(
             requests=self._count_by_ending.total(),
-            answers=self._count_by_ending[AttemptResult.ANSWERED],
-            unknown=self._count_by_ending[AttemptResult.UNKNOWN],
+            answers=self._count_by_ending[AttemptStatus.ANSWERED],
+            unknown=self._count_by_ending[AttemptStatus.UNKNOWN],
             retries=self._caller.retries,
             seconds=0.0,
             first_token_ms=self._caller.first_token_ms,
--- a/fireflyward/load/_caller.py
+++ b/fireflyward/load/_caller.py
@@ -9,7 +9,7 @@
 
 from fireflyward.checker import (
     AttemptEnded,
-    AttemptResult,
+    AttemptStatus,
     BundleServed,
     Checker,
     RequestSent,
@@ -51,7 +51,7 @@
     An attempt that found nobody at the address took no request and cut none.
     """
 
-    ending: AttemptResult = AttemptResult.CUT
+    ending: AttemptStatus = AttemptStatus.CUT
     text: str = ""
     run_id: str = ""
     bundle: int = 0
@@ -81,7 +81,7 @@
     retries: int = 0
     first_token_ms: list[int] = field(default_factory=list)
 
-    async def ask(self, request: LoadRequest, turn: int = 0) -> AttemptResult | None:
+    async def ask(self, request: LoadRequest, turn: int = 0) -> AttemptStatus | None:
         """Ask until an outcome forbids asking again; None when patience ended."""
         begun_ms = self.clock.now_ms()
         is_call = request.way is Way.CALL
@@ -95,9 +95,9 @@
             url = self.urls[attempt % len(self.urls)]
             received = await self._attempt(url, request, received)
             is_late = self.clock.now_ms() - begun_ms > self.patience_ms
-            unknown += received.ending is AttemptResult.UNKNOWN
+            unknown += received.ending is AttemptStatus.UNKNOWN
             gives_up = is_call and (is_late or unknown >= _MOST_UNKNOWN)
-            is_over = received.ending is AttemptResult.ANSWERED or gives_up
+            is_over = received.ending is AttemptStatus.ANSWERED or gives_up
             if received.is_connected or is_over:
                 self._see(url, request, received, attempt_ms, is_over)
             if received.first_ms and attempt == turn:
@@ -136,7 +136,7 @@
     ) -> Received:
         """Send one HTTP request and read its response as far as it comes."""
         received = Received()
-        if request.way is Way.STREAM and before.ending is AttemptResult.CUT:
+        if request.way is Way.STREAM and before.ending is AttemptStatus.CUT:
             received.text, received.event_id = before.text, before.event_id
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=_CONNECT_LIMIT_S, sock_read=_SILENCE_LIMIT_S
@@ -153,7 +153,7 @@
         except aiohttp.ClientConnectorError:
             received.is_connected = False
         except (aiohttp.ClientError, TimeoutError, OSError):
-            received.ending = AttemptResult.CUT
+            received.ending = AttemptStatus.CUT
         return received
 
     def _body(self, request: LoadRequest) -> tuple[str, bytes]:
@@ -186,9 +186,9 @@
         received.run_id = headers.get("X-Request-Id", "")
         received.bundle = int(headers.get("X-Bundle", "0"))
         tag = headers.get("X-Outcome", "")
-        if tag != AttemptResult.ANSWERED:
+        if tag != AttemptStatus.ANSWERED:
             received.code = _code(await response.read())
-            received.ending = AttemptResult(tag) if tag else AttemptResult.CUT
+            received.ending = AttemptStatus(tag) if tag else AttemptStatus.CUT
             after_s = float(headers.get("Retry-After", "0"))
             received.retry_after_ms = int(after_s * _MS_PER_SECOND)
         elif request.way is Way.STREAM:
@@ -197,7 +197,7 @@
             data = await response.read()
             received.first_ms = self.clock.now_ms()
             received.text = data.decode() if request.way is Way.CALL else _text(data)
-            received.ending = AttemptResult.ANSWERED
+            received.ending = AttemptStatus.ANSWERED
 
     async def _read_stream(
         self, response: aiohttp.ClientResponse, received: Received
@@ -210,12 +210,12 @@
             elif name == b"event":
                 is_error = value == b"error"
             elif name == b"data" and is_error:
-                received.ending = AttemptResult(
+                received.ending = AttemptStatus(
                     msgspec.json.decode(value, type=_Error).error.type
                 )
                 return
             elif name == b"data" and value == _DONE:
-                received.ending = AttemptResult.ANSWERED
+                received.ending = AttemptStatus.ANSWERED
                 return
             elif name == b"data":
                 received.first_ms = received.first_ms or self.clock.now_ms()
@@ -235,6 +235,6 @@
 
 
 def _pause_ms(received: Received) -> int:
-    if received.ending is AttemptResult.CUT:
+    if received.ending is AttemptStatus.CUT:
         return _SHORTEST_PAUSE_MS
     return min(max(received.retry_after_ms, _SHORTEST_PAUSE_MS), _LONGEST_PAUSE_MS)
--- a/fireflyward/load/_run.py
+++ b/fireflyward/load/_run.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from fireflyward.checker import AttemptResult, Checker
+from fireflyward.checker import AttemptStatus, Checker
 from fireflyward.clock import Clock
 
 from ._caller import LoadCaller
@@ -35,7 +35,7 @@
         clock: Clock | None = None,
     ) -> None:
         self.checker = checker or Checker(observes_platform=False)
-        self.count_by_ending: Counter[AttemptResult | None] = Counter()
+        self.count_by_ending: Counter[AttemptStatus | None] = Counter()
         self._plan = plan
         self._urls = urls
         self._callers = callers
@@ -66,8 +66,8 @@
         now_ms = self._clock.now_ms()
         return make_report(
             requests=self.count_by_ending.total(),
-            answers=self.count_by_ending[AttemptResult.ANSWERED],
-            unknown=self.count_by_ending[AttemptResult.UNKNOWN],
+            answers=self.count_by_ending[AttemptStatus.ANSWERED],
+            unknown=self.count_by_ending[AttemptStatus.UNKNOWN],
             retries=caller.retries,
             seconds=(now_ms - begun_ms) / _MS_PER_SECOND,
             first_token_ms=caller.first_token_ms,
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -2,7 +2,7 @@
 
 from fireflyward.checker import (
     AttemptEnded,
-    AttemptResult,
+    AttemptStatus,
     BlockFreed,
     BlockRead,
     BlockSealed,
@@ -22,7 +22,7 @@
 SENT = RequestSent(0, "r", "bridge", ("whole answer",))
 OTHER = RequestSent(0, "s", "tower", ("its answer",))
 CALL = RequestSent(0, "c", "bridge", ("done",), is_non_idempotent=True)
-ANSWERED = AttemptEnded(9, "r", AttemptResult.ANSWERED, "whole answer", "id", "n1")
+ANSWERED = AttemptEnded(9, "r", AttemptStatus.ANSWERED, "whole answer", "id", "n1")
 SEALED = BlockSealed(1, "store", "b", 1, "bridge", "v1", "sum")
 
 
@@ -43,25 +43,25 @@
 
 KEPT = {
     "a whole answer": [SENT, RunStarted(1, "e", "r", "id"), ANSWERED],
-    "a true refusal": [CALL, AttemptEnded(2, "c", AttemptResult.NOT_RUN, run_id="id")],
+    "a true refusal": [CALL, AttemptEnded(2, "c", AttemptStatus.NOT_RUN, run_id="id")],
     "a caller that disconnected": [SENT, CallerDisconnected(3, "r")],
     "a call that ran on a retry": [
         CALL,
-        AttemptEnded(2, "c", AttemptResult.NOT_RUN, "", "id1", "n1", False, 1),
+        AttemptEnded(2, "c", AttemptStatus.NOT_RUN, "", "id1", "n1", False, 1),
         RunStarted(5, "e", "c", "key", node="n1"),
-        AttemptEnded(6, "c", AttemptResult.ANSWERED, "done", "id2", "n1", True, 4),
+        AttemptEnded(6, "c", AttemptStatus.ANSWERED, "done", "id2", "n1", True, 4),
     ],
     "a second attempt that ran": [
         SENT,
-        AttemptEnded(2, "r", AttemptResult.NOT_RUN, run_id="id1", is_final=False),
+        AttemptEnded(2, "r", AttemptStatus.NOT_RUN, run_id="id1", is_final=False),
         RunStarted(3, "e", "r", "id2"),
         ANSWERED,
     ],
     "a run of an earlier attempt still in flight": [
         SENT,
         RunStarted(1, "e", "r", "key", node="n1"),
-        AttemptEnded(4, "r", AttemptResult.NOT_RUN, run_id="id", node="n2", begun_ms=0),
-        AttemptEnded(6, "r", AttemptResult.NOT_RUN, run_id="id", node="n1", begun_ms=5),
+        AttemptEnded(4, "r", AttemptStatus.NOT_RUN, run_id="id", node="n2", begun_ms=0),
+        AttemptEnded(6, "r", AttemptStatus.NOT_RUN, run_id="id", node="n1", begun_ms=5),
     ],
     "a block freed after it was read": [SEALED, BlockFreed(9, "store", "b", 1), read()],
     "a run that continues across a weight swap": [
@@ -78,7 +78,7 @@
         SENT,
         StopBegan(1, "n1"),
         NodeLost(2, "n1"),
-        AttemptEnded(3, "r", AttemptResult.CUT, "whole", "id", "n1", is_final=False),
+        AttemptEnded(3, "r", AttemptStatus.CUT, "whole", "id", "n1", is_final=False),
         ANSWERED,
     ],
     "a long request that ends after a short one of a newer bundle": [
@@ -113,7 +113,7 @@
             SENT,
             OTHER,
             ANSWERED,
-            AttemptEnded(3, "s", AttemptResult.ANSWERED, "whole answer"),
+            AttemptEnded(3, "s", AttemptStatus.ANSWERED, "whole answer"),
         ],
     ),
     "a run of a request that no caller sent": (
@@ -123,22 +123,22 @@
     "another version's block": (Promise.OWN_VERSION, [SEALED, read(version="v2")]),
     "a short answer": (
         Promise.WHOLE_ANSWER,
-        [SENT, AttemptEnded(3, "r", AttemptResult.ANSWERED, "whole")],
+        [SENT, AttemptEnded(3, "r", AttemptStatus.ANSWERED, "whole")],
     ),
     "a gap in a stream that was cut": (
         Promise.WHOLE_ANSWER,
-        [SENT, AttemptEnded(3, "r", AttemptResult.CUT, "whole wer")],
+        [SENT, AttemptEnded(3, "r", AttemptStatus.CUT, "whole wer")],
     ),
     "a repeat in a stream": (
         Promise.WHOLE_ANSWER,
-        [SENT, AttemptEnded(3, "r", AttemptResult.UNKNOWN, "whole whole")],
+        [SENT, AttemptEnded(3, "r", AttemptStatus.UNKNOWN, "whole whole")],
     ),
     "a refusal after the run": (
         Promise.TRUE_REFUSAL,
         [
             SENT,
             RunStarted(1, "e", "r", "id"),
-            AttemptEnded(2, "r", AttemptResult.NOT_RUN, run_id="id"),
+            AttemptEnded(2, "r", AttemptStatus.NOT_RUN, run_id="id"),
         ],
     ),
     "a refusal after a run under another id": (
@@ -147,7 +147,7 @@
             SENT,
             RunStarted(2, "e", "r", "key", node="n1"),
             AttemptEnded(
-                3, "r", AttemptResult.NOT_RUN, run_id="id", node="n1", begun_ms=1
+                3, "r", AttemptStatus.NOT_RUN, run_id="id", node="n1", begun_ms=1
             ),
         ],
     ),
@@ -155,7 +155,7 @@
         Promise.TRUE_REFUSAL,
         [
             CALL,
-            AttemptEnded(1, "c", AttemptResult.NOT_RUN, run_id="id"),
+            AttemptEnded(1, "c", AttemptStatus.NOT_RUN, run_id="id"),
             RunStarted(2, "e", "c", "id2"),
         ],
     ),
@@ -163,9 +163,9 @@
         Promise.TRUE_REFUSAL,
         [
             CALL,
-            AttemptEnded(2, "c", AttemptResult.NOT_RUN, "", "id1", "n1", False, 1),
+            AttemptEnded(2, "c", AttemptStatus.NOT_RUN, "", "id1", "n1", False, 1),
             RunStarted(5, "e", "c", "key", node="n1"),
-            AttemptEnded(6, "c", AttemptResult.UNKNOWN, "", "id2", "n2", True, 4),
+            AttemptEnded(6, "c", AttemptStatus.UNKNOWN, "", "id2", "n2", True, 4),
         ],
     ),
     "a refusal of a call that ran for an earlier attempt": (
@@ -173,8 +173,8 @@
         [
             CALL,
             RunStarted(1, "e", "c", "id1", node="n1"),
-            AttemptEnded(2, "c", AttemptResult.CUT, "", "id1", "n1", False, 0),
-            AttemptEnded(4, "c", AttemptResult.NOT_RUN, "", "id2", "n2", True, 3),
+            AttemptEnded(2, "c", AttemptStatus.CUT, "", "id1", "n1", False, 0),
+            AttemptEnded(4, "c", AttemptStatus.NOT_RUN, "", "id2", "n2", True, 3),
         ],
     ),
     "a call that ran twice": (
@@ -183,7 +183,7 @@
             CALL,
             RunStarted(1, "e", "c", "id"),
             RunStarted(2, "f", "c", "id2"),
-            AttemptEnded(3, "c", AttemptResult.UNKNOWN),
+            AttemptEnded(3, "c", AttemptStatus.UNKNOWN),
         ],
     ),
     "new work past the limit after an upstream started leaving": (
@@ -195,7 +195,7 @@
         [
             SENT,
             StopBegan(1, "n1"),
-            AttemptEnded(2, "r", AttemptResult.CUT, "whole", "id", "n1"),
+            AttemptEnded(2, "r", AttemptStatus.CUT, "whole", "id", "n1"),
         ],
     ),
     "a node that returns to an older bundle": (
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -13,7 +13,7 @@
 
 from fireflyward.checker import (
     AttemptEnded,
-    AttemptResult,
+    AttemptStatus,
     BundleServed,
     CallerDisconnected,
     RequestSent,
@@ -157,7 +157,7 @@
 
     def __init__(self, world, ask: Ask) -> None:
         self.ask = ask
-        self.ending: AttemptResult | None = None
+        self.ending: AttemptStatus | None = None
         self._world = world
         self._clock = world.clock
         self._writer: _Writer | None = None
@@ -214,8 +214,8 @@
         if b'"code":"internal"' in writer.data:
             self._world.errors.append(f"{self.ask.name}: internal error")
         is_final = not is_beside and (
-            ending is AttemptResult.ANSWERED
-            or (only_once and (ending is AttemptResult.UNKNOWN or is_late))
+            ending is AttemptStatus.ANSWERED
+            or (only_once and (ending is AttemptStatus.UNKNOWN or is_late))
         )
         run_id = writer.headers.get("X-Request-Id", "")
         now_ms, name = self._clock.now_ms(), node.settings["node_name"]
@@ -225,7 +225,7 @@
             )
         )
         self.ending = ending if is_final else self.ending
-        if ending is not AttemptResult.CUT:
+        if ending is not AttemptStatus.CUT:
             number = int(writer.headers.get("X-Bundle", 0))
             self._world.observe(BundleServed(now_ms, name, number, begun_ms))
 
@@ -262,28 +262,28 @@
     await response.write_eof()
 
 
-def _read(ask: Ask, writer: _Writer) -> tuple[AttemptResult, str]:
+def _read(ask: Ask, writer: _Writer) -> tuple[AttemptStatus, str]:
     """Read a response as far as it came."""
     tag = writer.headers.get("X-Outcome", "")
-    if not tag or (tag != AttemptResult.ANSWERED and not writer.is_ended):
-        return AttemptResult.CUT, ""
-    if tag != AttemptResult.ANSWERED:
-        return AttemptResult(tag), ""
+    if not tag or (tag != AttemptStatus.ANSWERED and not writer.is_ended):
+        return AttemptStatus.CUT, ""
+    if tag != AttemptStatus.ANSWERED:
+        return AttemptStatus(tag), ""
     if ask.is_stream:
         return _read_stream(writer.data)
     if not writer.is_ended:
-        return AttemptResult.CUT, ""
+        return AttemptStatus.CUT, ""
     if ask.is_call:
-        return AttemptResult.ANSWERED, writer.data.decode()
-    return AttemptResult.ANSWERED, json.loads(writer.data)["choices"][0]["text"]
+        return AttemptStatus.ANSWERED, writer.data.decode()
+    return AttemptStatus.ANSWERED, json.loads(writer.data)["choices"][0]["text"]
 
 
-def _read_stream(data: bytes) -> tuple[AttemptResult, str]:
+def _read_stream(data: bytes) -> tuple[AttemptStatus, str]:
     text = ""
     for event in data.split(b"\n\n"):
         line = event.rpartition(b"data: ")[2]
         if event.startswith(b"event: error"):
-            return AttemptResult(json.loads(line)["error"]["type"]), text
+            return AttemptStatus(json.loads(line)["error"]["type"]), text
         if line and line != b"[DONE]" and b"data: " in event:
             text += json.loads(line)["choices"][0].get("text") or ""
-    return (AttemptResult.ANSWERED if data.endswith(_DONE) else AttemptResult.CUT), text
+    return (AttemptStatus.ANSWERED if data.endswith(_DONE) else AttemptStatus.CUT), text
