--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -11,7 +11,7 @@
 
 
 class AttemptStatus(enum.StrEnum):
-    """The result of an attempt as its caller received it."""
+    """How an attempt ended for its caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -45,7 +45,7 @@
 
     at_ms: int
     request: str
-    result: AttemptStatus
+    status: AttemptStatus
     text: str = ""
     run_id: str = ""
     node: str = ""
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -119,10 +119,10 @@
         if request.sent.is_non_idempotent:
             request.attempts.append(observation)
         self._check_answer(observation, request)
-        if observation.result is AttemptStatus.NOT_RUN:
+        if observation.status is AttemptStatus.NOT_RUN:
             self._check_refusal(observation, request)
         if (
-            observation.result is AttemptStatus.CUT
+            observation.status is AttemptStatus.CUT
             and observation.node in self._stopping_nodes
         ):
             detail = f"{observation.node} cut {observation.request}"
@@ -146,7 +146,7 @@
 
     def _check_answer(self, observation: AttemptEnded, request: _Request) -> None:
         text = observation.text
-        if observation.result is AttemptStatus.ANSWERED:
+        if observation.status is AttemptStatus.ANSWERED:
             if text in request.sent.answers:
                 return
         elif any(answer.startswith(text) for answer in request.sent.answers):
@@ -173,7 +173,7 @@
 
 def _may_have_caused(attempt: AttemptEnded, run: RunStarted) -> bool:
     """Return whether an attempt that was not refused may have caused a run."""
-    if attempt.result is AttemptStatus.NOT_RUN:
+    if attempt.status is AttemptStatus.NOT_RUN:
         return False
     if attempt.run_id == run.run_id:
         return True
