--- a/fireflyward/demo/_demo.py
+++ b/fireflyward/demo/_demo.py
@@ -8,7 +8,7 @@
 
 from fireflyward.checker import Checker, Ending
 from fireflyward.clock import Clock
-from fireflyward.load import LoadCaller, LoadPlan, LoadRequest, Way, make_report
+from fireflyward.load import LoadCaller, LoadPlan, LoadRequest, RequestMode, make_report
 from fireflyward.standins import EngineCosts
 from fireflyward.upstreams import BLOCK_TOKENS, count_tokens
 
@@ -167,11 +167,11 @@
         clauses = account + "".join(_CLAUSE.format(index) for index in range(_CLAUSES))
         for index in range(_QUESTIONS):
             name = f"{account} {title} {index}"
-            way = Way.PROMPT if index == 0 else Way.STREAM
+            way = RequestMode.PROMPT if index == 0 else RequestMode.STREAM
             request = LoadRequest(_key(name), account, way, clauses + name, _MAX_TOKENS)
             requests.append(request)
         name = f"{account} {title} revision"
-        requests.append(LoadRequest(_key(name), account, Way.CALL, name, 1))
+        requests.append(LoadRequest(_key(name), account, RequestMode.CALL, name, 1))
     return requests
 
 
--- a/fireflyward/load/__init__.py
+++ b/fireflyward/load/__init__.py
@@ -1,7 +1,7 @@
 """Seeded load from many good callers, with every answer checked."""
 
 from ._caller import LoadCaller
-from ._plan import LoadPlan, LoadRequest, Way, draw_requests
+from ._plan import LoadPlan, LoadRequest, RequestMode, draw_requests
 from ._report import LoadReport, make_report
 from ._run import LoadRun
 
@@ -11,7 +11,7 @@
     "LoadReport",
     "LoadRequest",
     "LoadRun",
-    "Way",
+    "RequestMode",
     "draw_requests",
     "make_report",
 ]
--- a/fireflyward/load/_plan.py
+++ b/fireflyward/load/_plan.py
@@ -13,7 +13,7 @@
 _MOST_TOKENS = 24
 
 
-class Way(enum.StrEnum):
+class RequestMode(enum.StrEnum):
     """The ways in which a caller asks."""
 
     PROMPT = "prompt"
@@ -38,8 +38,12 @@
     versions: tuple[str, ...] = ("v1",)
     service_path: str = "/services/drafting/revisions"
     clause_sets: int = 8
-    share_by_way: dict[Way, float] = field(
-        default_factory=lambda: {Way.PROMPT: 0.45, Way.STREAM: 0.45, Way.CALL: 0.1}
+    share_by_way: dict[RequestMode, float] = field(
+        default_factory=lambda: {
+            RequestMode.PROMPT: 0.45,
+            RequestMode.STREAM: 0.45,
+            RequestMode.CALL: 0.1,
+        }
     )
 
 
@@ -49,13 +53,13 @@
 
     name: str
     account: str
-    way: Way
+    way: RequestMode
     text: str
     max_tokens: int
 
     def answers(self, plan: LoadPlan) -> tuple[str, ...]:
         """Return the texts that answer it rightly."""
-        if self.way is Way.CALL:
+        if self.way is RequestMode.CALL:
             path = "/" + plan.service_path.split("/", 3)[3]
             return (f"POST {path}\n{self.text}",)
         return tuple(
@@ -68,14 +72,16 @@
     """Draw the requests of a plan in order."""
     drawn = random.Random(plan.seed)
     accounts = sorted(plan.key_by_account)
-    ways = [way for way in plan.share_by_way if way is not Way.CALL or _calls(plan)]
+    ways = [
+        way for way in plan.share_by_way if way is not RequestMode.CALL or _calls(plan)
+    ]
     shares = [plan.share_by_way[way] for way in ways]
     for index in range(plan.requests):
         account = drawn.choice(accounts)
         way = drawn.choices(ways, shares)[0]
         name = f"load-{plan.seed}-{index}"
         text = f"[{name}]"
-        if way is not Way.CALL:
+        if way is not RequestMode.CALL:
             text = _clauses(account, drawn.randrange(plan.clause_sets)) + text
         max_tokens = drawn.randint(_FEWEST_TOKENS, _MOST_TOKENS)
         yield LoadRequest(name, account, way, text, max_tokens)
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -3,12 +3,12 @@
 from aiohttp import web
 
 from fireflyward.demo import DemoDeployment
-from fireflyward.load import LoadPlan, LoadRun, Way, draw_requests
+from fireflyward.load import LoadPlan, LoadRun, RequestMode, draw_requests
 from fireflyward.standins import answer_text
 from fireflyward.standins._http_server import HttpServer
 
 KEYS = {"bridge-team": "key-bridge", "tower-team": "key-tower"}
-PROMPTS = {Way.PROMPT: 1.0, Way.STREAM: 0.0}
+PROMPTS = {RequestMode.PROMPT: 1.0, RequestMode.STREAM: 0.0}
 
 
 class WrongServer(HttpServer):
@@ -54,7 +54,7 @@
             report = await LoadRun(plan, urls).run()
         self.assertEqual(report.violations, [])
         self.assertEqual((report.answers, report.whole), (60, 60))
-        calls = [item for item in draw_requests(plan) if item.way is Way.CALL]
+        calls = [item for item in draw_requests(plan) if item.way is RequestMode.CALL]
         self.assertEqual(len(deployment.service.bodies), len(calls))
 
     async def test_answers_of_others_are_reported_as_mixed(self):
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -16,7 +16,7 @@
 )
 from fireflyward.clock import Clock
 from fireflyward.demo import DemoDeployment
-from fireflyward.load import LoadPlan, LoadRun, Way, draw_requests
+from fireflyward.load import LoadPlan, LoadRun, RequestMode, draw_requests
 from fireflyward.standins import EngineCosts
 
 from ._nodes import NodeProcess
@@ -90,7 +90,7 @@
             for _, item in zip(
                 range(report.requests), draw_requests(self._plan), strict=False
             )
-            if item.way is Way.CALL
+            if item.way is RequestMode.CALL
         }
         third = max(1, len(self._rss_mb) // 3)
         return {
