--- a/fireflyward/demo/_deployment.py
+++ b/fireflyward/demo/_deployment.py
@@ -140,7 +140,7 @@
     def forget_cached_blocks(self) -> None:
         """Have every engine evict everything, as a day of other work would."""
         for server in self.engine_by_name.values():
-            server.model.cache.lose_all("2")
+            server.model.cache.restart_empty("2")
 
     async def accept(self, bundle: Bundle) -> None:
         """Sign a bundle by both people and have the platform accept it."""
--- a/fireflyward/standins/_engine_kv.py
+++ b/fireflyward/standins/_engine_kv.py
@@ -77,7 +77,7 @@
             evicted, evicted_place = self._place_by_key.popitem(last=False)
             self._tell(CacheChange.EVICTED, evicted, evicted_place)
 
-    def lose_all(self, epoch: str) -> None:
+    def restart_empty(self, epoch: str) -> None:
         """Forget everything without an event, as an engine that restarted."""
         self.epoch = epoch
         self._place_by_key.clear()
--- a/tests/daemon/test_kept_duty.py
+++ b/tests/daemon/test_kept_duty.py
@@ -77,7 +77,7 @@
         store = self.deployment.store.model
         await self.until(lambda: len(store.describe(self.keys()).refs) >= 96)
         for engine in self.deployment.engine_by_name.values():
-            engine.model.cache.lose_all("2")
+            engine.model.cache.restart_empty("2")
         node = next(iter(self.deployment.node_by_name.values()))
         await node.kept.read_events()
         await node.kept.read_listings()
--- a/tests/kept/test_readers.py
+++ b/tests/kept/test_readers.py
@@ -126,6 +126,6 @@
     def test_restarted_engine_is_forgotten(self):
         self.hold()
         self.read(0)
-        self.cache.lose_all("2")
+        self.cache.restart_empty("2")
         self.read(500)
         self.assertEqual(len(self.index), 0)
