--- a/fireflyward/standins/_memory_fleet.py
+++ b/fireflyward/standins/_memory_fleet.py
@@ -14,7 +14,7 @@
 class MemoryOrderedEngine:
     """One replica's orders without a network; a call takes ``call_ms`` each way.
 
-    ``hold_orders`` keeps orders on their way until ``let_go`` delivers them.
+    ``hold_orders`` keeps orders on their way until ``deliver_held_orders`` delivers them.
     """
 
     def __init__(self, orders: EngineOrders, clock: Clock) -> None:
@@ -39,7 +39,7 @@
         await self._clock.sleep_ms(self.call_ms)
         return result
 
-    def let_go(self) -> list[OrderResult]:
+    def deliver_held_orders(self) -> list[OrderResult]:
         """Deliver the orders that were kept on their way."""
         held, self._held = self._held, []
         self.hold_orders = False
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -131,7 +131,7 @@
         self.is_capacity_checked = self.simulation.is_floor_checked = False
         self.simulation.are_loads_checked = False
         for engine in self.simulation.fleet.engine_by_name.values():
-            engine.let_go()
+            engine.deliver_held_orders()
 
     @rule(name=st.sampled_from(REPLICAS))
     def fail_a_load(self, name):
@@ -179,7 +179,7 @@
         for name, orders in self.simulation.fleet.orders_by_name.items():
             orders.fail_loads = orders.lose_answers = 0
             orders.away = False
-            self.simulation.fleet.engine_by_name[name].let_go()
+            self.simulation.fleet.engine_by_name[name].deliver_held_orders()
         await self.simulation.finish(RECOVERY_LIMIT_MS)
         if self.simulation.row.phase == Phase.HELD:
             self.number += 1
--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -147,7 +147,7 @@
         await simulation.run(1_500)
         engine.hold_orders = False
         await simulation.finish()
-        engine.let_go()
+        engine.deliver_held_orders()
         await simulation.run(5_000)
         self.assert_done(simulation)
 
@@ -217,7 +217,7 @@
         simulation.add_driver("b")
         simulation.accept(3, "v3")
         await simulation.finish()
-        for result in engine.let_go():
+        for result in engine.deliver_held_orders():
             self.assertIsInstance(result, OrderRefused)
             self.assertEqual(result.reason, OrderReason.OLD_FENCING)
         self.assertEqual(simulation.versions, {"v3"})
@@ -239,7 +239,7 @@
         await simulation.run(4_000)
         taken = [o.taken for o in simulation.fleet.orders_by_name.values()]
         self.assertTrue(all(o.fencing == 1 for orders in taken for o in orders))
-        engine.let_go()
+        engine.deliver_held_orders()
         await simulation.finish()
         self.assertEqual(simulation.versions, {"v3"})
 
@@ -260,7 +260,7 @@
         await simulation.run(2_500)
         simulation.accept(3, "v3")
         await simulation.run(2_000)
-        engine.let_go()
+        engine.deliver_held_orders()
         await simulation.finish()
         versions = [o.version_by_model[MODEL] for o in engine.orders.taken]
         self.assertEqual(versions, sorted(versions))
@@ -279,7 +279,7 @@
         simulation.add_driver("b")
         simulation.accept(3, "v3")
         await simulation.finish()
-        engine.let_go()
+        engine.deliver_held_orders()
         await simulation.run(500)
         self.assertEqual(
             simulation.fleet.serving(simulation.clock.now_ms(), MODEL, "v3"), 5
