--- a/fireflyward/standins/_engine_orders.py
+++ b/fireflyward/standins/_engine_orders.py
@@ -28,11 +28,11 @@
     """The weight store as loading engines share it.
 
     Two loads go at full rate; of more each gets an equal part of what two have.
-    ``most_at_once`` is what a test holds against the rule of two.
+    ``max_concurrent_loads`` is what a test holds against the rule of two.
     """
 
     def __init__(self) -> None:
-        self.most_at_once = 0
+        self.max_concurrent_loads = 0
         self._load_by_replica: dict[int, _Load] = {}
         self._ended_ms_by_replica: dict[int, float] = {}
         self._seen_ms = 0.0
@@ -42,7 +42,9 @@
         self.advance(now_ms)
         self._load_by_replica[replica] = _Load(load_ms)
         self._ended_ms_by_replica.pop(replica, None)
-        self.most_at_once = max(self.most_at_once, len(self._load_by_replica))
+        self.max_concurrent_loads = max(
+            self.max_concurrent_loads, len(self._load_by_replica)
+        )
 
     def ended_ms(self, now_ms: float, replica: int) -> float | None:
         """Return when a replica's load ended, or None while it goes on."""
--- a/tests/rollout/rollout_fixtures.py
+++ b/tests/rollout/rollout_fixtures.py
@@ -154,7 +154,9 @@
         now_ms = self.clock.now_ms()
         serving = self.fleet.serving(now_ms, MODEL)
         self.min_serving = min(self.min_serving, serving)
-        assert self.fleet.weights.most_at_once <= 2, "more than two loads at once"
+        assert self.fleet.weights.max_concurrent_loads <= 2, (
+            "more than two loads at once"
+        )
         floor = self.limits.floor_of(len(self.names))
         assert self.min_serving >= floor, f"{self.min_serving} serve"
 
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -141,7 +141,7 @@
     @invariant()
     def at_most_two_loads(self):
         if self.simulation.are_loads_checked:
-            assert self.simulation.fleet.weights.most_at_once <= 2
+            assert self.simulation.fleet.weights.max_concurrent_loads <= 2
         assert len(self.simulation.row.claims) <= 2
 
     @invariant()
--- a/tests/standins/test_engine_orders.py
+++ b/tests/standins/test_engine_orders.py
@@ -65,7 +65,7 @@
             engine.take(0, order(1, "v2"))
         self.assertEqual(engines[0].state(1_200).loading, {"m": "v2"})
         self.assertEqual(engines[0].state(1_800).loading, {})
-        self.assertEqual(weights.most_at_once, 3)
+        self.assertEqual(weights.max_concurrent_loads, 3)
 
     def test_faults(self):
         self.engine.refuse = 1
