--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -53,7 +53,7 @@
         wait_ms = self.model.transfer_ms(self._clock.now_ms(), ref)
         result = await self._call(lambda: self.model.read(ref))
         if isinstance(result, bytes):
-            self.model.note_read(self._clock.now_ms(), ref)
+            self.model.record_read(self._clock.now_ms(), ref)
             await self._clock.sleep_ms(wait_ms)
         return result
 
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -140,7 +140,7 @@
         self._promote(slot)
         return self._faulty(slot)
 
-    def note_read(self, now_ms: float, ref: BlockRef) -> None:
+    def record_read(self, now_ms: float, ref: BlockRef) -> None:
         """Count a read of a block, so that it is not among the coldest."""
         slot = self._slot(ref)
         if slot is not None:
--- a/fireflyward/standins/_store_server.py
+++ b/fireflyward/standins/_store_server.py
@@ -97,7 +97,7 @@
         result = self.model.read(ref)
         if isinstance(result, Miss):
             return _json(MissBody(result.reason), MISS_STATUS)
-        self.model.note_read(self._now_ms(), ref)
+        self.model.record_read(self._now_ms(), ref)
         await self._clock.sleep_ms(wait_ms)
         return web.Response(body=result, content_type="application/octet-stream")
 
--- a/tests/kept/test_sweep.py
+++ b/tests/kept/test_sweep.py
@@ -93,7 +93,7 @@
             await self.world.clock.advance_ms(1_000)
         for key in keys[:2]:
             (ref,) = self.model.describe((key,)).refs
-            self.model.note_read(self.world.clock.now_ms(), ref)
+            self.model.record_read(self.world.clock.now_ms(), ref)
         result = await Sweeper(lambda: Held(1)).sweep(self.store)
         self.assertEqual(result, Swept(0, 2))
         gone = [key for key in keys if not self.model.describe((key,)).refs]
