--- a/fireflyward/standins/_engine_orders.py
+++ b/fireflyward/standins/_engine_orders.py
@@ -83,7 +83,7 @@
     model: EngineModel
     weights: WeightSource = field(default_factory=WeightSource)
     honours_fencing: bool = True
-    remembers_ids: bool = True
+    deduplicates_orders: bool = True
     known_versions: frozenset[str] | None = None
     fail_loads: int = 0
     lose_answers: int = 0
@@ -110,7 +110,7 @@
         if refusal:
             return refusal
         self.fencing = max(self.fencing, order.fencing)
-        if order.order_id not in self._ids or not self.remembers_ids:
+        if order.order_id not in self._ids or not self.deduplicates_orders:
             self._ids.add(order.order_id)
             self._apply(order)
         self._advance(now_ms)
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -46,7 +46,7 @@
         self.simulation = FaultySimulation()
         # An engine that forgets order ids executes an order that arrives too late.
         for orders in self.simulation.fleet.orders_by_name.values():
-            orders.remembers_ids = False
+            orders.deduplicates_orders = False
         self.number = 1
         self.drivers_started = 0
         self.is_capacity_checked = True
--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -253,7 +253,7 @@
         """
         simulation, engine = await self.stop_driver_with_order_in_flight(False)
         engine.hold_orders = False
-        engine.orders.remembers_ids = False
+        engine.orders.deduplicates_orders = False
         simulation.add_driver("b")
         while simulation.row.fencing < 2:
             await simulation.run(250)
