--- a/fireflyward/standins/_engine_orders.py
+++ b/fireflyward/standins/_engine_orders.py
@@ -95,7 +95,7 @@
     failed: str = ""
     role: str = ""
     adapters: tuple[str, ...] = ()
-    taken: list[EngineOrder] = field(default_factory=list)
+    applied_orders: list[EngineOrder] = field(default_factory=list)
     loads: int = 0
     _waiting: dict[str, str] = field(default_factory=dict)
     _loading: str = ""
@@ -139,7 +139,7 @@
         return None
 
     def _apply(self, order: EngineOrder) -> None:
-        self.taken.append(order)
+        self.applied_orders.append(order)
         self.order_id = order.order_id
         self.failed = ""
         self.role = order.role or self.role
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -147,7 +147,7 @@
     @invariant()
     def orders_arrive_in_order_of_holders(self):
         for orders in self.simulation.fleet.orders_by_name.values():
-            numbers = [order.fencing for order in orders.taken]
+            numbers = [order.fencing for order in orders.applied_orders]
             assert numbers == sorted(numbers), numbers
 
     @invariant()
--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -187,14 +187,14 @@
             fencing_at_pause.append(simulation.row.fencing)
             simulation.clock.paused_ms += 30_000
             for orders in simulation.fleet.orders_by_name.values():
-                orders.taken.clear()
+                orders.applied_orders.clear()
 
         await self.begin(simulation, at(step, pause))
         simulation.add_driver("b")
         await simulation.finish()
         self.assertEqual(len(fencing_at_pause), 1)
         for orders in simulation.fleet.orders_by_name.values():
-            for order in orders.taken:
+            for order in orders.applied_orders:
                 self.assertGreater(order.fencing, fencing_at_pause[0])
         self.assert_done(simulation)
 
@@ -237,8 +237,12 @@
         while simulation.row.fencing < 2:
             await simulation.run(250)
         await simulation.run(4_000)
-        taken = [o.taken for o in simulation.fleet.orders_by_name.values()]
-        self.assertTrue(all(o.fencing == 1 for orders in taken for o in orders))
+        applied_orders = [
+            o.applied_orders for o in simulation.fleet.orders_by_name.values()
+        ]
+        self.assertTrue(
+            all(o.fencing == 1 for orders in applied_orders for o in orders)
+        )
         engine.deliver_held_orders()
         await simulation.finish()
         self.assertEqual(simulation.versions, {"v3"})
@@ -262,7 +266,7 @@
         await simulation.run(2_000)
         engine.deliver_held_orders()
         await simulation.finish()
-        versions = [o.version_by_model[MODEL] for o in engine.orders.taken]
+        versions = [o.version_by_model[MODEL] for o in engine.orders.applied_orders]
         self.assertEqual(versions, sorted(versions))
         self.assertEqual(simulation.versions, {"v3"})
 
