--- a/fireflyward/demo/_demo.py
+++ b/fireflyward/demo/_demo.py
@@ -78,7 +78,7 @@
         for request, ending in zip(requests, endings, strict=True):
             self._count_by_ending[ending] += 1
             told = ending.value if ending else "lost"
-            print(f"  {request.account:<12} {request.way:<7} {told}")
+            print(f"  {request.account:<12} {request.mode:<7} {told}")
         computed, cached = self._tokens()
         computed_before, cached_before = self._tokens_before
         self._tokens_before = computed, cached
@@ -167,8 +167,10 @@
         clauses = account + "".join(_CLAUSE.format(index) for index in range(_CLAUSES))
         for index in range(_QUESTIONS):
             name = f"{account} {title} {index}"
-            way = RequestMode.PROMPT if index == 0 else RequestMode.STREAM
-            request = LoadRequest(_key(name), account, way, clauses + name, _MAX_TOKENS)
+            mode = RequestMode.PROMPT if index == 0 else RequestMode.STREAM
+            request = LoadRequest(
+                _key(name), account, mode, clauses + name, _MAX_TOKENS
+            )
             requests.append(request)
         name = f"{account} {title} revision"
         requests.append(LoadRequest(_key(name), account, RequestMode.CALL, name, 1))
--- a/fireflyward/load/_caller.py
+++ b/fireflyward/load/_caller.py
@@ -84,7 +84,7 @@
     async def ask(self, request: LoadRequest, turn: int = 0) -> Ending | None:
         """Ask until an outcome forbids asking again; None when patience ended."""
         begun_ms = self.clock.now_ms()
-        is_call = request.way is RequestMode.CALL
+        is_call = request.mode is RequestMode.CALL
         answers = request.answers(self.plan)
         self.checker.see(
             Asked(begun_ms, request.name, request.account, answers, is_call)
@@ -136,7 +136,7 @@
     ) -> Received:
         """Send one HTTP request and read its response as far as it comes."""
         received = Received()
-        if request.way is RequestMode.STREAM and before.ending is Ending.CUT:
+        if request.mode is RequestMode.STREAM and before.ending is Ending.CUT:
             received.text, received.event_id = before.text, before.event_id
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=_CONNECT_LIMIT_S, sock_read=_SILENCE_LIMIT_S
@@ -157,20 +157,20 @@
         return received
 
     def _body(self, request: LoadRequest) -> tuple[str, bytes]:
-        if request.way is RequestMode.CALL:
+        if request.mode is RequestMode.CALL:
             return self.plan.service_path, request.text.encode()
         fields = {
             "model": self.plan.model,
             "prompt": request.text,
             "max_tokens": request.max_tokens,
-            "stream": request.way is RequestMode.STREAM,
+            "stream": request.mode is RequestMode.STREAM,
         }
         return "/v1/completions", msgspec.json.encode(fields)
 
     def _headers(self, request: LoadRequest, event_id: str) -> dict[str, str]:
         key = self.plan.key_by_account[request.account]
         headers = {"Authorization": f"Bearer {key}"}
-        if request.way is not RequestMode.PROMPT:
+        if request.mode is not RequestMode.PROMPT:
             headers["Idempotency-Key"] = request.name
         if event_id:
             headers["Last-Event-ID"] = event_id
@@ -191,13 +191,13 @@
             received.ending = Ending(tag) if tag else Ending.CUT
             after_s = float(headers.get("Retry-After", "0"))
             received.retry_after_ms = int(after_s * _MS_PER_SECOND)
-        elif request.way is RequestMode.STREAM:
+        elif request.mode is RequestMode.STREAM:
             await self._read_stream(response, received)
         else:
             data = await response.read()
             received.first_ms = self.clock.now_ms()
             received.text = (
-                data.decode() if request.way is RequestMode.CALL else _text(data)
+                data.decode() if request.mode is RequestMode.CALL else _text(data)
             )
             received.ending = Ending.ANSWERED
 
--- a/fireflyward/load/_plan.py
+++ b/fireflyward/load/_plan.py
@@ -53,13 +53,13 @@
 
     name: str
     account: str
-    way: RequestMode
+    mode: RequestMode
     text: str
     max_tokens: int
 
     def answers(self, plan: LoadPlan) -> tuple[str, ...]:
         """Return the texts that answer it rightly."""
-        if self.way is RequestMode.CALL:
+        if self.mode is RequestMode.CALL:
             path = "/" + plan.service_path.split("/", 3)[3]
             return (f"POST {path}\n{self.text}",)
         return tuple(
@@ -73,18 +73,20 @@
     drawn = random.Random(plan.seed)
     accounts = sorted(plan.key_by_account)
     ways = [
-        way for way in plan.share_by_way if way is not RequestMode.CALL or _calls(plan)
+        mode
+        for mode in plan.share_by_way
+        if mode is not RequestMode.CALL or _calls(plan)
     ]
-    shares = [plan.share_by_way[way] for way in ways]
+    shares = [plan.share_by_way[mode] for mode in ways]
     for index in range(plan.requests):
         account = drawn.choice(accounts)
-        way = drawn.choices(ways, shares)[0]
+        mode = drawn.choices(ways, shares)[0]
         name = f"load-{plan.seed}-{index}"
         text = f"[{name}]"
-        if way is not RequestMode.CALL:
+        if mode is not RequestMode.CALL:
             text = _clauses(account, drawn.randrange(plan.clause_sets)) + text
         max_tokens = drawn.randint(_FEWEST_TOKENS, _MOST_TOKENS)
-        yield LoadRequest(name, account, way, text, max_tokens)
+        yield LoadRequest(name, account, mode, text, max_tokens)
 
 
 def _calls(plan: LoadPlan) -> bool:
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -54,7 +54,7 @@
             report = await LoadRun(plan, urls).run()
         self.assertEqual(report.violations, [])
         self.assertEqual((report.answers, report.whole), (60, 60))
-        calls = [item for item in draw_requests(plan) if item.way is RequestMode.CALL]
+        calls = [item for item in draw_requests(plan) if item.mode is RequestMode.CALL]
         self.assertEqual(len(deployment.service.bodies), len(calls))
 
     async def test_answers_of_others_are_reported_as_mixed(self):
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -90,7 +90,7 @@
             for _, item in zip(
                 range(report.requests), draw_requests(self._plan), strict=False
             )
-            if item.way is RequestMode.CALL
+            if item.mode is RequestMode.CALL
         }
         third = max(1, len(self._rss_mb) // 3)
         return {
