--- a/fireflyward/bench/measures/rollout_swap.py
+++ b/fireflyward/bench/measures/rollout_swap.py
@@ -71,7 +71,7 @@
             await self.lease.step()
             await self.task.step()
             await self.clock.advance_ms(_TURN_MS)
-            serving = self.fleet.serving(self.clock.now_ms(), _MODEL)
+            serving = self.fleet.count_serving(self.clock.now_ms(), _MODEL)
             self.least = min(self.least, serving)
             self.lost_replica_ms += (len(self.names) - serving) * _TURN_MS
         return self.clock.now_ms() - began_ms
--- a/fireflyward/standins/_memory_fleet.py
+++ b/fireflyward/standins/_memory_fleet.py
@@ -72,7 +72,7 @@
             for name, orders in self.orders_by_name.items()
         }
 
-    def serving(self, now_ms: float, model: str, version: str = "") -> int:
+    def count_serving(self, now_ms: float, model: str, version: str = "") -> int:
         """Count the replicas that take new runs of a model, at one version or any."""
         count = 0
         for orders in self.orders_by_name.values():
--- a/tests/rollout/rollout_fixtures.py
+++ b/tests/rollout/rollout_fixtures.py
@@ -152,7 +152,7 @@
 
     def check(self):
         now_ms = self.clock.now_ms()
-        serving = self.fleet.serving(now_ms, MODEL)
+        serving = self.fleet.count_serving(now_ms, MODEL)
         self.min_serving = min(self.min_serving, serving)
         assert self.fleet.weights.max_concurrent_loads <= 2, (
             "more than two loads at once"
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -163,7 +163,7 @@
     @invariant()
     def capacity_stays_above_the_floor(self):
         if self.is_capacity_checked:
-            serving = self.simulation.fleet.serving(
+            serving = self.simulation.fleet.count_serving(
                 self.simulation.clock.now_ms(), MODEL
             )
             assert serving >= self.simulation.limits.floor_of(len(REPLICAS)), serving
--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -286,7 +286,7 @@
         engine.deliver_held_orders()
         await simulation.run(500)
         self.assertEqual(
-            simulation.fleet.serving(simulation.clock.now_ms(), MODEL, "v3"), 5
+            simulation.fleet.count_serving(simulation.clock.now_ms(), MODEL, "v3"), 5
         )
         await simulation.run(20_000)
         self.assertEqual(simulation.versions, {"v3"})
