--- a/fireflyward/standins/_engine_orders.py
+++ b/fireflyward/standins/_engine_orders.py
@@ -77,7 +77,7 @@
     loads, and then takes runs of the new version. Its other models go on.
 
     ``fail_loads``, ``lose_answers`` and ``refuse`` count what is to go wrong,
-    ``slow`` multiplies the time of a load, and ``away`` cuts the engine off.
+    ``slow`` multiplies the time of a load, and ``unavailable`` cuts the engine off.
     """
 
     model: EngineModel
@@ -89,7 +89,7 @@
     lose_answers: int = 0
     refuse: int = 0
     slow: float = 1.0
-    away: bool = False
+    unavailable: bool = False
     fencing: int = 0
     order_id: str = ""
     failed: str = ""
@@ -103,7 +103,7 @@
 
     def take(self, now_ms: float, order: EngineOrder) -> OrderResult:
         """Take an order or say why not."""
-        if self.away:
+        if self.unavailable:
             return _AWAY
         self._advance(now_ms)
         refusal = self._refusal(order)
@@ -121,7 +121,7 @@
 
     def state(self, now_ms: float) -> EngineState | Broken:
         """Return what the engine is at ``now_ms``."""
-        if self.away:
+        if self.unavailable:
             return _AWAY
         self._advance(now_ms)
         return self._state()
--- a/fireflyward/standins/_platform_memory.py
+++ b/fireflyward/standins/_platform_memory.py
@@ -19,7 +19,7 @@
 
 
 class MemoryTable:
-    """A table service; ``away`` and ``lose_answers`` bring its faults about.
+    """A table service; ``unavailable`` and ``lose_answers`` bring its faults about.
 
     ``lose_answers`` counts the commits to come that take effect though their
     answer is lost.
@@ -27,19 +27,19 @@
 
     def __init__(self) -> None:
         self.row_by_key: dict[str, Row] = {}
-        self.away = False
+        self.unavailable = False
         self.lose_answers = 0
         self.reads = 0
         self.writes = 0
 
     async def get(self, key: str) -> Row | Missing | Unavailable:
-        if self.away:
+        if self.unavailable:
             return _AWAY
         self.reads += 1
         return self.row_by_key.get(key) or Missing(key)
 
     async def scan(self, prefix: str) -> tuple[Row, ...] | Unavailable:
-        if self.away:
+        if self.unavailable:
             return _AWAY
         self.reads += 1
         return tuple(
@@ -56,7 +56,7 @@
         deletes: tuple[str, ...] = (),
         era: int = 0,
     ) -> Committed | Conflict | Unavailable | Uncertain:
-        if self.away:
+        if self.unavailable:
             return _AWAY
         found = {key: self._version(key) for key in expected}
         if found != dict(expected):
@@ -81,16 +81,16 @@
 
     def __init__(self) -> None:
         self.body_by_name: dict[str, bytes] = {}
-        self.away = False
+        self.unavailable = False
 
     async def get(self, name: str) -> bytes | Missing | Unavailable:
-        if self.away:
+        if self.unavailable:
             return _AWAY
         body = self.body_by_name.get(name)
         return Missing(name) if body is None else body
 
     async def put(self, name: str, body: bytes) -> Stored | Unavailable | Uncertain:
-        if self.away:
+        if self.unavailable:
             return _AWAY
         self.body_by_name[name] = body
         return Stored(name)
@@ -101,10 +101,10 @@
 
     def __init__(self, versions_by_model: dict[str, tuple[str, ...]]) -> None:
         self.versions_by_model = versions_by_model
-        self.away = False
+        self.unavailable = False
 
     async def versions(self) -> dict[str, tuple[str, ...]] | Unavailable:
-        return _AWAY if self.away else dict(self.versions_by_model)
+        return _AWAY if self.unavailable else dict(self.versions_by_model)
 
 
 class MemoryVms:
@@ -113,9 +113,9 @@
     def __init__(self) -> None:
         self.entry_by_name: dict[str, VmEntry] = {}
         self.as_of_ms = 0
-        self.away = False
+        self.unavailable = False
 
     async def list(self) -> VmList | Unavailable:
-        if self.away:
+        if self.unavailable:
             return _AWAY
         return VmList(tuple(self.entry_by_name.values()), self.as_of_ms)
--- a/tests/admin/test_bundle_admin.py
+++ b/tests/admin/test_bundle_admin.py
@@ -110,7 +110,7 @@
         self.assertIn("weight store", str(reply.problems[0]))
 
     async def test_unavailable_weight_store_rejects_with_its_own_code(self):
-        self.weights.away = True
+        self.weights.unavailable = True
         reply = await self.submit(bundle())
         self.assert_outcome(reply, SubmitOutcome.REFUSED, "platform_away")
 
@@ -174,7 +174,7 @@
 
     async def test_submission_without_the_table_is_unavailable(self):
         signed = sign_bundle(bundle(), author=ANA, approver=BRUNO)
-        self.table.away = True
+        self.table.unavailable = True
         self.assert_outcome(
             await self.bundle_admin.submit(signed), SubmitOutcome.UNAVAILABLE
         )
@@ -215,7 +215,7 @@
     async def test_status_without_the_table_is_unconfirmed(self):
         await self.submit(bundle())
         self.assertTrue((await self.bundle_admin.status()).is_confirmed)
-        self.table.away = True
+        self.table.unavailable = True
         status = await self.bundle_admin.status()
         self.assertFalse(status.is_confirmed)
         self.assertEqual(status.number, 1)
--- a/tests/admin/test_proposals.py
+++ b/tests/admin/test_proposals.py
@@ -41,7 +41,7 @@
         self.assertEqual((await self.proposals.get("0" * 64)).code, "no_proposal")
 
     async def test_unavailable_platform_is_reported(self):
-        self.table.away = self.objects.away = True
+        self.table.unavailable = self.objects.unavailable = True
         for result in (
             await self.proposals.add(self.signed),
             await self.proposals.all(ROOTS),
--- a/tests/backing/test_guard.py
+++ b/tests/backing/test_guard.py
@@ -84,7 +84,7 @@
 
     async def test_service_that_is_away_is_hardly_asked(self):
         inner = MemoryTable()
-        inner.away = True
+        inner.unavailable = True
         asked = []
         get = inner.get
 
@@ -100,7 +100,7 @@
                 self.assertIsInstance(result, Unavailable)
                 await self.clock.advance_ms(40)
         self.assertLess(len(asked), 20)
-        inner.away = False
+        inner.unavailable = False
         await self.clock.advance_ms(10_000)
         with self.assertLogs("fireflyward.backing") as logs:
             self.assertEqual(await self.run_to_end(table.get("k")), Missing("k"))
@@ -108,12 +108,12 @@
 
     async def test_refused_by_the_breaker_means_nothing_was_written(self):
         inner = MemoryTable()
-        inner.away = True
+        inner.unavailable = True
         table = GuardedTable(inner, self.make_guard())
         with self.assertLogs("fireflyward.backing"):
             for _ in range(3):
                 await table.get("k")
-        inner.away = False
+        inner.unavailable = False
         result = await table.commit(expected={}, puts={"k": b"v"})
         self.assertIsInstance(result, Unavailable)
         self.assertEqual(inner.row_by_key, {})
--- a/tests/bundles/test_store.py
+++ b/tests/bundles/test_store.py
@@ -200,11 +200,11 @@
                 self.assertIsInstance(result, outcome)
 
     async def test_nothing_is_accepted_while_a_service_is_unavailable(self):
-        self.objects.away = True
+        self.objects.unavailable = True
         self.assertIsInstance(await self.store().accept(*signed(1)), Unavailable)
-        self.objects.away, self.table.away = False, True
+        self.objects.unavailable, self.table.unavailable = False, True
         self.assertIsInstance(await self.store().accept(*signed(1)), Unavailable)
-        self.table.away = False
+        self.table.unavailable = False
         self.assertEqual(await self.number(), 0)
 
 
--- a/tests/daemon/test_bundle_duty.py
+++ b/tests/daemon/test_bundle_duty.py
@@ -120,8 +120,8 @@
             apply=lambda made: self.applied.append(made.number),
         )
 
-    def set_platform(self, *, away):
-        self.table.away = self.objects.away = away
+    def set_platform(self, *, unavailable):
+        self.table.unavailable = self.objects.unavailable = unavailable
 
     @property
     def number(self):
@@ -178,7 +178,7 @@
     async def test_node_without_the_platform_takes_changes_from_its_peers(self):
         await self.accept(bundle())
         one, other, cut = await self.start()
-        cut.set_platform(away=True)
+        cut.set_platform(unavailable=True)
         await self.accept(bundle(2, ("bridge-team",)))
         await self.clock.advance_ms(5_000)
         self.assertEqual(cut.number, 2)
@@ -191,17 +191,17 @@
         await self.accept(bundle())
         await self.start(2)
         late = self.make_node(3)
-        late.set_platform(away=True)
+        late.set_platform(unavailable=True)
         await late.duty.start()
         self.assertEqual(late.number, 1)
         self.assertEqual(late.duty.own_state().confirmed_ms_ago, -1)
 
     async def test_node_that_starts_alone_and_cut_off_has_no_bundle(self):
         late = self.make_node(1)
-        late.set_platform(away=True)
+        late.set_platform(unavailable=True)
         await late.duty.start()
         self.assertEqual(late.number, 0)
-        late.set_platform(away=False)
+        late.set_platform(unavailable=False)
         await self.accept(bundle())
         await self.clock.advance_ms(3_000)
         self.assertEqual(late.number, 1)
@@ -209,13 +209,13 @@
     async def test_node_cut_off_for_long_keeps_its_bundle_and_then_catches_up(self):
         await self.accept(bundle())
         *_, cut = await self.start()
-        cut.set_platform(away=True)
+        cut.set_platform(unavailable=True)
         self.network.cut = {"entry-3"}
         for number in range(2, 12):
             await self.accept(bundle(number))
         await self.clock.advance_ms(12_000)
         self.assertEqual(self.numbers(), [11, 11, 1])
-        cut.set_platform(away=False)
+        cut.set_platform(unavailable=False)
         self.network.cut = set()
         await self.clock.advance_ms(3_000)
         self.assertEqual(cut.number, 11)
@@ -238,7 +238,7 @@
         old_rows = dict(self.table.row_by_key)
         node, lagging = await self.start(2)
         self.network.cut = {"entry-2"}
-        lagging.set_platform(away=True)
+        lagging.set_platform(unavailable=True)
         await self.accept(bundle(2, ("bridge-team",)))
         await self.clock.advance_ms(3_000)
         node.table.row_by_key = old_rows
@@ -316,7 +316,7 @@
         one, other = await self.start(2)
         beside = Member("entry-2", other.link.address, "sur", "santiago", 1)
         one.members.put(beside)
-        one.set_platform(away=True)
+        one.set_platform(unavailable=True)
         other.members.put(Member("entry-9", ("10.0.0.1", 9), "sur", "santiago", 1))
         await self.accept(bundle(2))
         await self.clock.advance_ms(3_000)
--- a/tests/entry/test_prefixes.py
+++ b/tests/entry/test_prefixes.py
@@ -46,7 +46,7 @@
         self.assertEqual((status, answer["error"]["type"]), (400, "not_run"))
 
     async def test_object_store_away_does_not_refuse_a_prefix_that_was_sent_whole(self):
-        self.deployment.platform.objects.away = True
+        self.deployment.platform.objects.unavailable = True
         status, headers, _ = await self.ask(
             self.nodes[0], keep="clauses", prefix_text=CLAUSES, prompt="beam 7?"
         )
--- a/tests/faults/_faults.py
+++ b/tests/faults/_faults.py
@@ -101,8 +101,8 @@
 def _down(name: str) -> Strike:
     def strike(world, process):
         service = getattr(world, name)
-        service.away = True
-        return lambda: setattr(service, "away", False)
+        service.unavailable = True
+        return lambda: setattr(service, "unavailable", False)
 
     return strike
 
--- a/tests/faults/_world.py
+++ b/tests/faults/_world.py
@@ -245,7 +245,7 @@
 
     def see_reachable(self) -> None:
         """Tell the checker which nodes have a way to the platform now."""
-        is_away = self.table.away or self.objects.away
+        is_away = self.table.unavailable or self.objects.unavailable
         direct = {
             domain
             for domain in DOMAINS
--- a/tests/kept/test_prefix_texts.py
+++ b/tests/kept/test_prefix_texts.py
@@ -60,7 +60,7 @@
 
     async def test_store_away_is_told_and_used_texts_go_on(self):
         ref = await self.texts.name(ANDES, "clauses", CLAUSES)
-        self.objects.away = True
+        self.objects.unavailable = True
         self.assertEqual(await self.texts.resolve(ANDES, ref), PrefixText(CLAUSES))
         node = PrefixTexts(self.objects, SECRET)
         self.assertIsInstance(await node.resolve(ANDES, ref), Unavailable)
--- a/tests/leases/test_task.py
+++ b/tests/leases/test_task.py
@@ -52,10 +52,10 @@
         holder = self.make("a")
         self.start(holder)
         await self.clock.advance_ms(1)
-        self.table.away = True
+        self.table.unavailable = True
         await self.clock.advance_ms(10_000)
         self.assertIsNone(holder.claim())
-        self.table.away = False
+        self.table.unavailable = False
         await self.clock.advance_ms(4_000)
         self.assertEqual(holder.claim().fencing, 2)
 
--- a/tests/leaving/test_task.py
+++ b/tests/leaving/test_task.py
@@ -84,6 +84,6 @@
         self.assertEqual(len(self.leaving_reports), len(NAMES))
 
     async def test_unavailable_list_makes_no_upstream_leaving(self):
-        self.vms.away = True
+        self.vms.unavailable = True
         await self.clock.advance_ms(30_000)
         self.assertEqual(self.leaving_reports, [])
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -174,9 +174,9 @@
         platform = self._deployment.platform
         for node in self._nodes:
             self._see(Reachable, node.url, False)
-        platform.table.away = platform.objects.away = True
+        platform.table.unavailable = platform.objects.unavailable = True
         await asyncio.sleep(_AWAY_S)
-        platform.table.away = platform.objects.away = False
+        platform.table.unavailable = platform.objects.unavailable = False
         for node in self._nodes:
             self._see(Reachable, node.url, True)
 
--- a/tests/membership/test_task.py
+++ b/tests/membership/test_task.py
@@ -64,6 +64,6 @@
 
     async def test_node_starts_alone_while_the_platform_is_unavailable(self):
         vms = MemoryVms()
-        vms.away = True
+        vms.unavailable = True
         task, _ = await self.start("entry-1", vms=vms)
         self.assertEqual(len(task.members.all_live()), 1)
--- a/tests/rollout/test_holds.py
+++ b/tests/rollout/test_holds.py
@@ -99,26 +99,26 @@
         await self.begin(simulation)
         await simulation.run(500)
         lost = simulation.row.claims[0].replica
-        simulation.fleet.orders_by_name[lost].away = True
+        simulation.fleet.orders_by_name[lost].unavailable = True
         await simulation.run(70_000)
         self.assertEqual(simulation.row.phase, Phase.HELD)
         self.assertEqual([claim.replica for claim in simulation.row.claims], [lost])
         simulation.accept(3, "v3")
         await simulation.finish()
         self.assertIn(lost, [claim.replica for claim in simulation.row.claims])
-        simulation.fleet.orders_by_name[lost].away = False
+        simulation.fleet.orders_by_name[lost].unavailable = False
         await simulation.run(20_000)
         self.assertEqual(simulation.versions, {"v3"})
         self.assertEqual(simulation.row.phase, Phase.DONE)
 
     async def test_unreachable_replica_is_skipped_and_loaded_when_reachable_again(self):
         simulation = self.make_simulation()
-        simulation.fleet.orders_by_name["engine-3"].away = True
+        simulation.fleet.orders_by_name["engine-3"].unavailable = True
         await self.begin(simulation)
         simulation.min_serving = len(REPLICAS)
         await simulation.finish()
         self.assertEqual(simulation.row.unreachable, ("engine-3",))
         self.assertEqual(simulation.row.confirmed, 5)
-        simulation.fleet.orders_by_name["engine-3"].away = False
+        simulation.fleet.orders_by_name["engine-3"].unavailable = False
         await simulation.run(10_000)
         self.assertEqual(simulation.versions, {"v2"})
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -97,16 +97,16 @@
 
     @rule(duration_ms=st.sampled_from((1_000, 15_000)))
     def table_unavailable(self, duration_ms):
-        self.simulation.table.away = True
+        self.simulation.table.unavailable = True
         self.run_ms(duration_ms)
-        self.simulation.table.away = False
+        self.simulation.table.unavailable = False
 
     @rule(name=st.sampled_from(REPLICAS), duration_ms=st.sampled_from((3_000, 70_000)))
     def replica_unavailable(self, name, duration_ms):
         self.is_capacity_checked = self.simulation.is_floor_checked = False
-        self.simulation.fleet.orders_by_name[name].away = True
+        self.simulation.fleet.orders_by_name[name].unavailable = True
         self.run_ms(duration_ms)
-        self.simulation.fleet.orders_by_name[name].away = False
+        self.simulation.fleet.orders_by_name[name].unavailable = False
 
     @rule(duration_ms=st.sampled_from((500, 1_500)), kills=st.booleans())
     def hold_orders(self, duration_ms, kills):
@@ -173,12 +173,12 @@
         self.loop.close()
 
     async def recover(self):
-        self.simulation.table.away = False
+        self.simulation.table.unavailable = False
         self.simulation.table.lose_answers = 0
         self.simulation.are_loads_checked = self.simulation.is_floor_checked = False
         for name, orders in self.simulation.fleet.orders_by_name.items():
             orders.fail_loads = orders.lose_answers = 0
-            orders.away = False
+            orders.unavailable = False
             self.simulation.fleet.engine_by_name[name].deliver_held_orders()
         await self.simulation.finish(RECOVERY_LIMIT_MS)
         if self.simulation.row.phase == Phase.HELD:
--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -157,11 +157,11 @@
                 simulation = self.make_simulation()
 
                 def leave(simulation=simulation):
-                    simulation.table.away = True
+                    simulation.table.unavailable = True
 
                 await self.begin(simulation, at(step, leave))
                 await simulation.run(15_000)
-                simulation.table.away = False
+                simulation.table.unavailable = False
                 await simulation.finish()
                 self.assert_done(simulation)
 
--- a/tests/runs/test_once.py
+++ b/tests/runs/test_once.py
@@ -194,7 +194,7 @@
         self.assertEqual(text, WANTED)
 
     async def test_table_away_is_not_run(self):
-        self.table.away = True
+        self.table.unavailable = True
         _, outcome = await self.soon(self.collect(self.make()), 200)
         self.assertIsInstance(outcome, NotRun)
         self.assertEqual(outcome.reason, Reason.PLATFORM_AWAY)
--- a/tests/runs/test_properties.py
+++ b/tests/runs/test_properties.py
@@ -155,7 +155,7 @@
             faults = self.engine_by_name[what].faults
             faults.unreachable = faults.paused = False
         elif kind == "table":
-            self.table.away = what == "away"
+            self.table.unavailable = what == "away"
             self.table.lose_answers = int(what == "lose_answers")
         elif kind == "ask":
             self.ask(what)
@@ -194,7 +194,7 @@
         """Heal everything and let every run end."""
         for engine in self.engine_by_name.values():
             engine.faults.unreachable = engine.faults.paused = False
-        self.table.away = False
+        self.table.unavailable = False
         await self.pass_ms(61_000)
 
     def started(self):
--- a/tests/runs/test_records.py
+++ b/tests/runs/test_records.py
@@ -138,7 +138,7 @@
         self.assertIsInstance(await self.soon(self.record(1).claim("r")), Permit)
 
     async def test_table_away_is_not_run_at_once(self):
-        self.table.away = True
+        self.table.unavailable = True
         result = await self.soon(self.record(0).claim("r"), 1)
         self.assertEqual((type(result), result.reason), (NotRun, Reason.PLATFORM_AWAY))
 
@@ -149,7 +149,7 @@
         await self.soon(self.record(0).claim("r"))
 
         async def get(key):
-            self.table.away = True
+            self.table.unavailable = True
             return await MemoryTable.get(self.table, key)
 
         self.table.get = get
--- a/tests/runs/test_sweep.py
+++ b/tests/runs/test_sweep.py
@@ -118,5 +118,5 @@
 
     async def test_table_away_deletes_nothing_and_raises_nothing(self):
         await self.soon(self.record().claim("r"))
-        self.table.away = True
+        self.table.unavailable = True
         self.assertEqual(await self.soon(self.sweeper.look()), 0)
