--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -88,7 +88,7 @@
         faults = self.model.faults
         if faults.late_ms:
             await self._clock.sleep_ms(faults.late_ms)
-        if faults.dead:
+        if faults.unavailable:
             return _REFUSED
         result = act()
         if faults.lose_answers:
--- a/fireflyward/standins/_store_server.py
+++ b/fireflyward/standins/_store_server.py
@@ -76,7 +76,7 @@
         faults = self.model.faults
         if faults.late_ms:
             await self._clock.sleep_ms(faults.late_ms)
-        if faults.dead:
+        if faults.unavailable:
             return web.Response(status=_AWAY_STATUS)
         response = await handler(request)
         if faults.lose_answers:
--- a/fireflyward/standins/_store_slots.py
+++ b/fireflyward/standins/_store_slots.py
@@ -34,7 +34,7 @@
     """
 
     full: bool = False
-    dead: bool = False
+    unavailable: bool = False
     late_ms: float = 0.0
     wrong_bytes: bool = False
     damaged_bytes: bool = False
--- a/tests/daemon/test_kept_work.py
+++ b/tests/daemon/test_kept_work.py
@@ -99,7 +99,7 @@
         store dies, hangs or slows down after the index learnt of its blocks.
         Cause: an import that waits for its store instead of for its use."""
         cases = (
-            ("dead", True, "store_away"),
+            ("unavailable", True, "store_away"),
             ("late_ms", 60_000, "deadline"),
             ("late_ms", 15, "deadline"),
         )
--- a/tests/kept/test_export.py
+++ b/tests/kept/test_export.py
@@ -67,9 +67,9 @@
         self.assertEqual(self.store.model.used_slots(), 2)
 
     async def test_store_that_is_away_or_full_costs_nothing(self):
-        self.store.model.faults.dead = True
+        self.store.model.faults.unavailable = True
         self.assertIsInstance(await self.export(), NotExported)
-        self.store.model.faults.dead = False
+        self.store.model.faults.unavailable = False
         self.store.model.faults.full = True
         self.assertEqual(await self.export(), Exported(0, is_full=True))
 
--- a/tests/kept/test_import.py
+++ b/tests/kept/test_import.py
@@ -57,7 +57,7 @@
 
     async def test_store_faults_cost_recomputation_and_are_counted(self):
         cases = {
-            "dead": MissReason.STORE_AWAY,
+            "unavailable": MissReason.STORE_AWAY,
             "wrong_bytes": MissReason.WRONG_CHECKSUM,
             "damaged_bytes": MissReason.WRONG_CHECKSUM,
         }
