--- a/fireflyward/standins/_engine_kv.py
+++ b/fireflyward/standins/_engine_kv.py
@@ -27,13 +27,13 @@
 
 @dataclass(slots=True)
 class EventFaults:
-    """Switches: ``doubled`` repeats events, ``drop_every`` leaves each n-th out,
-    and the newest ``late`` events are not told yet.
+    """Switches: ``duplicated`` repeats events, ``drop_every`` leaves each n-th out,
+    and the newest ``withheld`` events are not told yet.
     """
 
-    doubled: bool = False
+    duplicated: bool = False
     drop_every: int = 0
-    late: int = 0
+    withheld: int = 0
 
 
 @dataclass(slots=True)
@@ -91,14 +91,14 @@
         newer = self._sequence - after
         known = max(0, len(self._events) - newer)
         covered = list(itertools.islice(self._events, known, None))
-        if self.faults.late:
-            covered = covered[: -self.faults.late]
+        if self.faults.withheld:
+            covered = covered[: -self.faults.withheld]
         last = covered[-1].sequence if covered else after
         told = [event for event in covered if event.position % stride == 0]
         skipped = len(covered) - len(told)
         if self.faults.drop_every:
             told = [event for event in told if event.sequence % self.faults.drop_every]
-        if self.faults.doubled:
+        if self.faults.duplicated:
             told = [event for event in told for _ in range(2)]
         return CacheEvents(self.epoch, self._sequence, tuple(told), last, skipped)
 
--- a/tests/faults/_faults.py
+++ b/tests/faults/_faults.py
@@ -268,6 +268,6 @@
 IMPOSSIBLE: dict[tuple[str, str], str] = {}
 _store_fault("store dies", _store_dies, _RESTART_MS)
 _store_fault("store full", _store_full)
-_store_fault("cache events late", _events(late=4))
-_store_fault("cache events doubled", _events(doubled=True))
+_store_fault("cache events late", _events(withheld=4))
+_store_fault("cache events doubled", _events(duplicated=True))
 _store_fault("cache events missing", _events(drop_every=2))
--- a/tests/kept/test_readers.py
+++ b/tests/kept/test_readers.py
@@ -97,11 +97,11 @@
 
     def test_doubled_and_late_events_give_the_same_index(self):
         self.read(0)
-        self.cache.faults.doubled = True
-        self.cache.faults.late = 10
+        self.cache.faults.duplicated = True
+        self.cache.faults.withheld = 10
         self.hold()
         self.read(500)
-        self.cache.faults.late = 0
+        self.cache.faults.withheld = 0
         self.read(1_000)
         self.assertEqual(self.index.find(KEYS), (HeldRun("e1", 0, 40),))
         self.assertEqual(self.reader.gaps, 0)
--- a/tests/standins/test_engine_kv.py
+++ b/tests/standins/test_engine_kv.py
@@ -111,7 +111,7 @@
         cache = EngineCache(8)
         for position, key in enumerate("abcd", start=1):
             cache.store(key, position)
-        cache.faults = EventFaults(doubled=True, drop_every=2, late=1)
+        cache.faults = EventFaults(duplicated=True, drop_every=2, withheld=1)
         events = cache.events(0)
         self.assertEqual([event.key for event in events.events], ["a", "a", "c", "c"])
         self.assertEqual(events.newest, 4)
