--- a/fireflyward/standins/_engine_faults.py
+++ b/fireflyward/standins/_engine_faults.py
@@ -12,7 +12,7 @@
     after ``after_tokens`` tokens and stay open, ``cut_streams`` close there,
     ``lost_requests`` vanish before the engine sees them, ``lost_answers`` run
     without anything coming back, ``crossed_streams`` carry another run's answer.
-    ``late_ms`` holds back the start of every stream.
+    ``delay_ms`` holds back the start of every stream.
     """
 
     unreachable: bool = False
@@ -23,7 +23,7 @@
     lost_requests: int = 0
     lost_answers: int = 0
     crossed_streams: int = 0
-    late_ms: int = 0
+    delay_ms: int = 0
 
     def take(self, name: str) -> bool:
         """Count one of the faults to come down; return whether it strikes now."""
--- a/fireflyward/standins/_fault_gate.py
+++ b/fireflyward/standins/_fault_gate.py
@@ -36,8 +36,8 @@
 
     async def on_stream(self, run_id: str) -> str:
         """A stream begins; return the run id that it names."""
-        if self.faults.late_ms:
-            await self._clock.sleep_ms(self.faults.late_ms)
+        if self.faults.delay_ms:
+            await self._clock.sleep_ms(self.faults.delay_ms)
         return _OTHER_RUN if self.faults.take("crossed_streams") else run_id
 
     def sendable(self, sent: int, ready: int) -> int:
@@ -68,7 +68,7 @@
 
     ``lost_requests`` vanish before the service acts, ``lost_answers`` after it
     acted, ``crossed_replies`` name another run, ``refusals`` say that nothing was
-    run, ``redirects`` act and point back here; ``late_ms`` holds back every reply.
+    run, ``redirects`` act and point back here; ``delay_ms`` holds back every reply.
     """
 
     lost_requests: int = 0
@@ -76,7 +76,7 @@
     crossed_replies: int = 0
     refusals: int = 0
     redirects: int = 0
-    late_ms: int = 0
+    delay_ms: int = 0
 
     def take(self, name: str) -> bool:
         """Count one of the faults to come down; return whether it strikes now."""
--- a/fireflyward/standins/_service_server.py
+++ b/fireflyward/standins/_service_server.py
@@ -37,8 +37,8 @@
             await silence()
         if self.faults.take("redirects"):
             return web.Response(status=307, headers={"Location": request.path})
-        if self.faults.late_ms:
-            await Clock().sleep_ms(self.faults.late_ms)
+        if self.faults.delay_ms:
+            await Clock().sleep_ms(self.faults.delay_ms)
         if self.faults.take("crossed_replies"):
             run_id = "another"
         head = f"{request.method} {request.path}\n".encode()
--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -86,8 +86,8 @@
 
     async def _call(self, act):
         faults = self.model.faults
-        if faults.late_ms:
-            await self._clock.sleep_ms(faults.late_ms)
+        if faults.delay_ms:
+            await self._clock.sleep_ms(faults.delay_ms)
         if faults.unavailable:
             return _REFUSED
         result = act()
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -225,7 +225,7 @@
             self._disk_free_ms = disk_start_ms + size / self.costs.disk_bytes_per_ms
             start_ms = max(start_ms, self._disk_free_ms)
         self._link_free_ms = start_ms + size / self.costs.link_bytes_per_ms
-        return self._link_free_ms - now_ms + self.faults.late_ms
+        return self._link_free_ms - now_ms + self.faults.delay_ms
 
     def _whole_listing(self, query: ListQuery) -> Listing:
         end = query.start_slot + self.costs.page
--- a/fireflyward/standins/_store_server.py
+++ b/fireflyward/standins/_store_server.py
@@ -74,8 +74,8 @@
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         faults = self.model.faults
-        if faults.late_ms:
-            await self._clock.sleep_ms(faults.late_ms)
+        if faults.delay_ms:
+            await self._clock.sleep_ms(faults.delay_ms)
         if faults.unavailable:
             return web.Response(status=_AWAY_STATUS)
         response = await handler(request)
--- a/fireflyward/standins/_store_slots.py
+++ b/fireflyward/standins/_store_slots.py
@@ -35,7 +35,7 @@
 
     full: bool = False
     unavailable: bool = False
-    late_ms: float = 0.0
+    delay_ms: float = 0.0
     wrong_bytes: bool = False
     damaged_bytes: bool = False
     lose_answers: int = 0
--- a/tests/daemon/test_kept_work.py
+++ b/tests/daemon/test_kept_work.py
@@ -100,8 +100,8 @@
         Cause: an import that waits for its store instead of for its use."""
         cases = (
             ("unavailable", True, "store_away"),
-            ("late_ms", 60_000, "deadline"),
-            ("late_ms", 15, "deadline"),
+            ("delay_ms", 60_000, "deadline"),
+            ("delay_ms", 15, "deadline"),
         )
         for name, value, reason in cases:
             with self.subTest(fault=name, value=value):
@@ -156,7 +156,7 @@
         self.world.compute(KEYS)
         await self.run_ms(self.work.prepare("A", CALL, shape_of()))
         await self.world.clock.advance_ms(1_500)
-        self.store.model.faults.late_ms = 20
+        self.store.model.faults.delay_ms = 20
         exporting = asyncio.ensure_future(self.work.export_due())
         await self.world.clock.advance_ms(60)
         self.work._imports = 1
--- a/tests/kept/test_import.py
+++ b/tests/kept/test_import.py
@@ -74,7 +74,7 @@
     async def test_late_store_is_given_up_at_the_limit(self):
         """Symptom: an answer comes later than if nothing had been kept. Sequence:
         the store takes seconds to answer. Cause: an import without a limit."""
-        self.store.model.faults.late_ms = 60_000
+        self.store.model.faults.delay_ms = 60_000
         began_ms = self.world.clock.now_ms()
         result = await self.load(limit_ms=25)
         self.assertEqual(result.reason, MissReason.DEADLINE)
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -183,10 +183,10 @@
     async def _stores_slow(self) -> None:
         faults = [server.model.faults for server in self._stores()]
         for fault in faults:
-            fault.late_ms = 400.0
+            fault.delay_ms = 400.0
         await asyncio.sleep(_AWAY_S)
         for fault in faults:
-            fault.late_ms = 0.0
+            fault.delay_ms = 0.0
 
     def _stores(self) -> list:
         return list(self._deployment.store_by_name.values())
--- a/tests/runs/test_properties.py
+++ b/tests/runs/test_properties.py
@@ -56,7 +56,7 @@
             "unreachable",
             "paused",
             "paused",
-            "late_ms",
+            "delay_ms",
         ]
     ),
     st.integers(0, TOKENS),
@@ -150,7 +150,7 @@
             name, fault, after = what
             for faults in self.faults_of(name):
                 faults.after_tokens = after
-                setattr(faults, fault, 700 if fault == "late_ms" else 1)
+                setattr(faults, fault, 700 if fault == "delay_ms" else 1)
         elif kind == "heal":
             faults = self.engine_by_name[what].faults
             faults.unreachable = faults.paused = False
--- a/tests/standins/test_engine_kv.py
+++ b/tests/standins/test_engine_kv.py
@@ -59,7 +59,7 @@
         version that was compared only before the read."""
         refs = await self.keep()
         kv = self.world.other_engine()
-        self.store.model.faults.late_ms = 50
+        self.store.model.faults.delay_ms = 50
         order = ImportOrder("o2", MODEL, VERSION, refs, {}, 1_000)
         task = asyncio.ensure_future(kv.import_blocks(order))
         await self.world.clock.advance_ms(10)
@@ -70,7 +70,7 @@
 
     async def test_late_store_costs_no_more_than_the_limit(self):
         refs = await self.keep()
-        self.store.model.faults.late_ms = 10_000
+        self.store.model.faults.delay_ms = 10_000
         began_ms = self.world.clock.now_ms()
         report = await self.load(refs, limit_ms=40)
         self.assertEqual(report.misses[0].reason, MissReason.DEADLINE)
