--- a/fireflyward/bench/_balancing.py
+++ b/fireflyward/bench/_balancing.py
@@ -289,7 +289,7 @@
         way_ms = self._way_ms(node, name)
         costs = self._engine_by_name[name].model.costs
         first_ms = max(now_ms, run.first_token_ms + way_ms)
-        end_ms = max(now_ms, run.ends_ms(costs.decode_ms_per_token) + way_ms)
+        end_ms = max(now_ms, run.end_ms(costs.decode_ms_per_token) + way_ms)
         self._at(first_ms, self._first_token, node, name, run_id)
         self._at(end_ms, self._end, node, name, run_id)
 
--- a/fireflyward/demo/_demo.py
+++ b/fireflyward/demo/_demo.py
@@ -90,9 +90,9 @@
 
     async def wait_until_kept(self) -> None:
         """Wait until the store holds what the round computed, or a while."""
-        ends_ms = self._clock.now_ms() + _KEPT_LIMIT_MS
+        end_ms = self._clock.now_ms() + _KEPT_LIMIT_MS
         wanted = _CLAUSES * count_tokens(_CLAUSE) // BLOCK_TOKENS
-        while self._clock.now_ms() < ends_ms:
+        while self._clock.now_ms() < end_ms:
             if self._deployment.stored_blocks >= wanted * len(KEY_BY_ACCOUNT):
                 break
             await self._clock.sleep_ms(_POLL_MS)
--- a/fireflyward/standins/_engine_chunks.py
+++ b/fireflyward/standins/_engine_chunks.py
@@ -32,15 +32,15 @@
         """Let chunks and runs end, in the order of time, up to ``now_ms``."""
         while True:
             ending = min(self._running, key=self._ends_ms, default=None)
-            ends_ms = self._ends_ms(ending) if ending else math.inf
-            if min(ends_ms, self._chunk_ends_ms) > now_ms:
+            end_ms = self._ends_ms(ending) if ending else math.inf
+            if min(end_ms, self._chunk_ends_ms) > now_ms:
                 return
-            if self._chunk_ends_ms <= ends_ms:
-                ends_ms = self._chunk_ends_ms
+            if self._chunk_ends_ms <= end_ms:
+                end_ms = self._chunk_ends_ms
                 self._end_chunk()
             else:
                 self._running.discard(ending)
-            self._fill(ends_ms)
+            self._fill(end_ms)
 
     def next_ms(self) -> float:
         """Return when something next happens inside; infinity for never."""
@@ -91,4 +91,4 @@
         run = self.run_by_id[run_id]
         if run.first_token_ms < 0:
             return math.inf
-        return run.ends_ms(self.costs.decode_ms_per_token)
+        return run.end_ms(self.costs.decode_ms_per_token)
--- a/fireflyward/standins/_engine_model.py
+++ b/fireflyward/standins/_engine_model.py
@@ -50,7 +50,7 @@
         made = int((now_ms - self.first_token_ms) / decode_ms) + 1
         return min(self.call.max_tokens, made)
 
-    def ends_ms(self, decode_ms: float) -> float:
+    def end_ms(self, decode_ms: float) -> float:
         """Return the time of the last token."""
         return self.first_token_ms + (self.call.max_tokens - 1) * decode_ms
 
@@ -202,7 +202,7 @@
         return int(left_ms / self.costs.prefill_ms_per_token)
 
     def _ends_ms(self, run_id: str) -> float:
-        return self.run_by_id[run_id].ends_ms(self.costs.decode_ms_per_token)
+        return self.run_by_id[run_id].end_ms(self.costs.decode_ms_per_token)
 
     def _fill(self, now_ms: float) -> None:
         while self._queue and len(self._running) < self.costs.max_running:
--- a/fireflyward/workloads/_andinos.py
+++ b/fireflyward/workloads/_andinos.py
@@ -67,10 +67,10 @@
     has_session = source.random() < _SESSION_SHARE
     is_hinted = source.random() < _HINT_SHARE
     hinted = clauses.tokens // BLOCK_TOKENS if is_hinted else 0
-    ends_ms = load.shift_hours * HOUR_MS
-    at_ms = source.betavariate(1.2, 2.5) * ends_ms
+    end_ms = load.shift_hours * HOUR_MS
+    at_ms = source.betavariate(1.2, 2.5) * end_ms
     prompts = []
-    while at_ms < ends_ms:
+    while at_ms < end_ms:
         for _ in range(bounded(source.expovariate(1 / 4), 1, 12)):
             question = bounded(lognormal(source, 120, 0.6), 20, 800)
             answer = bounded(lognormal(source, 60, 0.6), 8, 400)
@@ -78,7 +78,7 @@
             prompts.append(Prompt(at_ms, account, text, answer, has_session, hinted))
             at_ms += lognormal(source, 1.5 * MINUTE_MS, 0.6)
         at_ms += lognormal(source, load.visit_gap_ms, 0.7)
-    return [prompt for prompt in prompts if prompt.at_ms < ends_ms]
+    return [prompt for prompt in prompts if prompt.at_ms < end_ms]
 
 
 def _batch(
--- a/fireflyward/workloads/_engine.py
+++ b/fireflyward/workloads/_engine.py
@@ -80,8 +80,8 @@
                 continue
             first = self._first_by_run.pop(run_id)
             self._tell_at(run.first_token_ms, first, run.cached_tokens)
-            ends_ms = run.ends_ms(self.model.costs.decode_ms_per_token)
-            self._clock.call_at(ends_ms, lambda ended=run_id: self._end(ended))
+            end_ms = run.end_ms(self.model.costs.decode_ms_per_token)
+            self._clock.call_at(end_ms, lambda ended=run_id: self._end(ended))
 
     def _tell_at(self, at_ms: float, first: FirstToken, cached_tokens: int) -> None:
         self._clock.call_at(at_ms, lambda: first(at_ms, cached_tokens))
--- a/fireflyward/workloads/_nota_birlik.py
+++ b/fireflyward/workloads/_nota_birlik.py
@@ -67,8 +67,8 @@
     for _ in range(bounded(source.expovariate(1 / 5), 1, 20)):
         prompts.append(_ask(source, at_ms, account, ledger, 250, 300, has_session))
         at_ms += lognormal(source, 0.7 * MINUTE_MS, 0.5)
-    ends_ms = load.days * _DAY_HOURS * HOUR_MS
-    while at_ms < ends_ms:
+    end_ms = load.days * _DAY_HOURS * HOUR_MS
+    while at_ms < end_ms:
         at_ms += lognormal(source, load.question_gap_ms, 0.9)
         for _ in range(bounded(source.expovariate(1 / 2), 1, 6)):
             if _is_open(at_ms, load):
