--- a/fireflyward/standins/_engine_kv.py
+++ b/fireflyward/standins/_engine_kv.py
@@ -43,7 +43,7 @@
     capacity: int
     epoch: str = "1"
     faults: EventFaults = field(default_factory=EventFaults)
-    _place_by_key: OrderedDict[str, tuple[int, str]] = field(
+    _entry_by_key: OrderedDict[str, tuple[int, str]] = field(
         default_factory=OrderedDict
     )
     _events: deque[CacheEvent] = field(
@@ -52,35 +52,35 @@
     _sequence: int = 0
 
     def __contains__(self, key: str) -> bool:
-        return key in self._place_by_key
+        return key in self._entry_by_key
 
     def __len__(self) -> int:
-        return len(self._place_by_key)
+        return len(self._entry_by_key)
 
     def keys(self) -> Iterable[str]:
         """Return the cached blocks, least recently used first."""
-        return self._place_by_key.keys()
+        return self._entry_by_key.keys()
 
     def prefix_blocks(self, keys: Iterable[str]) -> int:
         """Count the blocks, from the first, that are cached."""
-        held = itertools.takewhile(self._place_by_key.__contains__, keys)
+        held = itertools.takewhile(self._entry_by_key.__contains__, keys)
         return sum(1 for _ in held)
 
     def store(self, key: str, position: int, first_key: str = "") -> None:
         """Hold a block as the most recently used one."""
         place = (position, first_key)
-        if key not in self._place_by_key:
+        if key not in self._entry_by_key:
             self._tell(CacheChange.STORED, key, place)
-        self._place_by_key[key] = place
-        self._place_by_key.move_to_end(key)
-        while len(self._place_by_key) > self.capacity:
-            evicted, evicted_place = self._place_by_key.popitem(last=False)
+        self._entry_by_key[key] = place
+        self._entry_by_key.move_to_end(key)
+        while len(self._entry_by_key) > self.capacity:
+            evicted, evicted_place = self._entry_by_key.popitem(last=False)
             self._tell(CacheChange.EVICTED, evicted, evicted_place)
 
     def restart_empty(self, epoch: str) -> None:
         """Forget everything without an event, as an engine that restarted."""
         self.epoch = epoch
-        self._place_by_key.clear()
+        self._entry_by_key.clear()
         self._events.clear()
         self._sequence = 0
 
@@ -105,7 +105,7 @@
     def _whole(self, stride: int) -> CacheEvents:
         held = tuple(
             CacheEvent(self._sequence, CacheChange.STORED, key, *place)
-            for key, place in self._place_by_key.items()
+            for key, place in self._entry_by_key.items()
             if place[0] % stride == 0
         )
         newest = self._sequence
--- a/tests/kept/test_export.py
+++ b/tests/kept/test_export.py
@@ -61,7 +61,7 @@
                 self.assertEqual(self.store.model.used_slots(), kept)
 
     async def test_hole_ends_what_is_published_and_the_rest_is_given_back(self):
-        self.world.engine.cache._place_by_key.pop(KEYS[2])
+        self.world.engine.cache._entry_by_key.pop(KEYS[2])
         result = await self.export()
         self.assertEqual(result.blocks, 2)
         self.assertEqual(self.store.model.used_slots(), 2)
