--- a/fireflyward/standins/__init__.py
+++ b/fireflyward/standins/__init__.py
@@ -12,7 +12,7 @@
 from ._engine_model import EngineCosts, EngineModel, answer_text, answer_token
 from ._engine_orders import EngineOrders, WeightSource
 from ._engine_server import EngineServer
-from ._fault_gate import FaultGate, ServiceFaults
+from ._fault_injection import FaultGate, ServiceFaults
 from ._memory_fleet import MemoryFleet, MemoryOrderedEngine
 from ._platform_memory import MemoryObjects, MemoryTable, MemoryVms, MemoryWeights
 from ._platform_server import PlatformServer
--- a/fireflyward/standins/_engine_memory.py
+++ b/fireflyward/standins/_engine_memory.py
@@ -17,7 +17,7 @@
 )
 
 from ._engine_model import EngineModel, EngineRun
-from ._fault_gate import FaultGate
+from ._fault_injection import FaultGate
 
 _STEP_MS = 10
 _KEEP_ALIVE_MS = 500
--- a/fireflyward/standins/_engine_server.py
+++ b/fireflyward/standins/_engine_server.py
@@ -17,7 +17,7 @@
 from ._engine_model import EngineModel, EngineRun
 from ._engine_order_server import EngineOrderRoutes
 from ._engine_orders import EngineOrders
-from ._fault_gate import FaultGate
+from ._fault_injection import FaultGate
 from ._http_server import HttpServer
 
 _KEEP_ALIVE_MS = 500
--- a/fireflyward/standins/_service_server.py
+++ b/fireflyward/standins/_service_server.py
@@ -6,7 +6,7 @@
 
 from fireflyward.clock import Clock
 
-from ._fault_gate import ServiceFaults, silence
+from ._fault_injection import ServiceFaults, silence
 from ._http_server import HttpServer
 
 
