--- a/fireflyward/standins/__init__.py
+++ b/fireflyward/standins/__init__.py
@@ -1,8 +1,9 @@
-"""Small stand-ins of what the product serves and of what the platform gives.
+"""Small stand-ins for the upstreams and for the services of the platform.
 
-The decisions of each (``EngineModel``, ``MemoryTable``, …) have no sockets and
-take the time as an argument, so tests drive them in memory; the HTTP servers put
-them behind the interface that docs/PLATFORM.md describes.
+The classes that make the decisions (``EngineModel``, ``MemoryTable``, …) have no
+sockets, and the engines and stores get the time from their caller, so tests run
+them in memory. The HTTP servers offer them through the interface that
+docs/PLATFORM.md describes.
 """
 
 from ._engine_chunks import ChunkedEngineModel
@@ -12,7 +13,7 @@
 from ._engine_model import EngineCosts, EngineModel, answer_text, answer_token
 from ._engine_orders import EngineOrders, WeightSource
 from ._engine_server import EngineServer
-from ._fault_injection import FaultGate, ServiceFaults
+from ._fault_injection import FaultInjector, ServiceFaults
 from ._memory_fleet import MemoryFleet, MemoryOrderedEngine
 from ._platform_memory import MemoryObjects, MemoryTable, MemoryVms, MemoryWeights
 from ._platform_server import PlatformServer
@@ -32,7 +33,7 @@
     "EngineOrders",
     "EngineServer",
     "EventFaults",
-    "FaultGate",
+    "FaultInjector",
     "MemoryEngine",
     "MemoryFleet",
     "MemoryObjects",
--- a/fireflyward/standins/_engine_faults.py
+++ b/fireflyward/standins/_engine_faults.py
@@ -5,14 +5,16 @@
 
 @dataclass(slots=True)
 class EngineFaults:
-    """What goes wrong between an engine and its node.
+    """The faults that strike the connections between an engine and its nodes.
 
-    ``unreachable`` refuses connections. ``paused`` takes them and says nothing, on
-    old and new ones alike. The rest count streams to come: ``silent_streams`` stop
-    after ``after_tokens`` tokens and stay open, ``cut_streams`` close there,
-    ``lost_requests`` vanish before the engine sees them, ``lost_answers`` run
-    without anything coming back, ``crossed_streams`` carry another run's answer.
-    ``delay_ms`` holds back the start of every stream.
+    With ``unreachable`` the engine refuses connections. With ``paused`` it accepts
+    them, but sends nothing on new or existing ones. ``silent_streams`` to
+    ``crossed_streams`` are how many of the next streams or requests are struck:
+    ``silent_streams`` stop after ``after_tokens`` tokens and stay open,
+    ``cut_streams`` close at that point, ``lost_requests`` are lost before they reach
+    the engine, ``lost_answers`` run but their answer is lost, and
+    ``crossed_streams`` carry another run's id. ``delay_ms`` delays the start of
+    every stream.
     """
 
     unreachable: bool = False
@@ -25,9 +27,9 @@
     crossed_streams: int = 0
     delay_ms: int = 0
 
-    def take(self, name: str) -> bool:
-        """Count one of the faults to come down; return whether it strikes now."""
-        left = getattr(self, name)
-        if left:
-            setattr(self, name, left - 1)
-        return left > 0
+    def consume(self, name: str) -> bool:
+        """Return whether the fault strikes now, and decrement its counter if so."""
+        remaining = getattr(self, name)
+        if remaining:
+            setattr(self, name, remaining - 1)
+        return remaining > 0
--- a/fireflyward/standins/_engine_kv.py
+++ b/fireflyward/standins/_engine_kv.py
@@ -21,14 +21,16 @@
     block_checksum,
 )
 
-_KEPT_EVENTS = 16_384
-_PAYLOAD_MARK = b"kv:"
+_MAX_EVENTS = 16_384
+_PAYLOAD_PREFIX = b"kv:"
 
 
 @dataclass(slots=True)
 class EventFaults:
-    """Switches: ``duplicated`` repeats events, ``drop_every`` leaves each n-th out,
-    and the newest ``withheld`` events are not told yet.
+    """The faults of a cache's event list.
+
+    ``duplicated`` returns every event twice, ``drop_every`` leaves out each n-th
+    event, and ``withheld`` is how many of the newest events are not returned yet.
     """
 
     duplicated: bool = False
@@ -47,7 +49,7 @@
         default_factory=OrderedDict
     )
     _events: deque[CacheEvent] = field(
-        default_factory=lambda: deque(maxlen=_KEPT_EVENTS)
+        default_factory=lambda: deque(maxlen=_MAX_EVENTS)
     )
     _sequence: int = 0
 
@@ -63,80 +65,87 @@
 
     def prefix_blocks(self, keys: Iterable[str]) -> int:
         """Count the blocks, from the first, that are cached."""
-        held = itertools.takewhile(self._entry_by_key.__contains__, keys)
-        return sum(1 for _ in held)
+        cached = itertools.takewhile(self._entry_by_key.__contains__, keys)
+        return sum(1 for _ in cached)
 
     def store(self, key: str, position: int, first_key: str = "") -> None:
-        """Hold a block as the most recently used one."""
-        place = (position, first_key)
+        """Cache a block as the most recently used one."""
+        entry = (position, first_key)
         if key not in self._entry_by_key:
-            self._tell(CacheChange.STORED, key, place)
-        self._entry_by_key[key] = place
+            self._record_event(CacheChange.STORED, key, entry)
+        self._entry_by_key[key] = entry
         self._entry_by_key.move_to_end(key)
         while len(self._entry_by_key) > self.capacity:
-            evicted, evicted_place = self._entry_by_key.popitem(last=False)
-            self._tell(CacheChange.EVICTED, evicted, evicted_place)
+            evicted, evicted_entry = self._entry_by_key.popitem(last=False)
+            self._record_event(CacheChange.EVICTED, evicted, evicted_entry)
 
     def restart_empty(self, epoch: str) -> None:
-        """Forget everything without an event, as an engine that restarted."""
+        """Drop all blocks and events, as an engine does that restarts."""
         self.epoch = epoch
         self._entry_by_key.clear()
         self._events.clear()
         self._sequence = 0
 
     def events(self, after: int, *, stride: int = 1) -> CacheEvents:
-        """Return the events after a sequence, with the faults that are on."""
+        """Return the events after a sequence number, changed by active faults.
+
+        A negative number asks for the full state of the cache.
+        """
         if after < 0:
-            return self._whole(stride)
+            return self._full_state(stride)
         newer = self._sequence - after
-        known = max(0, len(self._events) - newer)
-        covered = list(itertools.islice(self._events, known, None))
+        first_index = max(0, len(self._events) - newer)
+        covered = list(itertools.islice(self._events, first_index, None))
         if self.faults.withheld:
             covered = covered[: -self.faults.withheld]
         last = covered[-1].sequence if covered else after
-        told = [event for event in covered if event.position % stride == 0]
-        skipped = len(covered) - len(told)
+        selected = [event for event in covered if event.position % stride == 0]
+        skipped = len(covered) - len(selected)
         if self.faults.drop_every:
-            told = [event for event in told if event.sequence % self.faults.drop_every]
+            selected = [
+                event for event in selected if event.sequence % self.faults.drop_every
+            ]
         if self.faults.duplicated:
-            told = [event for event in told for _ in range(2)]
-        return CacheEvents(self.epoch, self._sequence, tuple(told), last, skipped)
-
-    def _whole(self, stride: int) -> CacheEvents:
-        held = tuple(
-            CacheEvent(self._sequence, CacheChange.STORED, key, *place)
-            for key, place in self._entry_by_key.items()
-            if place[0] % stride == 0
+            selected = [event for event in selected for _ in range(2)]
+        return CacheEvents(self.epoch, self._sequence, tuple(selected), last, skipped)
+
+    def _full_state(self, stride: int) -> CacheEvents:
+        cached = tuple(
+            CacheEvent(self._sequence, CacheChange.STORED, key, *entry)
+            for key, entry in self._entry_by_key.items()
+            if entry[0] % stride == 0
         )
         newest = self._sequence
-        return CacheEvents(self.epoch, newest, held, newest, is_whole=True)
+        return CacheEvents(self.epoch, newest, cached, newest, is_whole=True)
 
-    def _tell(self, change: CacheChange, key: str, place: tuple[int, str]) -> None:
+    def _record_event(
+        self, change: CacheChange, key: str, entry: tuple[int, str]
+    ) -> None:
         self._sequence += 1
-        self._events.append(CacheEvent(self._sequence, change, key, *place))
+        self._events.append(CacheEvent(self._sequence, change, key, *entry))
 
 
-class KvHolder(Protocol):
-    """What export and import need of the engine around the cache."""
+class KvCacheOwner(Protocol):
+    """The part of an engine that export and import use."""
 
     cache: EngineCache
     version_by_model: dict[str, str]
 
 
 def kv_payload(key: str) -> bytes:
-    """Return the bytes that the stand-in keeps of a block; they name its key."""
-    return _PAYLOAD_MARK + key.encode()
+    """Return the bytes that stand for a block's KV data; they contain its key."""
+    return _PAYLOAD_PREFIX + key.encode()
 
 
 @dataclass(slots=True)
 class EngineKv:
-    """Carries out export and import orders; a ``KvEngine`` without sockets.
+    """Executes export and import orders; a ``KvEngine`` without sockets.
 
-    ``store_of`` gives the client of a store by its name and URL. Loading one
-    block takes the engine ``import_ms_per_block``, one at a time.
+    ``store_of`` returns the client of a store by its name and URL. The engine
+    imports one block at a time, which takes ``import_ms_per_block``.
     """
 
-    engine: KvHolder
+    engine: KvCacheOwner
     clock: Clock
     store_of: Callable[[str, str], StoreClient]
     import_ms_per_block: float = 0.5
@@ -150,24 +159,24 @@
         sealed: list[BlockRef] = []
         for store_name in dict.fromkeys(ref.store for ref in written):
             refs = tuple(ref for ref in written if ref.store == store_name)
-            result = await self._store(order, store_name).seal(refs)
+            result = await self._store_client(order, store_name).seal(refs)
             if not isinstance(result, StoreAway):
                 sealed.extend(result.refs)
         return ExportReport(tuple(sealed), tuple(missing))
 
     async def import_blocks(self, order: ImportOrder) -> ImportReport:
-        until_ms = self.clock.now_ms() + order.limit_ms
+        deadline_ms = self.clock.now_ms() + order.limit_ms
         blocks = bytes_read = 0
         for ref in order.refs:
             if ref.key not in self.engine.cache:
-                payload = await self._fetch(order, ref, until_ms)
+                payload = await self._fetch(order, ref, deadline_ms)
                 if isinstance(payload, Miss):
-                    self._count(payload.reason)
+                    self._count_miss(payload.reason)
                     return ImportReport(blocks, bytes_read, (payload,))
                 bytes_read += len(payload)
             self.engine.cache.store(ref.key, ref.position, order.first_key)
             blocks += 1
-            until_ms += order.block_ms
+            deadline_ms += order.block_ms
         return ImportReport(blocks, bytes_read)
 
     async def cache_events(self, after: int, *, stride: int = 1) -> CacheEvents:
@@ -177,7 +186,7 @@
         if ref.key not in self.engine.cache:
             return Miss(ref.key, MissReason.NOT_KEPT)
         payload = kv_payload(ref.key)
-        result = await self._store(order, ref.store).write(ref, payload)
+        result = await self._store_client(order, ref.store).write(ref, payload)
         if isinstance(result, StoreAway):
             return Miss(ref.key, MissReason.STORE_AWAY)
         if not result.refs:
@@ -194,18 +203,21 @@
         )
 
     async def _fetch(
-        self, order: ImportOrder, ref: BlockRef, until_ms: float
+        self, order: ImportOrder, ref: BlockRef, deadline_ms: float
     ) -> bytes | Miss:
-        """Read a block and check everything about it before it may be used.
+        """Read a block and check all its properties before it may be used.
 
-        The version is compared after the read: a swap that came meanwhile would
-        otherwise put blocks of the old weights before a request for the new ones.
+        The version is compared after the read: otherwise, after a swap of weights
+        during the read, a request for the new weights would use blocks that were
+        computed with the old ones.
         """
-        left_ms = until_ms - self.clock.now_ms()
-        if left_ms <= 0:
+        remaining_ms = deadline_ms - self.clock.now_ms()
+        if remaining_ms <= 0:
             return Miss(ref.key, MissReason.DEADLINE)
-        store = self._store(order, ref.store)
-        payload = await within_ms(self.clock, left_ms, self._load(store, ref))
+        store = self._store_client(order, ref.store)
+        payload = await within_ms(
+            self.clock, remaining_ms, self._load_block(store, ref)
+        )
         if isinstance(payload, TimedOut):
             return Miss(ref.key, MissReason.DEADLINE)
         if isinstance(payload, StoreAway):
@@ -216,7 +228,7 @@
             return Miss(ref.key, MissReason.WRONG_VERSION)
         return check_block(ref, payload) or payload
 
-    async def _load(
+    async def _load_block(
         self, store: StoreClient, ref: BlockRef
     ) -> bytes | Miss | StoreAway:
         payload = await store.read(ref)
@@ -224,15 +236,15 @@
             await self.clock.sleep_ms(self.import_ms_per_block)
         return payload
 
-    def _store(self, order: ExportOrder | ImportOrder, name: str) -> StoreClient:
+    def _store_client(self, order: ExportOrder | ImportOrder, name: str) -> StoreClient:
         return self.store_of(name, order.url_by_store.get(name, ""))
 
-    def _count(self, reason: MissReason) -> None:
+    def _count_miss(self, reason: MissReason) -> None:
         self.miss_by_reason[reason] = self.miss_by_reason.get(reason, 0) + 1
 
 
 def check_block(ref: BlockRef, payload: bytes) -> Miss | None:
-    """Return why ``payload`` is not the block that ``ref`` describes, if it is not."""
+    """Return a miss with the reason if ``payload`` is not the block of ``ref``."""
     if len(payload) != ref.length:
         return Miss(ref.key, MissReason.WRONG_LENGTH)
     if block_checksum(ref.key, ref.generation, payload) != ref.checksum:
--- a/fireflyward/standins/_engine_kv_server.py
+++ b/fireflyward/standins/_engine_kv_server.py
@@ -1,4 +1,4 @@
-"""The KV calls of the engine stand-in over HTTP; it fetches from stores itself."""
+"""The KV calls of the engine stand-in over HTTP; it reads from the stores itself."""
 
 from collections.abc import AsyncIterator
 
@@ -17,26 +17,26 @@
 
 
 class EngineKvRoutes:
-    """Serves ``EngineKv`` and owns the session towards the stores."""
+    """Serves ``EngineKv`` and owns the HTTP session to the stores."""
 
     def __init__(self, model: EngineModel, clock: Clock) -> None:
         self.kv = EngineKv(
-            model, clock, self._store_of, model.costs.import_ms_per_block
+            model, clock, self._store_client, model.costs.import_ms_per_block
         )
         self._session: aiohttp.ClientSession | None = None
 
     def add_to(self, app: web.Application) -> None:
-        """Add the routes, and the session for as long as the application runs."""
+        """Add the routes, and a session that is open while the application runs."""
         app.router.add_post("/kv/export", self._export)
         app.router.add_post("/kv/import", self._import)
         app.router.add_get("/kv/events", self._events)
-        app.cleanup_ctx.append(self._hold_session)
+        app.cleanup_ctx.append(self._open_session)
 
-    async def _hold_session(self, app: web.Application) -> AsyncIterator[None]:
+    async def _open_session(self, app: web.Application) -> AsyncIterator[None]:
         async with aiohttp.ClientSession() as self._session:
             yield
 
-    def _store_of(self, name: str, url: str) -> StoreClient:
+    def _store_client(self, name: str, url: str) -> StoreClient:
         return HttpStore(self._session, name, url)
 
     async def _export(self, request: web.Request) -> web.Response:
--- a/fireflyward/standins/_engine_order_server.py
+++ b/fireflyward/standins/_engine_order_server.py
@@ -12,7 +12,7 @@
 
 
 class EngineOrderRoutes:
-    """Serves ``EngineOrders``; an answer that is to be lost closes the connection."""
+    """Serves ``EngineOrders``; instead of a lost answer it closes the connection."""
 
     def __init__(self, orders: EngineOrders, clock: Clock) -> None:
         self._orders = orders
@@ -20,18 +20,18 @@
 
     def add_to(self, app: web.Application) -> None:
         """Add the routes."""
-        app.router.add_post("/v1/orders", self._take)
+        app.router.add_post("/v1/orders", self._handle_order)
         app.router.add_get("/v1/state", self._state)
 
-    async def _take(self, request: web.Request) -> web.Response:
+    async def _handle_order(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=EngineOrder)
-        return _answer(request, self._orders.take(self._clock.now_ms(), order))
+        return _respond(request, self._orders.handle_order(self._clock.now_ms(), order))
 
     async def _state(self, request: web.Request) -> web.Response:
-        return _answer(request, self._orders.state(self._clock.now_ms()))
+        return _respond(request, self._orders.state(self._clock.now_ms()))
 
 
-def _answer(request: web.Request, result: OrderResult) -> web.Response:
+def _respond(request: web.Request, result: OrderResult) -> web.Response:
     if isinstance(result, Broken):
         request.transport.close()
         return web.Response(status=504)
--- a/fireflyward/standins/_engine_orders.py
+++ b/fireflyward/standins/_engine_orders.py
@@ -1,4 +1,4 @@
-"""How the engine stand-in takes orders and loads weights."""
+"""How the engine stand-in handles orders and loads weights."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 from ._engine_model import EngineModel
 
 _LOST = Broken(True, "answer lost")
-_AWAY = Broken(False, "away")
+_UNAVAILABLE = Broken(False, "the engine stand-in is unavailable")
 _FULL_RATE_LOADS = 2
 
 
@@ -25,70 +25,74 @@
 
 
 class WeightSource:
-    """The weight store as loading engines share it.
+    """The weight store, whose bandwidth the loading engines share.
 
-    Two loads go at full rate; of more each gets an equal part of what two have.
-    ``max_concurrent_loads`` is what a test holds against the rule of two.
+    Two loads run at full rate; more loads share the bandwidth of two equally.
+    Tests check ``max_concurrent_loads`` against the limit of two loads at once.
     """
 
     def __init__(self) -> None:
         self.max_concurrent_loads = 0
         self._load_by_replica: dict[int, _Load] = {}
-        self._ended_ms_by_replica: dict[int, float] = {}
-        self._seen_ms = 0.0
+        self._finished_ms_by_replica: dict[int, float] = {}
+        self._advanced_to_ms = 0.0
 
-    def begin(self, now_ms: float, replica: int, load_ms: float) -> None:
-        """Start a load for a replica; one that it already has starts anew."""
+    def start_load(self, now_ms: float, replica: int, load_ms: float) -> None:
+        """Start a replica's load; a load in progress starts again from zero."""
         self.advance(now_ms)
         self._load_by_replica[replica] = _Load(load_ms)
-        self._ended_ms_by_replica.pop(replica, None)
+        self._finished_ms_by_replica.pop(replica, None)
         self.max_concurrent_loads = max(
             self.max_concurrent_loads, len(self._load_by_replica)
         )
 
-    def ended_ms(self, now_ms: float, replica: int) -> float | None:
-        """Return when a replica's load ended, or None while it goes on."""
+    def finished_ms(self, now_ms: float, replica: int) -> float | None:
+        """Return when a replica's load finished, or None if it has not."""
         self.advance(now_ms)
-        return self._ended_ms_by_replica.get(replica)
+        return self._finished_ms_by_replica.get(replica)
 
     def advance(self, now_ms: float) -> None:
-        """Let loads go on, and end in the order of time, up to ``now_ms``."""
-        while self._load_by_replica and self._seen_ms < now_ms:
+        """Continue and finish the loads, in order of time, up to ``now_ms``."""
+        while self._load_by_replica and self._advanced_to_ms < now_ms:
             rate = min(1.0, _FULL_RATE_LOADS / len(self._load_by_replica))
-            replica, first = min(
+            replica, shortest = min(
                 self._load_by_replica.items(), key=lambda item: item[1].remaining_ms
             )
-            passed_ms = min(now_ms - self._seen_ms, first.remaining_ms / rate)
-            self._seen_ms += passed_ms
+            elapsed_ms = min(
+                now_ms - self._advanced_to_ms, shortest.remaining_ms / rate
+            )
+            self._advanced_to_ms += elapsed_ms
             for load in self._load_by_replica.values():
-                load.remaining_ms -= passed_ms * rate
-            if first.remaining_ms <= 1e-6:
+                load.remaining_ms -= elapsed_ms * rate
+            if shortest.remaining_ms <= 1e-6:
                 del self._load_by_replica[replica]
-                self._ended_ms_by_replica[replica] = self._seen_ms
-        self._seen_ms = max(self._seen_ms, now_ms)
+                self._finished_ms_by_replica[replica] = self._advanced_to_ms
+        self._advanced_to_ms = max(self._advanced_to_ms, now_ms)
 
 
 @dataclass(slots=True)
 class EngineOrders:
-    """Decides what becomes of an order; the caller gives the time.
+    """Decides how an engine handles orders; the caller passes the current time.
 
-    An engine holds the weights of a model once: from an order that changes them
-    it takes no new runs of that model, lets those that it has run to their end,
-    loads, and then takes runs of the new version. Its other models go on.
+    An engine has memory for one version of a model's weights. After an order that
+    changes the version it rejects new runs of that model, finishes the runs that
+    it has accepted, loads the new weights, and then accepts runs of the new
+    version. It continues to serve its other models meanwhile.
 
-    ``fail_loads``, ``lose_answers`` and ``refuse`` count what is to go wrong,
-    ``slow`` multiplies the time of a load, and ``unavailable`` cuts the engine off.
+    ``fail_loads``, ``lose_answers`` and ``refuse`` are how many of the next loads
+    fail, answers are lost and orders are refused. ``load_time_factor`` multiplies
+    the time of a load, and ``unavailable`` makes the engine unreachable.
     """
 
     model: EngineModel
     weights: WeightSource = field(default_factory=WeightSource)
     honours_fencing: bool = True
     deduplicates_orders: bool = True
-    known_versions: frozenset[str] | None = None
+    available_versions: frozenset[str] | None = None
     fail_loads: int = 0
     lose_answers: int = 0
     refuse: int = 0
-    slow: float = 1.0
+    load_time_factor: float = 1.0
     unavailable: bool = False
     fencing: int = 0
     order_id: str = ""
@@ -97,21 +101,21 @@
     adapters: tuple[str, ...] = ()
     applied_orders: list[EngineOrder] = field(default_factory=list)
     loads: int = 0
-    _waiting: dict[str, str] = field(default_factory=dict)
-    _loading: str = ""
-    _ids: set[str] = field(default_factory=set)
+    _pending_version_by_model: dict[str, str] = field(default_factory=dict)
+    _loading_model: str = ""
+    _seen_order_ids: set[str] = field(default_factory=set)
 
-    def take(self, now_ms: float, order: EngineOrder) -> OrderResult:
-        """Take an order or say why not."""
+    def handle_order(self, now_ms: float, order: EngineOrder) -> OrderResult:
+        """Accept an order, or return why it is refused."""
         if self.unavailable:
-            return _AWAY
+            return _UNAVAILABLE
         self._advance(now_ms)
-        refusal = self._refusal(order)
+        refusal = self._find_refusal(order)
         if refusal:
             return refusal
         self.fencing = max(self.fencing, order.fencing)
-        if order.order_id not in self._ids or not self.deduplicates_orders:
-            self._ids.add(order.order_id)
+        if order.order_id not in self._seen_order_ids or not self.deduplicates_orders:
+            self._seen_order_ids.add(order.order_id)
             self._apply(order)
         self._advance(now_ms)
         if self.lose_answers:
@@ -120,21 +124,21 @@
         return self._state()
 
     def state(self, now_ms: float) -> EngineState | Broken:
-        """Return what the engine is at ``now_ms``."""
+        """Return the engine's state at ``now_ms``."""
         if self.unavailable:
-            return _AWAY
+            return _UNAVAILABLE
         self._advance(now_ms)
         return self._state()
 
-    def _refusal(self, order: EngineOrder) -> OrderRefused | None:
+    def _find_refusal(self, order: EngineOrder) -> OrderRefused | None:
         if self.honours_fencing and order.fencing < self.fencing:
             detail = f"{order.fencing} is older than {self.fencing}"
             return OrderRefused(OrderReason.OLD_FENCING, detail, self.fencing)
         if self.refuse:
             self.refuse -= 1
-            return OrderRefused(OrderReason.NOT_NOW, "told to refuse", self.fencing)
+            return OrderRefused(OrderReason.NOT_NOW, "fault injected", self.fencing)
         versions = set(order.version_by_model.values())
-        if self.known_versions is not None and versions - self.known_versions:
+        if self.available_versions is not None and versions - self.available_versions:
             return OrderRefused(OrderReason.UNKNOWN_VERSION, str(sorted(versions)))
         return None
 
@@ -148,48 +152,57 @@
         reloads = {name.partition("/")[0] for name in new_adapters}
         for name in set(serving) - set(order.version_by_model):
             del serving[name]
-        coming = self._waiting
-        self._waiting = {
+        previous = self._pending_version_by_model
+        self._pending_version_by_model = {
             name: version
             for name, version in order.version_by_model.items()
             if serving.get(name) != version or name in reloads
         }
-        if self._waiting.get(self._loading) != coming.get(self._loading):
-            self._loading = ""
-        for name in self._waiting:
+        if self._pending_version_by_model.get(self._loading_model) != previous.get(
+            self._loading_model
+        ):
+            self._loading_model = ""
+        for name in self._pending_version_by_model:
             serving.pop(name, None)
         self.adapters = order.adapters
 
     def _advance(self, now_ms: float) -> None:
-        """Start the next load when its runs have ended, and end the one that is."""
+        """Finish the current load if it is due, and start those that can start.
+
+        A load can start when the engine has no accepted run of that model left.
+        """
         self.model.advance(now_ms)
-        while self._waiting:
-            if not self._loading and not self._begin_load(now_ms):
+        while self._pending_version_by_model:
+            if not self._loading_model and not self._start_load(now_ms):
                 return
-            ended_ms = self.weights.ended_ms(now_ms, id(self))
-            if ended_ms is None:
+            finished_ms = self.weights.finished_ms(now_ms, id(self))
+            if finished_ms is None:
                 return
-            self._end_load()
+            self._finish_load()
 
-    def _begin_load(self, now_ms: float) -> bool:
+    def _start_load(self, now_ms: float) -> bool:
         running = self._running_by_model()
-        drained = [name for name in sorted(self._waiting) if not running.get(name)]
+        drained = [
+            name
+            for name in sorted(self._pending_version_by_model)
+            if not running.get(name)
+        ]
         if not drained:
             return False
-        self._loading = drained[0]
+        self._loading_model = drained[0]
         self.loads += 1
-        load_ms = self.model.costs.load_ms * self.slow
-        self.weights.begin(now_ms, id(self), load_ms)
+        load_ms = self.model.costs.load_ms * self.load_time_factor
+        self.weights.start_load(now_ms, id(self), load_ms)
         return True
 
-    def _end_load(self) -> None:
-        name = self._loading
-        version = self._waiting.pop(name)
-        self._loading = ""
+    def _finish_load(self) -> None:
+        name = self._loading_model
+        version = self._pending_version_by_model.pop(name)
+        self._loading_model = ""
         if self.fail_loads:
             self.fail_loads -= 1
             self.failed = f"load of {name} {version} failed"
-            self._waiting.clear()
+            self._pending_version_by_model.clear()
             return
         self.model.version_by_model[name] = version
 
@@ -201,7 +214,7 @@
     def _state(self) -> EngineState:
         return EngineState(
             version_by_model=dict(self.model.version_by_model),
-            loading=dict(self._waiting),
+            loading=dict(self._pending_version_by_model),
             adapters=self.adapters,
             fencing=self.fencing,
             order_id=self.order_id,
--- a/fireflyward/standins/_engine_server.py
+++ b/fireflyward/standins/_engine_server.py
@@ -1,4 +1,4 @@
-"""The engine stand-in behind the HTTP interface of docs/PLATFORM.md."""
+"""An HTTP server for the engine stand-in; docs/PLATFORM.md has the interface."""
 
 import msgspec
 from aiohttp import web
@@ -17,7 +17,7 @@
 from ._engine_model import EngineModel, EngineRun
 from ._engine_order_server import EngineOrderRoutes
 from ._engine_orders import EngineOrders
-from ._fault_injection import FaultGate
+from ._fault_injection import FaultInjector
 from ._http_server import HttpServer
 
 _KEEP_ALIVE_MS = 500
@@ -25,7 +25,7 @@
 
 
 class EngineServer(HttpServer):
-    """Serves one ``EngineModel``."""
+    """Serves one ``EngineModel``; ``faults`` affect its connections."""
 
     def __init__(
         self,
@@ -39,8 +39,8 @@
         self.model = model
         self._clock = clock or Clock()
         self.kv = EngineKvRoutes(model, self._clock)
-        self.gate = FaultGate(self._clock)
-        self.faults = self.gate.faults
+        self.fault_injector = FaultInjector(self._clock)
+        self.faults = self.fault_injector.faults
         self.orders = orders or EngineOrders(model)
 
     def build_app(self) -> web.Application:
@@ -65,30 +65,30 @@
             body.priority,
             tuple(body.block_keys),
         )
-        await self.gate.on_request()
+        await self.fault_injector.on_request()
         result = self.model.submit(self._clock.now_ms(), call)
         if isinstance(result, Refused):
             refusal = RefusalBody(
                 result.reason.value, result.detail, result.retry_after_ms
             )
             return web.Response(status=409, body=msgspec.json.encode(refusal))
-        await self.gate.on_submitted()
+        await self.fault_injector.on_submitted()
         return await self._answer(request, self.model.run_by_id[call.run_id], 0)
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
-        await self.gate.on_read()
+        await self.fault_injector.on_read()
         run = self.model.run_by_id.get(request.match_info["run_id"])
         if run is None or run.cancelled:
             return web.Response(status=404, body=b"{}")
         return await self._answer(request, run, int(request.query.get("offset", "0")))
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        await self.gate.on_read()
+        await self.fault_injector.on_read()
         state = self.model.cancel(self._clock.now_ms(), request.match_info["run_id"])
         return web.Response(body=msgspec.json.encode(CancelBody(state.value)))
 
     async def _load(self, request: web.Request) -> web.Response:
-        await self.gate.on_read()
+        await self.fault_injector.on_read()
         now_ms = self._clock.now_ms()
         self.orders.state(now_ms)
         report = self.model.report(now_ms)
@@ -107,7 +107,7 @@
     async def _answer(
         self, request: web.Request, run: EngineRun, sent: int
     ) -> web.StreamResponse:
-        """Stream a run until its reader is gone; the run itself goes on."""
+        """Stream a run until the client disconnects; the run itself continues."""
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
         try:
@@ -122,28 +122,28 @@
         run: EngineRun,
         sent: int,
     ) -> web.StreamResponse:
-        """Send a run's tokens as they come into being, then the end marker."""
-        run_id = await self.gate.on_stream(run.call.run_id)
+        """Send a run's tokens as they are generated, then the end marker."""
+        run_id = await self.fault_injector.on_stream(run.call.run_id)
         first = StreamLine(
             version=run.call.version, cached_tokens=run.cached_tokens, run_id=run_id
         )
         await _send(response, first)
-        quiet_since_ms = self._clock.now_ms()
+        last_sent_ms = self._clock.now_ms()
         while sent < run.call.max_tokens and not run.cancelled:
-            if await self.gate.is_cut(sent):
+            if await self.fault_injector.should_cut(sent):
                 request.transport.close()
                 return response
             now_ms = self._clock.now_ms()
-            made = self.model.tokens_ready(now_ms, run)
-            ready = self.gate.sendable(sent, made)
+            generated = self.model.tokens_ready(now_ms, run)
+            ready = self.fault_injector.sendable(sent, generated)
             if ready > sent:
                 text = run.answer.text(sent, ready)
                 line = StreamLine(sent, ready - sent, text, run_id=run_id)
                 await _send(response, line)
-                sent, quiet_since_ms = ready, now_ms
-            elif now_ms - quiet_since_ms >= _KEEP_ALIVE_MS:
+                sent, last_sent_ms = ready, now_ms
+            elif now_ms - last_sent_ms >= _KEEP_ALIVE_MS:
                 await response.write(b": waiting\n\n")
-                quiet_since_ms = now_ms
+                last_sent_ms = now_ms
             await self._clock.sleep_ms(_STEP_MS)
         if not run.cancelled:
             await self._send_end(response, run)
--- a/fireflyward/standins/_fault_injection.py
+++ b/fireflyward/standins/_fault_injection.py
@@ -1,4 +1,4 @@
-"""Where a stand-in's server lets the faults of its connections strike."""
+"""Fault injection into the connections of the stand-ins."""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,11 +7,14 @@
 
 from ._engine_faults import EngineFaults
 
-_OTHER_RUN = "0" * 32
+_OTHER_RUN_ID = "0" * 32
 
 
-class FaultGate:
-    """Asked by an engine stand-in at the points where a connection can fail."""
+class FaultInjector:
+    """Injects ``EngineFaults`` at the points where a connection can fail.
+
+    An engine stand-in calls one method at each such point.
+    """
 
     __slots__ = ("_clock", "faults")
 
@@ -20,55 +23,59 @@
         self._clock = clock
 
     async def on_request(self) -> None:
-        """A request came; it may vanish before the engine sees it."""
-        if self.faults.paused or self.faults.take("lost_requests"):
-            await silence()
+        """Handle a new request; the fault may lose it before the engine gets it."""
+        if self.faults.paused or self.faults.consume("lost_requests"):
+            await hang()
 
     async def on_read(self) -> None:
-        """A request that starts nothing came."""
+        """Handle a request that starts no run."""
         if self.faults.paused:
-            await silence()
+            await hang()
 
     async def on_submitted(self) -> None:
-        """The engine has the run; the answer may vanish."""
-        if self.faults.take("lost_answers"):
-            await silence()
+        """Handle a run that the engine has accepted; the fault may lose its answer."""
+        if self.faults.consume("lost_answers"):
+            await hang()
 
     async def on_stream(self, run_id: str) -> str:
-        """A stream begins; return the run id that it names."""
+        """Delay the start of a stream, and return the run id that it is to carry."""
         if self.faults.delay_ms:
             await self._clock.sleep_ms(self.faults.delay_ms)
-        return _OTHER_RUN if self.faults.take("crossed_streams") else run_id
+        return _OTHER_RUN_ID if self.faults.consume("crossed_streams") else run_id
 
     def sendable(self, sent: int, ready: int) -> int:
         """Return up to which token a stream may send before a fault strikes.
 
-        Tokens that came together would else carry a stream past the point at which
-        it is to be struck, on a busy machine and not on an idle one.
+        Without this limit, a stream on a busy machine could send several tokens at
+        once and pass the point at which the fault is due.
         """
         faults = self.faults
         if not faults.cut_streams and not faults.silent_streams:
             return ready
         return min(ready, max(sent, faults.after_tokens))
 
-    async def is_cut(self, sent: int) -> bool:
-        """Tell whether a stream is cut after ``sent`` tokens, or let it fall silent."""
+    async def should_cut(self, sent: int) -> bool:
+        """Return whether to cut a stream after ``sent`` tokens.
+
+        If the stream is to become silent instead, the call never returns.
+        """
         if self.faults.paused:
-            await silence()
+            await hang()
         if sent < self.faults.after_tokens:
             return False
-        if self.faults.take("silent_streams"):
-            await silence()
-        return self.faults.take("cut_streams")
+        if self.faults.consume("silent_streams"):
+            await hang()
+        return self.faults.consume("cut_streams")
 
 
 @dataclass(slots=True)
 class ServiceFaults:
-    """What goes wrong between a plain service and its node, counted in calls.
+    """The faults of a plain service: how many of the next calls each one strikes.
 
-    ``lost_requests`` vanish before the service acts, ``lost_answers`` after it
-    acted, ``crossed_replies`` name another run, ``refusals`` say that nothing was
-    run, ``redirects`` act and point back here; ``delay_ms`` holds back every reply.
+    ``lost_requests`` are lost before the service acts and ``lost_answers`` after it
+    acted. ``crossed_replies`` carry another run's id, ``refusals`` state that
+    nothing was run, and ``redirects`` act and redirect to the same path.
+    ``delay_ms`` delays every reply.
     """
 
     lost_requests: int = 0
@@ -78,14 +85,14 @@
     redirects: int = 0
     delay_ms: int = 0
 
-    def take(self, name: str) -> bool:
-        """Count one of the faults to come down; return whether it strikes now."""
-        left = getattr(self, name)
-        if left:
-            setattr(self, name, left - 1)
-        return left > 0
+    def consume(self, name: str) -> bool:
+        """Return whether the fault strikes now, and decrement its counter if so."""
+        remaining = getattr(self, name)
+        if remaining:
+            setattr(self, name, remaining - 1)
+        return remaining > 0
 
 
-async def silence() -> None:
-    """Say nothing for good, as a connection that something forgot."""
+async def hang() -> None:
+    """Wait forever, so that the connection stays open and silent."""
     await asyncio.get_running_loop().create_future()
--- a/fireflyward/standins/_http_server.py
+++ b/fireflyward/standins/_http_server.py
@@ -1,10 +1,10 @@
-"""What the stand-ins' HTTP servers have in common."""
+"""The base class of the stand-ins' HTTP servers."""
 
 from aiohttp import web
 
 
 class HttpServer:
-    """An aiohttp application on a port of the loopback interface."""
+    """An aiohttp application that listens on a port of the loopback interface."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
         self._host = host
@@ -19,11 +19,11 @@
         return f"http://{self._host}:{self._port}"
 
     def build_app(self) -> web.Application:
-        """Return the application; each server has its own."""
-        raise TypeError("a server must build its application")
+        """Return the application; every subclass must override this."""
+        raise TypeError("a subclass must override build_app()")
 
     async def start(self) -> None:
-        """Open the port."""
+        """Listen on the port; port 0 selects a free one."""
         self._runner = web.AppRunner(
             self.build_app(), access_log=None, shutdown_timeout=0.1
         )
@@ -33,7 +33,7 @@
         self._port = self._runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Close the port and cut every connection, as a crash would."""
+        """Close the port and all connections, as in a crash."""
         if self._runner:
             await self._runner.cleanup()
             self._runner = None
--- a/fireflyward/standins/_memory_fleet.py
+++ b/fireflyward/standins/_memory_fleet.py
@@ -1,4 +1,4 @@
-"""Replicas of one deployment in memory, as a rollout's driver sees them."""
+"""Replicas of one deployment in memory, for tests of rollouts."""
 
 from collections.abc import Iterable, Mapping
 
@@ -8,42 +8,46 @@
 from ._engine_model import EngineCosts, EngineModel
 from ._engine_orders import EngineOrders, WeightSource
 
-_CALL_MS = 0
+_DEFAULT_ONE_WAY_MS = 0
 
 
 class MemoryOrderedEngine:
-    """One replica's orders without a network; a call takes ``call_ms`` each way.
+    """A client for one replica's orders without a network.
 
-    ``hold_orders`` keeps orders on their way until ``deliver_held_orders`` delivers them.
+    Requests and answers take ``one_way_ms`` each. ``hold_orders`` delays new orders
+    until ``deliver_held_orders`` is called.
     """
 
     def __init__(self, orders: EngineOrders, clock: Clock) -> None:
         self.orders = orders
-        self.call_ms = _CALL_MS
+        self.one_way_ms = _DEFAULT_ONE_WAY_MS
         self.hold_orders = False
         self._clock = clock
-        self._held: list[EngineOrder] = []
+        self._held_orders: list[EngineOrder] = []
 
     async def send_order(self, order: EngineOrder) -> OrderResult:
-        await self._clock.sleep_ms(self.call_ms)
+        await self._clock.sleep_ms(self.one_way_ms)
         if self.hold_orders:
-            self._held.append(order)
+            self._held_orders.append(order)
             return Broken(True, "no answer yet")
-        result = self.orders.take(self._clock.now_ms(), order)
-        await self._clock.sleep_ms(self.call_ms)
+        result = self.orders.handle_order(self._clock.now_ms(), order)
+        await self._clock.sleep_ms(self.one_way_ms)
         return result
 
     async def state(self) -> EngineState | Broken:
-        await self._clock.sleep_ms(self.call_ms)
+        await self._clock.sleep_ms(self.one_way_ms)
         result = self.orders.state(self._clock.now_ms())
-        await self._clock.sleep_ms(self.call_ms)
+        await self._clock.sleep_ms(self.one_way_ms)
         return result
 
     def deliver_held_orders(self) -> list[OrderResult]:
-        """Deliver the orders that were kept on their way."""
-        held, self._held = self._held, []
+        """Deliver the delayed orders, and return their results."""
+        held_orders, self._held_orders = self._held_orders, []
         self.hold_orders = False
-        return [self.orders.take(self._clock.now_ms(), order) for order in held]
+        return [
+            self.orders.handle_order(self._clock.now_ms(), order)
+            for order in held_orders
+        ]
 
 
 class MemoryFleet:
@@ -73,7 +77,10 @@
         }
 
     def count_serving(self, now_ms: float, model: str, version: str = "") -> int:
-        """Count the replicas that take new runs of a model, at one version or any."""
+        """Count the replicas that accept new runs of a model.
+
+        An empty ``version`` counts all versions.
+        """
         count = 0
         for orders in self.orders_by_name.values():
             state = orders.state(now_ms)
--- a/fireflyward/standins/_platform_memory.py
+++ b/fireflyward/standins/_platform_memory.py
@@ -1,4 +1,4 @@
-"""The platform's services in memory, with the faults that they have."""
+"""The platform's services in memory, with switches for their faults."""
 
 from collections.abc import Mapping
 
@@ -14,15 +14,15 @@
     VmList,
 )
 
-_AWAY = Unavailable("away")
+_UNAVAILABLE = Unavailable("the stand-in is unavailable")
 _LOST = Uncertain("answer lost")
 
 
 class MemoryTable:
-    """A table service; ``unavailable`` and ``lose_answers`` bring its faults about.
+    """A table service.
 
-    ``lose_answers`` counts the commits to come that take effect though their
-    answer is lost.
+    While ``unavailable`` is set, all calls fail. ``lose_answers`` is how many of
+    the next commits take effect although their answer is lost.
     """
 
     def __init__(self) -> None:
@@ -34,13 +34,13 @@
 
     async def get(self, key: str) -> Row | Missing | Unavailable:
         if self.unavailable:
-            return _AWAY
+            return _UNAVAILABLE
         self.reads += 1
         return self.row_by_key.get(key) or Missing(key)
 
     async def scan(self, prefix: str) -> tuple[Row, ...] | Unavailable:
         if self.unavailable:
-            return _AWAY
+            return _UNAVAILABLE
         self.reads += 1
         return tuple(
             row
@@ -57,7 +57,7 @@
         era: int = 0,
     ) -> Committed | Conflict | Unavailable | Uncertain:
         if self.unavailable:
-            return _AWAY
+            return _UNAVAILABLE
         found = {key: self._version(key) for key in expected}
         if found != dict(expected):
             return Conflict(found)
@@ -85,13 +85,13 @@
 
     async def get(self, name: str) -> bytes | Missing | Unavailable:
         if self.unavailable:
-            return _AWAY
+            return _UNAVAILABLE
         body = self.body_by_name.get(name)
         return Missing(name) if body is None else body
 
     async def put(self, name: str, body: bytes) -> Stored | Unavailable | Uncertain:
         if self.unavailable:
-            return _AWAY
+            return _UNAVAILABLE
         self.body_by_name[name] = body
         return Stored(name)
 
@@ -104,7 +104,7 @@
         self.unavailable = False
 
     async def versions(self) -> dict[str, tuple[str, ...]] | Unavailable:
-        return _AWAY if self.unavailable else dict(self.versions_by_model)
+        return _UNAVAILABLE if self.unavailable else dict(self.versions_by_model)
 
 
 class MemoryVms:
@@ -117,5 +117,5 @@
 
     async def list(self) -> VmList | Unavailable:
         if self.unavailable:
-            return _AWAY
+            return _UNAVAILABLE
         return VmList(tuple(self.entry_by_name.values()), self.as_of_ms)
--- a/fireflyward/standins/_platform_server.py
+++ b/fireflyward/standins/_platform_server.py
@@ -1,4 +1,4 @@
-"""The platform's four services behind HTTP, on one port."""
+"""An HTTP server for the platform's four services, on one port."""
 
 import msgspec
 from aiohttp import web
@@ -17,7 +17,7 @@
 
 
 class PlatformServer(HttpServer):
-    """Serves the in-memory platform."""
+    """Serves the in-memory table, object store, weight store and VM list."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
     async def _get_row(self, request: web.Request) -> web.Response:
         row = await self.table.get(request.query["key"])
         if isinstance(row, Unavailable):
-            return _away()
+            return _unavailable()
         if isinstance(row, Missing):
             return web.Response(status=404)
         return _json(_row_body(row))
@@ -56,7 +56,7 @@
     async def _scan(self, request: web.Request) -> web.Response:
         rows = await self.table.scan(request.query["prefix"])
         if isinstance(rows, Unavailable):
-            return _away()
+            return _unavailable()
         return _json([_row_body(row) for row in rows])
 
     async def _commit(self, request: web.Request) -> web.Response:
@@ -65,7 +65,7 @@
             expected=body.expected, puts=body.puts, deletes=tuple(body.deletes)
         )
         if isinstance(result, Unavailable):
-            return _away()
+            return _unavailable()
         if isinstance(result, Uncertain):
             return web.Response(status=504)
         status = 409 if isinstance(result, Conflict) else 200
@@ -74,7 +74,7 @@
     async def _get_object(self, request: web.Request) -> web.Response:
         body = await self.objects.get(request.match_info["name"])
         if isinstance(body, Unavailable):
-            return _away()
+            return _unavailable()
         if isinstance(body, Missing):
             return web.Response(status=404)
         return web.Response(body=body)
@@ -82,16 +82,20 @@
     async def _put_object(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
         result = await self.objects.put(name, await request.read())
-        return _away() if isinstance(result, Unavailable) else web.Response(status=200)
+        return (
+            _unavailable()
+            if isinstance(result, Unavailable)
+            else web.Response(status=200)
+        )
 
     async def _get_weights(self, request: web.Request) -> web.Response:
         versions = await self.weights.versions()
-        return _away() if isinstance(versions, Unavailable) else _json(versions)
+        return _unavailable() if isinstance(versions, Unavailable) else _json(versions)
 
     async def _get_vms(self, request: web.Request) -> web.Response:
         found = await self.vms.list()
         if isinstance(found, Unavailable):
-            return _away()
+            return _unavailable()
         entries = [
             VmBody(entry.name, entry.state, entry.failure_domain, entry.address)
             for entry in found.entries
@@ -99,7 +103,7 @@
         return _json(VmListBody(entries, found.as_of_ms))
 
 
-def _away() -> web.Response:
+def _unavailable() -> web.Response:
     return web.Response(status=503)
 
 
--- a/fireflyward/standins/_service_server.py
+++ b/fireflyward/standins/_service_server.py
@@ -1,4 +1,4 @@
-"""A plain service that remembers every call, so that doubles can be counted."""
+"""A plain service that records every call, so that repeated calls can be counted."""
 
 from collections import Counter
 
@@ -6,12 +6,12 @@
 
 from fireflyward.clock import Clock
 
-from ._fault_injection import ServiceFaults, silence
+from ._fault_injection import ServiceFaults, hang
 from ._http_server import HttpServer
 
 
 class ServiceServer(HttpServer):
-    """Answers any call with its method, path and body, and counts run ids."""
+    """Answers any call with its method, path and body, and counts calls by run id."""
 
     def __init__(self, port: int = 0) -> None:
         super().__init__(port=port)
@@ -26,20 +26,20 @@
 
     async def _handle(self, request: web.Request) -> web.Response:
         body = await request.read()
-        if self.faults.take("lost_requests"):
-            await silence()
-        if self.faults.take("refusals"):
+        if self.faults.consume("lost_requests"):
+            await hang()
+        if self.faults.consume("refusals"):
             return web.Response(status=503, headers={"X-Not-Run": "1"})
         run_id = request.headers.get("X-Run-Id", "")
         self.times_by_run[run_id] += 1
         self.bodies.append(body)
-        if self.faults.take("lost_answers"):
-            await silence()
-        if self.faults.take("redirects"):
+        if self.faults.consume("lost_answers"):
+            await hang()
+        if self.faults.consume("redirects"):
             return web.Response(status=307, headers={"Location": request.path})
         if self.faults.delay_ms:
             await Clock().sleep_ms(self.faults.delay_ms)
-        if self.faults.take("crossed_replies"):
+        if self.faults.consume("crossed_replies"):
             run_id = "another"
         head = f"{request.method} {request.path}\n".encode()
         return web.Response(
--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -19,12 +19,12 @@
 
 from ._store_model import StoreModel
 
-_REFUSED = StoreAway("dead", may_have_acted=False)
+_UNAVAILABLE = StoreAway("the store stand-in is unavailable", may_have_acted=False)
 _LOST = StoreAway("answer lost")
 
 
 class MemoryStore:
-    """Calls a model directly, with its faults and the times of its links."""
+    """Calls a model directly, and simulates its faults and transfer times."""
 
     def __init__(self, model: StoreModel, clock: Clock) -> None:
         self.name = model.name
@@ -32,65 +32,67 @@
         self._clock = clock
 
     async def reserve(self, wanted: tuple[Wanted, ...]) -> Reserved | StoreAway:
-        return await self._call(
+        return await self._call_with_faults(
             lambda: self.model.reserve(self._clock.now_ms(), wanted)
         )
 
     async def write(self, ref: BlockRef, payload: bytes) -> Done | StoreAway:
-        result = await self._call(lambda: self.model.write(ref, payload))
+        result = await self._call_with_faults(lambda: self.model.write(ref, payload))
         return await self._after_transfer(ref, result)
 
     async def seal(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
-        return await self._call(lambda: self.model.seal(refs))
+        return await self._call_with_faults(lambda: self.model.seal(refs))
 
     async def publish(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
-        return await self._call(lambda: self.model.publish(refs))
+        return await self._call_with_faults(lambda: self.model.publish(refs))
 
     async def describe(self, keys: tuple[str, ...]) -> Done | StoreAway:
-        return await self._call(lambda: self.model.describe(keys))
+        return await self._call_with_faults(lambda: self.model.describe(keys))
 
     async def read(self, ref: BlockRef) -> bytes | Miss | StoreAway:
-        wait_ms = self.model.transfer_ms(self._clock.now_ms(), ref)
-        result = await self._call(lambda: self.model.read(ref))
+        transfer_ms = self.model.transfer_ms(self._clock.now_ms(), ref)
+        result = await self._call_with_faults(lambda: self.model.read(ref))
         if isinstance(result, bytes):
             self.model.record_read(self._clock.now_ms(), ref)
-            await self._clock.sleep_ms(wait_ms)
+            await self._clock.sleep_ms(transfer_ms)
         return result
 
     async def abandon(self, refs: tuple[BlockRef, ...]) -> Done | StoreAway:
-        return await self._call(lambda: self.model.abandon(refs))
+        return await self._call_with_faults(lambda: self.model.abandon(refs))
 
     async def raise_fence(self, fencing: int) -> Done | Fenced | StoreAway:
-        return await self._call(lambda: self.model.raise_fence(fencing))
+        return await self._call_with_faults(lambda: self.model.raise_fence(fencing))
 
     async def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
     ) -> Done | Fenced | StoreAway:
-        return await self._call(
+        return await self._call_with_faults(
             lambda: self.model.free(refs, state=state, fencing=fencing)
         )
 
     async def unfinished(self, min_age_ms: int) -> tuple[Unfinished, ...] | StoreAway:
-        return await self._call(
+        return await self._call_with_faults(
             lambda: self.model.unfinished(self._clock.now_ms(), min_age_ms)
         )
 
     async def list(self, query: ListQuery) -> Listing | StoreAway:
-        return await self._call(lambda: self.model.list(query))
+        return await self._call_with_faults(lambda: self.model.list(query))
 
     async def room(self) -> Room | StoreAway:
-        return await self._call(self.model.room)
+        return await self._call_with_faults(self.model.room)
 
     async def coldest(self, limit: int) -> tuple[Cold, ...] | StoreAway:
-        return await self._call(lambda: self.model.coldest(self._clock.now_ms(), limit))
+        return await self._call_with_faults(
+            lambda: self.model.coldest(self._clock.now_ms(), limit)
+        )
 
-    async def _call(self, act):
+    async def _call_with_faults(self, call):
         faults = self.model.faults
         if faults.delay_ms:
             await self._clock.sleep_ms(faults.delay_ms)
         if faults.unavailable:
-            return _REFUSED
-        result = act()
+            return _UNAVAILABLE
+        result = call()
         if faults.lose_answers:
             faults.lose_answers -= 1
             return _LOST
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -1,4 +1,4 @@
-"""A store VM without sockets: its slots, its two tiers, its links and its faults."""
+"""A simulated store VM: its slots, its two tiers, its links and its faults."""
 
 import heapq
 from collections import Counter, OrderedDict, deque
@@ -29,12 +29,12 @@
 
 @dataclass(slots=True)
 class StoreModel:
-    """Decides what a store does; its caller gives the time.
+    """Decides what a store does; the caller passes the current time.
 
-    A block goes through reserve, write, seal and publish, and only a published
-    one is read. Every step names slot and generation, and is a miss if the slot
-    has another generation by then. New blocks go to memory; the least recently
-    read ones move to disk when memory is full.
+    A block is reserved, written, sealed and published in this order, and only a
+    published block can be read. Every step names the slot and its generation, and
+    has no effect if the slot has another generation at that time. New blocks are
+    in memory; when memory is full, the least recently read ones move to disk.
     """
 
     name: str
@@ -56,7 +56,7 @@
     _disk_free_ms: float = 0.0
 
     def restart_empty(self, epoch: int) -> None:
-        """Lose everything, as a VM that was replaced; ``epoch`` must be new."""
+        """Drop all data, as a replaced VM does; ``epoch`` must be a new number."""
         self.epoch = epoch
         self._slot_by_number.clear()
         self._free_numbers.clear()
@@ -70,18 +70,18 @@
         return len(self._slot_by_number) - len(self._free_numbers)
 
     def capacity(self) -> int:
-        """Return how many slots both tiers have."""
+        """Return how many slots the two tiers have together."""
         return self.costs.memory_slots + self.costs.disk_slots
 
     def reserve(self, now_ms: float, wanted: tuple[Wanted, ...]) -> Reserved:
-        """Give each block that is not kept yet a slot in a new generation."""
+        """Reserve a slot with a new generation for each block that is not kept yet."""
         refs, kept = [], []
         for item in wanted:
             published = self._published_by_key.get(item.key)
             if published is not None:
                 kept.append(published.ref(self.name))
                 continue
-            slot = self._take_slot()
+            slot = self._allocate_slot()
             if slot is None:
                 return Reserved(tuple(refs), tuple(kept), is_full=True)
             slot.fill(now_ms, self._next_generation(), item)
@@ -89,7 +89,7 @@
         return Reserved(tuple(refs), tuple(kept))
 
     def write(self, ref: BlockRef, payload: bytes) -> Done:
-        """Put bytes into a reserved slot; a second write replaces the first."""
+        """Store bytes in a reserved slot; a second write replaces the first."""
         slot = self._slot(ref)
         if slot is None or slot.state is not SlotState.RESERVED:
             return Done(())
@@ -100,19 +100,19 @@
         return Done((slot.ref(self.name),))
 
     def seal(self, refs: tuple[BlockRef, ...]) -> Done:
-        """Close slots whose bytes are whole by the length and checksum of each."""
-        return self._each(refs, self._seal_slot)
+        """Seal slots whose bytes match the length and checksum in their descriptor."""
+        return self._apply_to_each(refs, self._seal_slot)
 
     def publish(self, refs: tuple[BlockRef, ...]) -> Done:
-        """Let sealed blocks be read; of two copies of a block the first stays."""
-        return self._each(refs, self._publish_slot)
+        """Make sealed blocks readable; a second copy of a published block is freed."""
+        return self._apply_to_each(refs, self._publish_slot)
 
     def abandon(self, refs: tuple[BlockRef, ...]) -> Done:
-        """Free slots of exactly these generations that were not published."""
-        return self._each(refs, self._abandon_slot)
+        """Free unpublished slots that still have exactly these generations."""
+        return self._apply_to_each(refs, self._abandon_slot)
 
     def describe(self, keys: tuple[str, ...]) -> Done:
-        """Return the descriptors of the longest prefix of ``keys`` that is kept."""
+        """Return the descriptors of the longest published prefix of ``keys``."""
         refs = []
         for key in keys:
             slot = self._published_by_key.get(key)
@@ -124,9 +124,9 @@
     def read(self, ref: BlockRef) -> bytes | Miss:
         """Return the bytes of a published block of exactly this generation.
 
-        A slot that was freed and used again holds another block's bytes. The
-        reader's descriptor still names the slot, but not its generation, so it
-        gets a miss; without the comparison it would compute on foreign KV.
+        A slot that was freed and reused holds another block's bytes. A descriptor
+        from before that has the slot's old generation, so its reader gets a miss;
+        without the comparison it would compute with another prompt's KV data.
         """
         self.reads += 1
         slot = self._slot(ref)
@@ -138,17 +138,17 @@
             return Miss(ref.key, MissReason.WRONG_KEY)
         self.link_bytes += self.costs.block_bytes
         self._promote(slot)
-        return self._faulty(slot)
+        return self._payload_with_faults(slot)
 
     def record_read(self, now_ms: float, ref: BlockRef) -> None:
-        """Count a read of a block, so that it is not among the coldest."""
+        """Record the time of a read, which ``coldest`` sorts the blocks by."""
         slot = self._slot(ref)
         if slot is not None:
             slot.reads += 1
             slot.read_at_ms = now_ms
 
     def raise_fence(self, fencing: int) -> Done | Fenced:
-        """Refuse every smaller fencing number from now on."""
+        """Reject all smaller fencing numbers from now on."""
         if fencing < self._highest_fencing:
             return Fenced(self._highest_fencing)
         self._highest_fencing = fencing
@@ -159,19 +159,20 @@
     ) -> Done | Fenced:
         """Free slots that still have this generation and state.
 
-        A sweeper that was paused past its lease acts on an old listing. Its
-        fencing number is smaller than that of the lease's next holder, so it
-        frees nothing; and a slot that went on since it was listed has another
-        state or generation, so even the first holder cannot free it by mistake.
+        A sweeper that was paused until its lease expired acts on an old listing.
+        Once the lease's next holder has called the store, its greater fencing
+        number prevents the old sweeper from freeing anything. A slot that changed
+        since it was listed has another state or generation, so that even a sweeper
+        with a valid lease does not free it by mistake.
         """
         fence = self.raise_fence(fencing)
         if isinstance(fence, Fenced):
             return fence
-        return self._each(refs, lambda slot, _: self._free_slot(slot, state))
+        return self._apply_to_each(refs, lambda slot, _: self._free_slot(slot, state))
 
     def unfinished(self, now_ms: float, min_age_ms: int) -> tuple[Unfinished, ...]:
-        """Return slots that were reserved at least this long ago, oldest first."""
-        found = [
+        """Return unpublished slots reserved at least this long ago, oldest first."""
+        matching = [
             Unfinished(
                 slot.ref(self.name), slot.state, int(now_ms - slot.reserved_at_ms)
             )
@@ -179,11 +180,11 @@
             if slot.state in (SlotState.RESERVED, SlotState.SEALED)
             and now_ms - slot.reserved_at_ms >= min_age_ms
         ]
-        found.sort(key=lambda item: -item.age_ms)
-        return tuple(found[:_MAX_UNFINISHED])
+        matching.sort(key=lambda item: -item.age_ms)
+        return tuple(matching[:_MAX_UNFINISHED])
 
     def room(self) -> Room:
-        """Return how much of the store is used, and by whom."""
+        """Return how many slots are used, in total and by owner."""
         used = Counter(
             slot.owner
             for slot in self._slot_by_number.values()
@@ -192,7 +193,7 @@
         return Room(used.total(), self.capacity(), dict(used))
 
     def coldest(self, now_ms: float, limit: int) -> tuple[Cold, ...]:
-        """Return the blocks that were read longest ago."""
+        """Return the least recently read blocks."""
         slots = self._published_by_key.values()
         return tuple(
             Cold(
@@ -205,11 +206,14 @@
         )
 
     def list(self, query: ListQuery) -> Listing:
-        """Return the changes after a sequence, or everything if they are gone."""
+        """Return the changes after a sequence number.
+
+        If the store no longer has these changes, it lists all blocks instead.
+        """
         oldest = self._changes[0][0] if self._changes else self._sequence + 1
-        is_known = query.epoch == self.epoch and oldest - 1 <= query.after
-        if query.start_slot or not is_known or query.after > self._sequence:
-            return self._whole_listing(query)
+        has_changes = query.epoch == self.epoch and oldest - 1 <= query.after
+        if query.start_slot or not has_changes or query.after > self._sequence:
+            return self._full_listing(query)
         pending = [item for item in self._changes if item[0] > query.after]
         page = pending[: self.costs.page]
         last = page[-1][0] if page else self._sequence
@@ -217,7 +221,10 @@
         return Listing(self.epoch, last, changes, has_more=len(pending) > len(page))
 
     def transfer_ms(self, now_ms: float, ref: BlockRef) -> float:
-        """Return how long a block's bytes take on the store's links from now on."""
+        """Return how long from now a block's transfer over the links takes.
+
+        The transfer waits for those that were requested earlier.
+        """
         size = self.costs.block_bytes
         start_ms = max(now_ms, self._link_free_ms)
         if ref.slot not in self._memory:
@@ -227,7 +234,7 @@
         self._link_free_ms = start_ms + size / self.costs.link_bytes_per_ms
         return self._link_free_ms - now_ms + self.faults.delay_ms
 
-    def _whole_listing(self, query: ListQuery) -> Listing:
+    def _full_listing(self, query: ListQuery) -> Listing:
         end = query.start_slot + self.costs.page
         numbers = range(query.start_slot, min(end, len(self._slot_by_number)))
         slots = [self._slot_by_number[number] for number in numbers]
@@ -244,7 +251,7 @@
             next_slot=end if end < len(self._slot_by_number) else 0,
         )
 
-    def _take_slot(self) -> Slot | None:
+    def _allocate_slot(self) -> Slot | None:
         if self.faults.full:
             return None
         if self._free_numbers:
@@ -256,7 +263,7 @@
         return slot
 
     def _next_generation(self) -> int:
-        """Return a generation that no slot had, in this epoch or another."""
+        """Return a generation that no slot has had in this epoch or another."""
         self._generations += 1
         return (self.epoch << _EPOCH_BITS) + self._generations
 
@@ -266,13 +273,13 @@
             return None
         return slot
 
-    def _each(
-        self, refs: tuple[BlockRef, ...], act: Callable[[Slot, BlockRef], bool]
+    def _apply_to_each(
+        self, refs: tuple[BlockRef, ...], action: Callable[[Slot, BlockRef], bool]
     ) -> Done:
         done = []
         for ref in refs:
             slot = self._slot(ref)
-            if slot is not None and act(slot, ref):
+            if slot is not None and action(slot, ref):
                 done.append(slot.ref(self.name) if slot.key else ref)
         return Done(tuple(done))
 
@@ -298,7 +305,7 @@
             return False
         slot.state = SlotState.PUBLISHED
         self._published_by_key[slot.key] = slot
-        self._log(slot.change(is_kept=True))
+        self._record_change(slot.change(is_kept=True))
         return True
 
     def _abandon_slot(self, slot: Slot, ref: BlockRef) -> bool:
@@ -312,7 +319,7 @@
             return False
         if state is SlotState.PUBLISHED:
             del self._published_by_key[slot.key]
-            self._log(slot.change(is_kept=False))
+            self._record_change(slot.change(is_kept=False))
         self._clear(slot)
         return True
 
@@ -330,14 +337,14 @@
         while len(self._memory) > self.costs.memory_slots:
             self._memory.popitem(last=False)
 
-    def _log(self, change: StoreChange) -> None:
+    def _record_change(self, change: StoreChange) -> None:
         self._sequence += 1
         self._changes.append((self._sequence, change))
         while len(self._changes) > self.costs.log_changes:
             self._changes.popleft()
 
-    def _faulty(self, slot: Slot) -> bytes:
-        """Return the slot's bytes, or others if a fault is switched on."""
+    def _payload_with_faults(self, slot: Slot) -> bytes:
+        """Return the slot's bytes, or wrong ones if a fault is switched on."""
         if self.faults.damaged_bytes:
             return slot.payload[:-1] + bytes([slot.payload[-1] ^ 1])
         if self.faults.wrong_bytes:
--- a/fireflyward/standins/_store_server.py
+++ b/fireflyward/standins/_store_server.py
@@ -1,4 +1,4 @@
-"""The store stand-in behind the HTTP interface of docs/platform/store.md."""
+"""An HTTP server for the store stand-in; docs/platform/store.md has the interface."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -24,12 +24,12 @@
 from ._store_model import StoreModel
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
-_AWAY_STATUS = 503
+_UNAVAILABLE_STATUS = 503
 _LOST_STATUS = 504
 
 
 class StoreServer(HttpServer):
-    """Serves one ``StoreModel``; its faults work here as in memory."""
+    """Serves one ``StoreModel``, with the same faults as ``MemoryStore``."""
 
     def __init__(
         self, model: StoreModel, *, clock: Clock | None = None, port: int = 0
@@ -51,8 +51,8 @@
             ("/free", FreeBody, self._free),
             ("/list", ListQuery, model.list),
         )
-        for path, body_type, act in routes:
-            app.router.add_post(path, _json_handler(body_type, act))
+        for path, body_type, handle_body in routes:
+            app.router.add_post(path, _json_handler(body_type, handle_body))
         app.router.add_put("/blocks/{slot}/{generation}/{key}", self._write)
         app.router.add_get("/blocks/{slot}/{generation}/{key}", self._read)
         app.router.add_get("/unfinished", self._unfinished)
@@ -77,7 +77,7 @@
         if faults.delay_ms:
             await self._clock.sleep_ms(faults.delay_ms)
         if faults.unavailable:
-            return web.Response(status=_AWAY_STATUS)
+            return web.Response(status=_UNAVAILABLE_STATUS)
         response = await handler(request)
         if faults.lose_answers:
             faults.lose_answers -= 1
@@ -113,13 +113,13 @@
         return _json(self.model.unfinished(self._now_ms(), min_age_ms))
 
 
-def _json_handler(body_type: Any, act: Callable[[Any], object]) -> Handler:
+def _json_handler(body_type: Any, handle_body: Callable[[Any], object]) -> Handler:
     async def handle(request: web.Request) -> web.Response:
         try:
             body = msgspec.json.decode(await request.read(), type=body_type)
         except (msgspec.DecodeError, UnicodeDecodeError):
             return web.Response(status=400)
-        result = act(body)
+        result = handle_body(body)
         if isinstance(result, Fenced):
             return _json(FenceBody(result.highest), FENCED_STATUS)
         return _json(result)
--- a/fireflyward/standins/_store_slots.py
+++ b/fireflyward/standins/_store_slots.py
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCosts:
-    """Sizes of the tiers in slots, and rates of the links in bytes a millisecond.
+    """Sizes of the tiers in slots, and rates of the links in bytes per millisecond.
 
-    ``block_bytes`` is what a block counts for on a link; the payloads that the
-    stand-ins move are smaller. ``log_changes`` is how many changes the store
-    remembers for readers of its listing, ``page`` the most that it lists at once.
+    ``block_bytes`` is the size of a block on a simulated link; the stand-ins' real
+    payloads are smaller. ``log_changes`` is how many changes the store keeps for
+    readers of its listing, and ``page`` the maximum number of entries per page.
     """
 
     memory_slots: int = 1_024
@@ -26,11 +26,12 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """Switches: what goes wrong from now on.
+    """Switches for the faults of a store.
 
-    ``wrong_bytes`` answers a read with another block's bytes, ``damaged_bytes``
-    with one bit turned; ``lose_answers`` counts the calls to come that take effect
-    though their answer is lost.
+    With ``full`` the store reserves no slots, and with ``unavailable`` all calls
+    fail. ``wrong_bytes`` answers a read with another block's bytes,
+    ``damaged_bytes`` with one bit flipped. ``lose_answers`` is how many of the next
+    calls take effect although their answer is lost.
     """
 
     full: bool = False
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class Slot:
-    """One slot; ``generation`` is new each time that it is reserved or freed."""
+    """One slot; it gets a new ``generation`` each time it is reserved or freed."""
 
     number: int
     generation: int
@@ -59,7 +60,7 @@
     reads: int = 0
 
     def fill(self, now_ms: float, generation: int, wanted: Wanted) -> None:
-        """Begin a new generation for a block."""
+        """Reserve the slot for a block, with a new generation."""
         self.generation = generation
         self.state = SlotState.RESERVED
         self.key, self.position = wanted.key, wanted.position
@@ -68,18 +69,18 @@
         self.reads = 0
 
     def clear(self, generation: int) -> None:
-        """End the generation; ``generation`` is that of the free slot."""
+        """Free the slot; ``generation`` is the new generation of the free slot."""
         self.generation = generation
         self.state = SlotState.FREE
         self.key, self.position, self.checksum = "", 0, ""
         self.payload = None
 
     def change(self, *, is_kept: bool) -> StoreChange:
-        """Return the line of the listing that tells of this slot's block."""
+        """Return the listing entry for this slot's block."""
         return StoreChange(self.key, self.position, is_kept, self.shard)
 
     def ref(self, store: str) -> BlockRef:
-        """Return the slot's descriptor as it is now."""
+        """Return the slot's current descriptor."""
         length = len(self.payload) if self.checksum and self.payload else 0
         return BlockRef(
             self.key,
--- a/tests/standins/test_engine_kv.py
+++ b/tests/standins/test_engine_kv.py
@@ -17,7 +17,7 @@
         self.world = KvWorld()
         self.store = self.world.store_by_name["s1"]
 
-    async def run_ms(self, work):
+    async def advance_until_done(self, work):
         return await self.world.advance_until(asyncio.ensure_future(work))
 
     async def keep(self, keys=KEYS[:4]):
@@ -25,12 +25,14 @@
         wanted = tuple(Wanted(key, at) for at, key in enumerate(keys, start=1))
         reserved = await self.store.reserve(wanted)
         order = ExportOrder("o1", MODEL, VERSION, reserved.refs, {})
-        report = await self.run_ms(self.world.kv.export_blocks(order))
+        report = await self.advance_until_done(self.world.kv.export_blocks(order))
         return (await self.store.publish(report.sealed)).refs
 
     async def load(self, refs, *, limit_ms=1_000, version=VERSION, kv=None):
         order = ImportOrder("o2", MODEL, version, tuple(refs), {}, limit_ms)
-        return await self.run_ms((kv or self.world.other_engine()).import_blocks(order))
+        return await self.advance_until_done(
+            (kv or self.world.other_engine()).import_blocks(order)
+        )
 
     async def test_exported_blocks_are_cached_at_the_importer(self):
         kv = self.world.other_engine()
@@ -38,10 +40,11 @@
         self.assertEqual((report.blocks, report.misses), (4, ()))
         self.assertEqual(kv.engine.cache.prefix_blocks(KEYS), 4)
 
-    async def test_every_doubt_is_a_counted_miss_and_nothing_is_cached(self):
-        """Symptom: an answer computed on foreign KV. Sequence: a store answers a
-        read with another block's bytes, or with damaged ones. Cause: an engine
-        that uses what it gets without holding it against the descriptor."""
+    async def test_wrong_or_damaged_bytes_count_as_a_miss_and_are_not_cached(self):
+        """Guards against answers computed with another prompt's KV data.
+
+        A store answers a read with another block's bytes, or with damaged ones. The
+        engine must compare what it receives with the descriptor."""
         refs = await self.keep()
         for switch in ("wrong_bytes", "damaged_bytes"):
             with self.subTest(switch=switch):
@@ -53,10 +56,11 @@
                 self.assertEqual(kv.miss_by_reason, {MissReason.WRONG_CHECKSUM: 1})
                 self.assertEqual(len(kv.engine.cache), 0)
 
-    async def test_swap_between_choosing_and_importing_imports_nothing(self):
-        """Symptom: a new request runs on blocks of the old weights. Sequence: the
-        node chooses and orders, the engine swaps while the store answers. Cause: a
-        version that was compared only before the read."""
+    async def test_weight_swap_during_an_import_imports_nothing(self):
+        """Guards against new requests that use blocks of the old weights.
+
+        A node orders an import, and the engine swaps weights while it waits for the
+        store. The engine must compare the version after the read."""
         refs = await self.keep()
         kv = self.world.other_engine()
         self.store.model.faults.delay_ms = 50
@@ -68,7 +72,7 @@
         self.assertEqual(report.misses[0].reason, MissReason.WRONG_VERSION)
         self.assertEqual(len(kv.engine.cache), 0)
 
-    async def test_late_store_costs_no_more_than_the_limit(self):
+    async def test_import_from_a_slow_store_stops_at_the_time_limit(self):
         refs = await self.keep()
         self.store.model.faults.delay_ms = 10_000
         began_ms = self.world.clock.now_ms()
@@ -76,7 +80,7 @@
         self.assertEqual(report.misses[0].reason, MissReason.DEADLINE)
         self.assertLessEqual(self.world.clock.now_ms() - began_ms, 42)
 
-    async def test_blocks_before_the_doubtful_one_stay_usable(self):
+    async def test_blocks_before_a_damaged_one_stay_usable(self):
         refs = await self.keep()
         broken = self.store.model._slot_by_number[refs[2].slot]
         broken.payload = b"?" * len(broken.payload)
@@ -85,29 +89,29 @@
         self.assertEqual(report.blocks, 2)
         self.assertEqual(kv.engine.cache.prefix_blocks(KEYS), 2)
 
-    async def test_block_that_left_the_cache_is_not_exported(self):
+    async def test_block_that_is_not_cached_is_not_exported(self):
         wanted = (Wanted(KEYS[0], 1),)
         reserved = await self.store.reserve(wanted)
         order = ExportOrder("o1", MODEL, VERSION, reserved.refs, {})
-        report = await self.run_ms(self.world.kv.export_blocks(order))
+        report = await self.advance_until_done(self.world.kv.export_blocks(order))
         self.assertEqual(report.sealed, ())
         self.assertEqual(report.missing[0].reason, MissReason.NOT_KEPT)
 
 
 class EventTests(unittest.TestCase):
-    def test_eviction_is_told_in_sequence(self):
+    def test_events_of_stored_and_evicted_blocks_come_in_sequence(self):
         cache = EngineCache(2)
         for position, key in enumerate(("a", "b", "c"), start=1):
             cache.store(key, position)
         events = cache.events(0).events
-        told = [(event.sequence, event.change, event.key) for event in events]
+        entries = [(event.sequence, event.change, event.key) for event in events]
         stored, evicted = CacheChange.STORED, CacheChange.EVICTED
         self.assertEqual(
-            told,
+            entries,
             [(1, stored, "a"), (2, stored, "b"), (3, stored, "c"), (4, evicted, "a")],
         )
 
-    def test_faults_double_drop_and_delay(self):
+    def test_faults_duplicate_drop_and_withhold_events(self):
         cache = EngineCache(8)
         for position, key in enumerate("abcd", start=1):
             cache.store(key, position)
--- a/tests/standins/test_store_model.py
+++ b/tests/standins/test_store_model.py
@@ -8,7 +8,7 @@
 
 
 def keep(store: StoreModel, key: str, payload: bytes = b"x", position: int = 1):
-    """Take a block through every step and return its descriptor."""
+    """Reserve, write, seal and publish a block, and return its descriptor."""
     (ref,) = store.reserve(0, (Wanted(key, position, position - 1),)).refs
     store.write(ref, payload)
     return store.publish(store.seal((sealed(ref, payload),)).refs).refs[0]
@@ -42,9 +42,11 @@
         self.assertEqual(self.store.read(ref), b"x")
 
     def test_freed_slot_is_a_miss_to_holders_of_the_old_generation(self):
-        """Symptom: an answer computed on another prompt's KV. Sequence: a reader
-        takes a descriptor, the block is freed, its slot is filled with another
-        block, the reader reads. Cause: a slot number alone as a name."""
+        """Guards against answers computed with another prompt's KV data.
+
+        A reader gets a descriptor, the block is freed, its slot is reused for
+        another block, and then the reader reads. The slot number alone must not
+        identify a block."""
         old = keep(self.store, "aa", b"old")
         self.store.free((old,), state=SlotState.PUBLISHED, fencing=1)
         new = keep(self.store, "bb", b"new")
@@ -52,9 +54,10 @@
         self.assertEqual(self.store.read(old), Miss("aa", MissReason.OLD_GENERATION))
 
     def test_torn_write_is_not_sealed(self):
-        """Symptom: half a block is read. Sequence: the writer dies in the middle of
-        its write and another seals what is there. Cause: a seal that does not look
-        at the bytes."""
+        """Guards against reads of a partly written block.
+
+        The writer crashes during its write, and another process seals the slot.
+        The store must check the bytes before it seals a slot."""
         (ref,) = self.store.reserve(0, (Wanted("aa", 1),)).refs
         self.store.write(ref, b"ha")
         self.assertEqual(self.store.seal((sealed(ref, b"half"),)).refs, ())
@@ -79,10 +82,11 @@
         self.assertEqual(self.store.publish((second,)).refs, ())
         self.assertEqual(self.store.used_slots(), 1)
 
-    def test_generations_before_a_restart_name_nothing_after_it(self):
-        """Symptom: a block is read that was never written under that descriptor.
-        Sequence: a store restarts empty and counts its generations from the start
-        again. Cause: a generation that does not contain the store's epoch."""
+    def test_generations_from_before_a_restart_are_invalid_after_it(self):
+        """Guards against reads with a descriptor of another block.
+
+        A store restarts empty and counts its generations from the start again. A
+        generation must contain the store's epoch."""
         old = keep(self.store, "aa", b"old")
         self.store.restart_empty(2)
         keep(self.store, "aa", b"new")
@@ -93,14 +97,14 @@
     def setUp(self):
         self.store = StoreModel("s1", COSTS)
 
-    def test_older_holder_frees_nothing_once_a_newer_one_was_here(self):
+    def test_older_lease_holder_frees_nothing_after_a_newer_one_called(self):
         ref = keep(self.store, "aa")
         self.store.raise_fence(6)
         result = self.store.free((ref,), state=SlotState.PUBLISHED, fencing=5)
         self.assertEqual(result, Fenced(6))
         self.assertEqual(self.store.read(ref), b"x")
 
-    def test_slot_that_went_on_since_it_was_listed_is_not_freed(self):
+    def test_slot_that_changed_state_since_it_was_listed_is_not_freed(self):
         (ref,) = self.store.reserve(0, (Wanted("aa", 1),)).refs
         self.store.write(ref, b"x")
         self.store.publish(self.store.seal((sealed(ref, b"x"),)).refs)
@@ -109,8 +113,8 @@
         self.assertEqual(self.store.read(ref), b"x")
 
 
-class RoomTests(unittest.TestCase):
-    def test_full_store_says_so_and_keeps_what_it_has(self):
+class CapacityTests(unittest.TestCase):
+    def test_full_store_reports_it_and_keeps_its_blocks(self):
         store = StoreModel("s1", COSTS)
         refs = [keep(store, f"a{number}") for number in range(4)]
         self.assertTrue(store.reserve(0, (Wanted("ff", 1),)).is_full)
@@ -128,25 +132,25 @@
     def setUp(self):
         self.store = StoreModel("s1", COSTS)
 
-    def test_changes_follow_a_whole_listing(self):
+    def test_changes_follow_a_full_listing(self):
         keep(self.store, "a1")
-        whole = self.store.list(ListQuery())
-        self.assertTrue(whole.is_whole)
+        full = self.store.list(ListQuery())
+        self.assertTrue(full.is_whole)
         ref = keep(self.store, "a2")
         self.store.free((ref,), state=SlotState.PUBLISHED, fencing=1)
-        query = ListQuery(whole.epoch, whole.next_sequence)
+        query = ListQuery(full.epoch, full.next_sequence)
         later = self.store.list(query)
-        told = [(change.key, change.is_kept) for change in later.changes]
-        self.assertEqual(told, [("a2", True), ("a2", False)])
+        changes = [(change.key, change.is_kept) for change in later.changes]
+        self.assertEqual(changes, [("a2", True), ("a2", False)])
 
-    def test_reader_too_far_behind_gets_the_whole_listing(self):
+    def test_reader_too_far_behind_gets_the_full_listing(self):
         query = ListQuery(1, 0)
         for number in range(6):
             ref = keep(self.store, f"a{number}")
             self.store.free((ref,), state=SlotState.PUBLISHED, fencing=1)
         self.assertTrue(self.store.list(query).is_whole)
 
-    def test_restarted_store_gives_the_whole_listing(self):
+    def test_restarted_store_returns_the_full_listing(self):
         keep(self.store, "a1")
         before = self.store.list(ListQuery())
         self.store.restart_empty(2)
--- a/tests/standins/test_store_server.py
+++ b/tests/standins/test_store_server.py
@@ -23,7 +23,7 @@
 KEYS = ("aa" * 16, "bb" * 16)
 
 
-class OverSocketsTests(unittest.IsolatedAsyncioTestCase):
+class StoreServerTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.server = StoreServer(StoreModel("s1", COSTS))
         self.engines = [EngineServer(EngineModel({"m": "v1"})) for _ in range(2)]
@@ -33,7 +33,7 @@
         self.session = await self.enterAsyncContext(aiohttp.ClientSession())
         self.store = HttpStore(self.session, "s1", self.server.url)
 
-    async def test_engine_to_store_to_engine(self):
+    async def test_blocks_pass_from_engine_to_store_to_engine(self):
         first, second = (HttpKvEngine(self.session, item.url) for item in self.engines)
         for position, key in enumerate(KEYS, start=1):
             self.engines[0].model.cache.store(key, position)
@@ -51,7 +51,7 @@
         listing = await self.store.list(ListQuery())
         self.assertEqual(len(listing.changes), 2)
 
-    async def test_conditional_free_fence_and_miss_pass_the_wire(self):
+    async def test_fencing_misses_and_unfinished_slots_work_over_http(self):
         reserved = await self.store.reserve((Wanted(KEYS[0], 1),))
         await self.store.raise_fence(4)
         result = await self.store.free(
@@ -62,7 +62,7 @@
         (unfinished,) = await self.store.unfinished(0)
         self.assertEqual(unfinished.ref, reserved.refs[0])
 
-    async def test_dead_store_is_a_value(self):
+    async def test_call_to_a_stopped_store_returns_store_away(self):
         await self.server.stop()
         result = await self.store.describe(KEYS)
         self.assertIsInstance(result, StoreAway)
