--- a/fireflyward/demo/_demo.py
+++ b/fireflyward/demo/_demo.py
@@ -73,7 +73,10 @@
         print(f"\n{title}")
         requests = _requests(title)
         endings = await asyncio.gather(
-            *(self._caller.ask(request, turn) for turn, request in enumerate(requests))
+            *(
+                self._caller.send_until_final(request, turn)
+                for turn, request in enumerate(requests)
+            )
         )
         for request, ending in zip(requests, endings, strict=True):
             self._count_by_ending[ending] += 1
--- a/fireflyward/load/__init__.py
+++ b/fireflyward/load/__init__.py
@@ -1,4 +1,4 @@
-"""Seeded load from many good callers, with every answer checked."""
+"""Load from many well-behaved callers, drawn from a seed; all answers are checked."""
 
 from ._caller import LoadCaller
 from ._plan import LoadPlan, LoadRequest, RequestMode, draw_requests
--- a/fireflyward/load/_caller.py
+++ b/fireflyward/load/_caller.py
@@ -1,4 +1,4 @@
-"""One caller: asks, reads, and asks again as docs/API.md tells it to."""
+"""A caller that sends requests, and retries them as docs/API.md describes."""
 
 import itertools
 from collections.abc import Sequence
@@ -18,20 +18,20 @@
 
 from ._plan import LoadPlan, LoadRequest, RequestMode
 
-_SILENCE_LIMIT_S = 10.0
-_CONNECT_LIMIT_S = 2.0
-_SHORTEST_PAUSE_MS = 50
-_LONGEST_PAUSE_MS = 1_000
+_READ_TIMEOUT_S = 10.0
+_CONNECT_TIMEOUT_S = 2.0
+_MIN_RETRY_DELAY_MS = 50
+_MAX_RETRY_DELAY_MS = 1_000
 _MS_PER_SECOND = 1_000
-_MOST_UNKNOWN = 8
-_DONE = b"[DONE]"
+_MAX_UNKNOWN_ANSWERS = 8
+_END_MARKER = b"[DONE]"
 
 
 class _Choice(msgspec.Struct):
     text: str | None = None
 
 
-class _Body(msgspec.Struct):
+class _CompletionBody(msgspec.Struct):
     choices: list[_Choice] = []
 
 
@@ -45,10 +45,10 @@
 
 
 @dataclass(slots=True)
-class Received:
-    """What one attempt brought: text, outcome and the place to go on from.
+class AttemptResult:
+    """The outcome and text of one attempt, and the event to resume its stream after.
 
-    An attempt that found nobody at the address took no request and cut none.
+    If ``is_connected`` is false, the node was unreachable and got no request.
     """
 
     ending: Ending = Ending.CUT
@@ -64,12 +64,14 @@
 
 @dataclass(slots=True)
 class LoadCaller:
-    """Asks the nodes behind ``urls`` in turn; reports to ``checker``.
-
-    After a cut it goes to the next node at once, with its ``Idempotency-Key`` and,
-    in a stream, with the id of the last event that it has. After a refusal it
-    waits as long as it was told. It gives up after ``patience_ms``, and a
-    non-idempotent call after ``_MOST_UNKNOWN`` answers that its outcome is unknown.
+    """Sends requests to the nodes at ``urls`` in turn, and reports to ``checker``.
+
+    After a connection was cut, the caller repeats the request at the next node after
+    a short delay, with the same ``Idempotency-Key`` and, in a stream, with the id of
+    the last event that it received. After a refusal it waits for the time in
+    ``Retry-After``, within bounds. It gives up after ``time_limit_ms``. It gives up
+    a non-idempotent call also after ``_MAX_UNKNOWN_ANSWERS`` answers that its
+    outcome is unknown.
     """
 
     session: aiohttp.ClientSession
@@ -77,43 +79,49 @@
     plan: LoadPlan
     checker: Checker
     clock: Clock
-    patience_ms: int
+    time_limit_ms: int
     retries: int = 0
     first_token_ms: list[int] = field(default_factory=list)
 
-    async def ask(self, request: LoadRequest, turn: int = 0) -> Ending | None:
-        """Ask until an outcome forbids asking again; None when patience ended."""
-        begun_ms = self.clock.now_ms()
+    async def send_until_final(
+        self, request: LoadRequest, start_index: int = 0
+    ) -> Ending | None:
+        """Send a request, and retry it until its outcome is final.
+
+        Returns None if the time limit passed without a final outcome. The first
+        attempt goes to the node at ``start_index`` in ``urls``, modulo their number.
+        """
+        start_ms = self.clock.now_ms()
         is_call = request.mode is RequestMode.CALL
-        answers = request.answers(self.plan)
+        answers = request.expected_answers(self.plan)
         self.checker.see(
-            Asked(begun_ms, request.name, request.account, answers, is_call)
+            Asked(start_ms, request.name, request.account, answers, is_call)
         )
-        received, unknown = Received(), 0
-        for attempt in itertools.count(turn):
-            attempt_ms = self.clock.now_ms()
+        result, unknown = AttemptResult(), 0
+        for attempt in itertools.count(start_index):
+            attempt_start_ms = self.clock.now_ms()
             url = self.urls[attempt % len(self.urls)]
-            received = await self._attempt(url, request, received)
-            is_late = self.clock.now_ms() - begun_ms > self.patience_ms
-            unknown += received.ending is Ending.UNKNOWN
-            gives_up = is_call and (is_late or unknown >= _MOST_UNKNOWN)
-            is_over = received.ending is Ending.ANSWERED or gives_up
-            if received.is_connected or is_over:
-                self._see(url, request, received, attempt_ms, is_over)
-            if received.first_ms and attempt == turn:
-                self.first_token_ms.append(received.first_ms - begun_ms)
-            if is_over or is_late:
-                return received.ending if is_over else None
+            result = await self._attempt(url, request, result)
+            is_timed_out = self.clock.now_ms() - start_ms > self.time_limit_ms
+            unknown += result.ending is Ending.UNKNOWN
+            is_given_up = is_call and (is_timed_out or unknown >= _MAX_UNKNOWN_ANSWERS)
+            is_final = result.ending is Ending.ANSWERED or is_given_up
+            if result.is_connected or is_final:
+                self._report_attempt(url, request, result, attempt_start_ms, is_final)
+            if result.first_ms and attempt == start_index:
+                self.first_token_ms.append(result.first_ms - start_ms)
+            if is_final or is_timed_out:
+                return result.ending if is_final else None
             self.retries += 1
-            await self.clock.sleep_ms(_pause_ms(received))
-        raise AssertionError("a count that never ends has ended")
+            await self.clock.sleep_ms(_retry_delay_ms(result))
+        raise AssertionError("itertools.count() is infinite")
 
-    def _see(
+    def _report_attempt(
         self,
         url: str,
         request: LoadRequest,
-        received: Received,
-        begun_ms: int,
+        result: AttemptResult,
+        start_ms: int,
         is_final: bool,
     ) -> None:
         now_ms = self.clock.now_ms()
@@ -121,40 +129,40 @@
             Ended(
                 now_ms,
                 request.name,
-                received.ending,
-                received.text,
-                received.run_id,
+                result.ending,
+                result.text,
+                result.run_id,
                 url,
                 is_final,
-                begun_ms,
+                start_ms,
             )
         )
-        self.checker.see(BundleServed(now_ms, url, received.bundle, begun_ms))
+        self.checker.see(BundleServed(now_ms, url, result.bundle, start_ms))
 
     async def _attempt(
-        self, url: str, request: LoadRequest, before: Received
-    ) -> Received:
-        """Send one HTTP request and read its response as far as it comes."""
-        received = Received()
-        if request.mode is RequestMode.STREAM and before.ending is Ending.CUT:
-            received.text, received.event_id = before.text, before.event_id
+        self, url: str, request: LoadRequest, previous: AttemptResult
+    ) -> AttemptResult:
+        """Send one HTTP request, and read its response until it ends or breaks off."""
+        result = AttemptResult()
+        if request.mode is RequestMode.STREAM and previous.ending is Ending.CUT:
+            result.text, result.event_id = previous.text, previous.event_id
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=_CONNECT_LIMIT_S, sock_read=_SILENCE_LIMIT_S
+            total=None, sock_connect=_CONNECT_TIMEOUT_S, sock_read=_READ_TIMEOUT_S
         )
         path, body = self._body(request)
         try:
             async with self.session.post(
                 url + path,
                 data=body,
-                headers=self._headers(request, received.event_id),
+                headers=self._headers(request, result.event_id),
                 timeout=timeout,
             ) as response:
-                await self._read(request, response, received)
+                await self._read(request, response, result)
         except aiohttp.ClientConnectorError:
-            received.is_connected = False
+            result.is_connected = False
         except (aiohttp.ClientError, TimeoutError, OSError):
-            received.ending = Ending.CUT
-        return received
+            result.ending = Ending.CUT
+        return result
 
     def _body(self, request: LoadRequest) -> tuple[str, bytes]:
         if request.mode is RequestMode.CALL:
@@ -180,63 +188,65 @@
         self,
         request: LoadRequest,
         response: aiohttp.ClientResponse,
-        received: Received,
+        result: AttemptResult,
     ) -> None:
         headers = response.headers
-        received.run_id = headers.get("X-Request-Id", "")
-        received.bundle = int(headers.get("X-Bundle", "0"))
+        result.run_id = headers.get("X-Request-Id", "")
+        result.bundle = int(headers.get("X-Bundle", "0"))
         tag = headers.get("X-Outcome", "")
         if tag != Ending.ANSWERED:
-            received.code = _code(await response.read())
-            received.ending = Ending(tag) if tag else Ending.CUT
+            result.code = _error_code(await response.read())
+            result.ending = Ending(tag) if tag else Ending.CUT
             after_s = float(headers.get("Retry-After", "0"))
-            received.retry_after_ms = int(after_s * _MS_PER_SECOND)
+            result.retry_after_ms = int(after_s * _MS_PER_SECOND)
         elif request.mode is RequestMode.STREAM:
-            await self._read_stream(response, received)
+            await self._read_stream(response, result)
         else:
             data = await response.read()
-            received.first_ms = self.clock.now_ms()
-            received.text = (
-                data.decode() if request.mode is RequestMode.CALL else _text(data)
+            result.first_ms = self.clock.now_ms()
+            result.text = (
+                data.decode()
+                if request.mode is RequestMode.CALL
+                else _answer_text(data)
             )
-            received.ending = Ending.ANSWERED
+            result.ending = Ending.ANSWERED
 
     async def _read_stream(
-        self, response: aiohttp.ClientResponse, received: Received
+        self, response: aiohttp.ClientResponse, result: AttemptResult
     ) -> None:
         is_error = False
         async for line in response.content:
             name, _, value = line.strip().partition(b": ")
             if name == b"id":
-                received.event_id = value.decode()
+                result.event_id = value.decode()
             elif name == b"event":
                 is_error = value == b"error"
             elif name == b"data" and is_error:
-                received.ending = Ending(
+                result.ending = Ending(
                     msgspec.json.decode(value, type=_Error).error.type
                 )
                 return
-            elif name == b"data" and value == _DONE:
-                received.ending = Ending.ANSWERED
+            elif name == b"data" and value == _END_MARKER:
+                result.ending = Ending.ANSWERED
                 return
             elif name == b"data":
-                received.first_ms = received.first_ms or self.clock.now_ms()
-                received.text += _text(value)
+                result.first_ms = result.first_ms or self.clock.now_ms()
+                result.text += _answer_text(value)
 
 
-def _text(data: bytes) -> str:
-    choices = msgspec.json.decode(data, type=_Body).choices
+def _answer_text(data: bytes) -> str:
+    choices = msgspec.json.decode(data, type=_CompletionBody).choices
     return (choices[0].text or "") if choices else ""
 
 
-def _code(data: bytes) -> str:
+def _error_code(data: bytes) -> str:
     try:
         return msgspec.json.decode(data, type=_Error).error.code
     except msgspec.DecodeError:
         return ""
 
 
-def _pause_ms(received: Received) -> int:
-    if received.ending is Ending.CUT:
-        return _SHORTEST_PAUSE_MS
-    return min(max(received.retry_after_ms, _SHORTEST_PAUSE_MS), _LONGEST_PAUSE_MS)
+def _retry_delay_ms(result: AttemptResult) -> int:
+    if result.ending is Ending.CUT:
+        return _MIN_RETRY_DELAY_MS
+    return min(max(result.retry_after_ms, _MIN_RETRY_DELAY_MS), _MAX_RETRY_DELAY_MS)
--- a/fireflyward/load/_plan.py
+++ b/fireflyward/load/_plan.py
@@ -1,4 +1,4 @@
-"""What is asked: drawn from a seed, so that two runs ask the same."""
+"""The requests of a load run, drawn from a seed so that a run can be repeated."""
 
 import enum
 import random
@@ -8,13 +8,17 @@
 from fireflyward.standins import answer_text
 
 _CLAUSE = "clause {} of the building code that many prompts share. "
-_CLAUSES_IN_SET = 24
-_FEWEST_TOKENS = 4
-_MOST_TOKENS = 24
+_CLAUSES_PER_SET = 24
+_MIN_TOKENS = 4
+_MAX_TOKENS = 24
 
 
 class RequestMode(enum.StrEnum):
-    """The ways in which a caller asks."""
+    """How a caller sends a request.
+
+    ``PROMPT`` asks for the answer to a prompt in one piece, ``STREAM`` for a stream
+    of it, and ``CALL`` is a non-idempotent call of a plain service.
+    """
 
     PROMPT = "prompt"
     STREAM = "stream"
@@ -23,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """How much is asked, of what and by whom.
+    """The number and kind of requests, and the client accounts that send them.
 
-    ``key_by_account`` holds callers' keys; ``versions`` are the weight versions
-    whose answers are right. Each account draws its prompts' first part from
-    ``clause_sets`` texts, so prompts return to prefixes that were computed before.
-    ``service_path`` is empty where no plain service is to be called.
+    ``key_by_account`` holds the callers' keys, and ``versions`` the weight versions
+    whose answers are correct. The prompts of an account start with one of
+    ``clause_sets`` texts, so that later prompts reuse computed prefixes. An empty
+    ``service_path`` means that no plain service is called.
     """
 
     seed: int
@@ -38,7 +42,7 @@
     versions: tuple[str, ...] = ("v1",)
     service_path: str = "/services/drafting/revisions"
     clause_sets: int = 8
-    share_by_way: dict[RequestMode, float] = field(
+    share_by_mode: dict[RequestMode, float] = field(
         default_factory=lambda: {
             RequestMode.PROMPT: 0.45,
             RequestMode.STREAM: 0.45,
@@ -57,8 +61,8 @@
     text: str
     max_tokens: int
 
-    def answers(self, plan: LoadPlan) -> tuple[str, ...]:
-        """Return the texts that answer it rightly."""
+    def expected_answers(self, plan: LoadPlan) -> tuple[str, ...]:
+        """Return all correct answers to the request."""
         if self.mode is RequestMode.CALL:
             path = "/" + plan.service_path.split("/", 3)[3]
             return (f"POST {path}\n{self.text}",)
@@ -70,30 +74,30 @@
 
 def draw_requests(plan: LoadPlan) -> Iterator[LoadRequest]:
     """Draw the requests of a plan in order."""
-    drawn = random.Random(plan.seed)
+    rng = random.Random(plan.seed)
     accounts = sorted(plan.key_by_account)
-    ways = [
+    modes = [
         mode
-        for mode in plan.share_by_way
-        if mode is not RequestMode.CALL or _calls(plan)
+        for mode in plan.share_by_mode
+        if mode is not RequestMode.CALL or _has_service(plan)
     ]
-    shares = [plan.share_by_way[mode] for mode in ways]
+    shares = [plan.share_by_mode[mode] for mode in modes]
     for index in range(plan.requests):
-        account = drawn.choice(accounts)
-        mode = drawn.choices(ways, shares)[0]
+        account = rng.choice(accounts)
+        mode = rng.choices(modes, shares)[0]
         name = f"load-{plan.seed}-{index}"
         text = f"[{name}]"
         if mode is not RequestMode.CALL:
-            text = _clauses(account, drawn.randrange(plan.clause_sets)) + text
-        max_tokens = drawn.randint(_FEWEST_TOKENS, _MOST_TOKENS)
+            text = _clauses(account, rng.randrange(plan.clause_sets)) + text
+        max_tokens = rng.randint(_MIN_TOKENS, _MAX_TOKENS)
         yield LoadRequest(name, account, mode, text, max_tokens)
 
 
-def _calls(plan: LoadPlan) -> bool:
+def _has_service(plan: LoadPlan) -> bool:
     return bool(plan.service_path)
 
 
 def _clauses(account: str, number: int) -> str:
-    first = number * _CLAUSES_IN_SET
-    numbers = range(first, first + _CLAUSES_IN_SET)
+    first = number * _CLAUSES_PER_SET
+    numbers = range(first, first + _CLAUSES_PER_SET)
     return f"{account}: " + "".join(_CLAUSE.format(clause) for clause in numbers)
--- a/fireflyward/load/_report.py
+++ b/fireflyward/load/_report.py
@@ -1,4 +1,4 @@
-"""The figures of a load run."""
+"""The report of a load run."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -7,15 +7,16 @@
 
 from fireflyward.checker import Promise, Violation
 
-_SHOWN = 20
+_MAX_SHOWN_VIOLATIONS = 20
 
 
 class LoadReport(msgspec.Struct):
-    """One JSON object: counts, times to the first token, and what went wrong.
+    """The counts, times to first token and violations, written as a JSON object.
 
-    ``whole`` counts answers that are right to the last byte; ``doubled``,
-    ``mixed`` and ``lost`` are requests as the checker found them; ``unknown`` are
-    non-idempotent requests whose outcome nobody could tell in time.
+    ``whole`` counts answers that are correct to the last byte. ``doubled``, ``mixed``
+    and ``lost`` count the checker's violations: requests that ran twice, wrong or
+    foreign answers, and requests without an outcome. ``unknown`` counts
+    non-idempotent requests whose outcome stayed unknown.
     """
 
     requests: int
@@ -32,7 +33,7 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was lost, doubled, mixed or otherwise broken."""
+        """Return whether the checker found no violation."""
         return not self.violations
 
 
@@ -46,7 +47,7 @@
     first_token_ms: Sequence[int],
     violations: Sequence[Violation],
 ) -> LoadReport:
-    """Put the figures together."""
+    """Combine the counts and the checker's violations into a report."""
     count = Counter(violation.promise for violation in violations)
     wrong = count[Promise.WHOLE_ANSWER] + count[Promise.OWN_ACCOUNT]
     return LoadReport(
@@ -59,14 +60,17 @@
         unknown,
         retries,
         round(seconds, 3),
-        {f"p{part}": _quantile(first_token_ms, part / 100) for part in (50, 95, 99)},
-        [str(violation) for violation in violations[:_SHOWN]],
+        {
+            f"p{percent}": _quantile(first_token_ms, percent / 100)
+            for percent in (50, 95, 99)
+        },
+        [str(violation) for violation in violations[:_MAX_SHOWN_VIOLATIONS]],
     )
 
 
-def _quantile(values: Sequence[int], part: float) -> float:
-    """Return the least value that ``part`` of all values do not exceed."""
+def _quantile(values: Sequence[int], fraction: float) -> float:
+    """Return the value at rank ``fraction`` of the sorted values, 0 without any."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return float(ordered[min(len(ordered) - 1, int(part * len(ordered)))])
+    return float(ordered[min(len(ordered) - 1, int(fraction * len(ordered)))])
--- a/fireflyward/load/_run.py
+++ b/fireflyward/load/_run.py
@@ -1,4 +1,4 @@
-"""Many callers at once over one plan."""
+"""A load run: many concurrent callers that send the requests of one plan."""
 
 import asyncio
 from collections import Counter
@@ -14,14 +14,14 @@
 from ._report import LoadReport, make_report
 
 _MS_PER_SECOND = 1_000
-_PATIENCE_MS = 60_000
+_TIME_LIMIT_MS = 60_000
 
 
 class LoadRun:
-    """Works a plan off with ``callers`` at once.
+    """Sends the requests of a plan with ``callers`` at once.
 
-    ``urls`` may be changed while it runs; callers look at it for each attempt.
-    ``stop`` ends the drawing of requests, and those under way run to their end.
+    ``urls`` may be changed during the run; callers read it for each attempt. After
+    ``stop`` the callers finish their requests in flight and start no others.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         urls: Sequence[str],
         *,
         callers: int = 16,
-        patience_ms: int = _PATIENCE_MS,
+        time_limit_ms: int = _TIME_LIMIT_MS,
         checker: Checker | None = None,
         clock: Clock | None = None,
     ) -> None:
@@ -39,17 +39,17 @@
         self._plan = plan
         self._urls = urls
         self._callers = callers
-        self._patience_ms = patience_ms
+        self._time_limit_ms = time_limit_ms
         self._clock = clock or Clock()
         self._is_stopping = False
 
     def stop(self) -> None:
-        """Draw no more requests."""
+        """Start no more requests."""
         self._is_stopping = True
 
     async def run(self) -> LoadReport:
-        """Ask everything, and return the figures."""
-        begun_ms = self._clock.now_ms()
+        """Send all requests, and return the report."""
+        start_ms = self._clock.now_ms()
         pending = enumerate(draw_requests(self._plan))
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
@@ -59,7 +59,7 @@
                 self._plan,
                 self.checker,
                 self._clock,
-                self._patience_ms,
+                self._time_limit_ms,
             )
             workers = (self._work(caller, pending) for _ in range(self._callers))
             await asyncio.gather(*workers)
@@ -69,13 +69,15 @@
             answers=self.count_by_ending[Ending.ANSWERED],
             unknown=self.count_by_ending[Ending.UNKNOWN],
             retries=caller.retries,
-            seconds=(now_ms - begun_ms) / _MS_PER_SECOND,
+            seconds=(now_ms - start_ms) / _MS_PER_SECOND,
             first_token_ms=caller.first_token_ms,
             violations=self.checker.finish(now_ms),
         )
 
     async def _work(self, caller: LoadCaller, pending: enumerate) -> None:
-        for turn, request in pending:
+        for start_index, request in pending:
             if self._is_stopping:
                 return
-            self.count_by_ending[await caller.ask(request, turn)] += 1
+            self.count_by_ending[
+                await caller.send_until_final(request, start_index)
+            ] += 1
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -12,7 +12,7 @@
 
 
 class WrongServer(HttpServer):
-    """Gives every caller the answer to the first prompt that it saw."""
+    """Answers every request with the answer to the first prompt that it received."""
 
     def __init__(self):
         super().__init__()
@@ -42,7 +42,7 @@
 
 
 class LoadRunTests(unittest.IsolatedAsyncioTestCase):
-    async def test_all_answers_of_a_sound_deployment_are_whole(self):
+    async def test_all_answers_of_a_working_deployment_are_complete(self):
         plan = LoadPlan(1, 60, KEYS)
         async with DemoDeployment(
             nodes_per_domain=1, engines_per_domain=1
@@ -57,17 +57,17 @@
         calls = [item for item in draw_requests(plan) if item.mode is RequestMode.CALL]
         self.assertEqual(len(deployment.service.bodies), len(calls))
 
-    async def test_answers_of_others_are_reported_as_mixed(self):
+    async def test_answers_to_other_requests_are_reported_as_mixed(self):
         server = WrongServer()
         await server.start()
         self.addAsyncCleanup(server.stop)
-        plan = LoadPlan(1, 10, KEYS, service_path="", share_by_way=PROMPTS)
+        plan = LoadPlan(1, 10, KEYS, service_path="", share_by_mode=PROMPTS)
         report = await LoadRun(plan, [server.url], callers=1).run()
         self.assertEqual((report.whole, report.mixed), (1, 9))
         self.assertFalse(report.is_clean)
 
-    async def test_nobody_there_means_lost(self):
-        plan = LoadPlan(1, 2, KEYS, service_path="", share_by_way=PROMPTS)
-        run = LoadRun(plan, ["http://127.0.0.1:9"], callers=2, patience_ms=100)
+    async def test_requests_to_an_unreachable_node_are_reported_as_lost(self):
+        plan = LoadPlan(1, 2, KEYS, service_path="", share_by_mode=PROMPTS)
+        run = LoadRun(plan, ["http://127.0.0.1:9"], callers=2, time_limit_ms=100)
         report = await run.run()
         self.assertEqual((report.answers, report.lost), (0, 2))
