--- a/fireflyward/daemon/__init__.py
+++ b/fireflyward/daemon/__init__.py
@@ -1,9 +1,9 @@
-"""The one program that every entry VM runs."""
+"""The node process that runs on every entry VM."""
 
 from ._kept_work import KeptWork
 from ._lifecycle_steps import StartStep, StopStep
 from ._node import Node
-from ._outside import Outside
+from ._node_io import NodeIO
 from ._serve import serve
 
-__all__ = ["KeptWork", "Node", "Outside", "StartStep", "StopStep", "serve"]
+__all__ = ["KeptWork", "Node", "NodeIO", "StartStep", "StopStep", "serve"]
--- a/fireflyward/fleet/_peers.py
+++ b/fireflyward/fleet/_peers.py
@@ -7,7 +7,7 @@
 
 from fireflyward.aggregators import Member
 from fireflyward.backing import Committed, Position
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.platform import StoreClient
 from fireflyward.rendezvous import rendezvous_rank
 
@@ -119,10 +119,10 @@
         self._own = own
         self._first_by_duty.clear()
 
-    def on_news(self, news: Followed) -> None:
+    def on_news(self, news: TableUpdate) -> None:
         """Take what changed in the table."""
         self._era = news.position.era
-        if news.is_whole:
+        if news.is_snapshot:
             self._position_by_key.clear()
             if news.is_new_era:
                 self._written_ms_by_key.clear()
@@ -176,7 +176,7 @@
         name = row.key.removeprefix(_NODE_PREFIX)
         if name == row.key:
             return
-        if row.is_copied and name != self._name and name in self._row_by_name:
+        if row.is_restored and name != self._name and name in self._row_by_name:
             # What that node wrote later was lost, and comes again.
             return
         self._row_by_name.pop(name, None)
--- a/fireflyward/leases/__init__.py
+++ b/fireflyward/leases/__init__.py
@@ -1,6 +1,7 @@
-"""Leases in the table service: one holder at a time, with a fencing number."""
+"""Leases in the table service, with one holder at a time and fencing numbers."""
 
-from ._contenders import CONTENDERS, contenders
+from ._announcer import LeaseAnnouncer
+from ._contenders import CONTENDER_COUNT, contenders
 from ._lease import Lease
 from ._messages import (
     Claim,
@@ -12,24 +13,23 @@
     ReadRow,
     Released,
     Renewed,
-    RowSeen,
-    RowTold,
+    RowRead,
+    RowReceived,
     Tick,
     WriteAnswered,
     WriteRow,
 )
-from ._news import LeaseNews
 from ._task import DEFAULT_LEASE_MS, KEY_PREFIX, LeaseTask
 
 __all__ = [
-    "CONTENDERS",
+    "CONTENDER_COUNT",
     "DEFAULT_LEASE_MS",
     "KEY_PREFIX",
     "Claim",
     "Gained",
     "HandOver",
     "Lease",
-    "LeaseNews",
+    "LeaseAnnouncer",
     "LeaseRow",
     "LeaseStep",
     "LeaseTask",
@@ -37,8 +37,8 @@
     "ReadRow",
     "Released",
     "Renewed",
-    "RowSeen",
-    "RowTold",
+    "RowRead",
+    "RowReceived",
     "Tick",
     "WriteAnswered",
     "WriteRow",
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -94,7 +94,7 @@
         wait_ms = self._lease_ms + self._slack_ms
         if change.claim.fencing == 1:
             wait_ms = 0
-        elif change.claim.after_lapse:
+        elif change.claim.after_expiry:
             # The last holder renewed the lease at least one lease duration ago, and
             # stopped ordering one order window after that.
             wait_ms = int(self._order_window_ms) + self._slack_ms
@@ -148,7 +148,7 @@
             views = self._views(now_ms, model)
             orders = self._plan.next(now_ms, model, version, views)
             if orders and self._fencing() is None:
-                self._lease.freshen()
+                self._lease.request_renewal()
                 return
             for order in orders:
                 self._plan.on_order_started(now_ms, order)
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -263,7 +263,7 @@
         )
 
     async def test_the_lease_is_looked_at_as_its_duty_asks(self):
-        look_ms = self.node._lease._look_ms
+        look_ms = self.node._lease._poll_interval_ms
         self.node._weight_task.lease_poll_ms = lambda: 123.0
         self.assertEqual(look_ms(), 123.0)
 
@@ -298,7 +298,7 @@
         await self.until(lambda: {e.version for e in self.engines} == {2})
         self.assertEqual({len(e.orders) for e in self.engines}, {1})
         orders = [e.orders[0] for e in self.engines]
-        first = Position(self.store.era, 1).number
+        first = Position(self.store.era, 1).ordinal
         self.assertEqual({order["fence"] for order in orders}, {first})
         self.assertEqual({order["holder"] for order in orders}, {"entry-1"})
         status, _, _ = await self.ask("POST", "/s/x", headers=STREAM)
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -67,7 +67,7 @@
         aggregators.set_members(
             Member(other, "a", (other, 1), 100) for other in NAMES if other != name
         )
-        self.is_aggregator = aggregators.own(0) is None
+        self.is_aggregator = aggregators.own_aggregator(0) is None
         self.index = StoreIndex(STORE, 10_000)
         self.events = SharedStoreReader(
             store,
--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -313,7 +313,7 @@
         await driver.stop()
         other = simulation.add_driver("b")
         await simulation.run(500)
-        self.assertFalse(other.lease.claim().after_lapse)
+        self.assertFalse(other.lease.claim().after_expiry)
         await simulation.finish()
         self.assert_done(simulation)
 
