--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -134,7 +134,7 @@
         engine.hold_orders = True
         await self.begin(simulation)
         await simulation.run(1_500)
-        engine._held.clear()
+        engine._held_orders.clear()
         engine.hold_orders = False
         await simulation.finish()
         self.assert_done(simulation)
@@ -206,7 +206,7 @@
         driver = await self.begin(simulation)
         await simulation.run(750)
         await driver.stop()
-        self.assertEqual(len({order.order_id for order in engine._held}), 1)
+        self.assertEqual(len({order.order_id for order in engine._held_orders}), 1)
         return simulation, engine
 
     async def test_engine_that_honours_fencing_rejects_the_order_of_a_former_holder(
