--- a/tests/faults/_stores.py
+++ b/tests/faults/_stores.py
@@ -61,13 +61,13 @@
         super().__init__(engine, clock, store_of, 0.0)
         self.world = world
 
-    async def _load(self, store, ref):
+    async def _load_block(self, store, ref):
         payload = await store.read(ref)
         self.read_at_ms = self.clock.now_ms()
         return payload
 
-    async def _fetch(self, order, ref, until_ms):
-        payload = await super()._fetch(order, ref, until_ms)
+    async def _fetch(self, order, ref, deadline_ms):
+        payload = await super()._fetch(order, ref, deadline_ms)
         if isinstance(payload, bytes):
             owner = self.world.owner_by_key.get(ref.key, ("", ""))
             checksum = block_checksum(ref.key, ref.generation, payload)
