--- a/fireflyward/workloads/__init__.py
+++ b/fireflyward/workloads/__init__.py
@@ -1,8 +1,9 @@
 """Replayable workloads of the two deployments, and policies to compare on them.
 
-Prompts are drawn from a seed; time is a clock that jumps from event to event; the
-decisions are the daemon's own classes and the costs those of the engine stand-in.
-Links, stores and delays are a few lines each: this is no cluster simulator.
+Prompts are drawn from a seed, and the clock advances from event to event. Decisions
+are made by the classes that the daemon uses, and costs are those of the engine
+stand-in. Links, stores and delays are modelled in a few lines each; this is not a
+complete simulator of a cluster.
 """
 
 from ._andinos import AndinosLoad, andinos_prompts
--- a/fireflyward/workloads/_compare.py
+++ b/fireflyward/workloads/_compare.py
@@ -1,4 +1,4 @@
-"""One table of all policies, and of ours with broken stores and slow links."""
+"""A table that compares all policies, and ours with silent stores and slow links."""
 
 import enum
 from collections.abc import Callable, Sequence
@@ -12,13 +12,13 @@
 from ._shape import ANDINOS, NOTA_BIRLIK, DeploymentShape
 
 _TERABYTE = 1e12
-_SLOW_LINKS = 0.1
-_SMALL = 0.4
+_SLOW_LINK_SHARE = 0.1
+_SMALL_MEMORY_SHARE = 0.4
 _QUANTILES = (50, 95, 99)
 
 
 class Setting(enum.StrEnum):
-    """Under what ours is measured against having no store."""
+    """A condition under which our policy is compared with having no store."""
 
     NO_STORE = "ours, no store"
     DEAD_STORE = "ours, one store dead"
@@ -28,40 +28,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """A deployment and its prompts by seed."""
+    """A deployment, and the function that draws its prompts from a seed."""
 
     shape: DeploymentShape
     prompts: Callable[[int], list[Prompt]]
 
 
 def workload(name: str, *, is_small: bool = False) -> Workload:
-    """Return ``andinos`` or ``nota-birlik``, whole or small enough for CI.
+    """Return ``andinos`` or ``nota-birlik``, in full or small enough for CI.
 
-    The small one has the same replicas, stores, nodes and sizes of prompts, but few
-    documents, less time between visits and two fifths of the memories.
+    The small workload has the same replicas, stores, nodes and prompt sizes, but few
+    documents, less time between visits, and two fifths of the memory and disk space.
     """
-    return _SMALL_BY_NAME[name] if is_small else _WHOLE_BY_NAME[name]
+    return _SMALL_BY_NAME[name] if is_small else _FULL_BY_NAME[name]
 
 
 def replay(
-    load: Workload, prompts: Sequence[Prompt], row: Policy | Setting, seed: int
+    load: Workload, prompts: Sequence[Prompt], scenario: Policy | Setting, seed: int
 ) -> ReplayResult:
-    """Replay prompts under one policy, or ours under one setting."""
+    """Replay prompts under a policy, or under our policy in one setting."""
     shape, faults, policy = load.shape, ReplayFaults(), Policy.OURS
-    if isinstance(row, Policy):
-        policy = row
-    elif row is Setting.NO_STORE:
+    if isinstance(scenario, Policy):
+        policy = scenario
+    elif scenario is Setting.NO_STORE:
         shape = shape.without_stores()
-    elif row is Setting.SLOW_LINKS:
-        shape = shape.with_links(_SLOW_LINKS)
+    elif scenario is Setting.SLOW_LINKS:
+        shape = shape.with_links(_SLOW_LINK_SHARE)
     else:
-        dead = 1 if row is Setting.DEAD_STORE else shape.stores
-        faults = ReplayFaults(dead_stores=dead)
+        silent_stores = 1 if scenario is Setting.DEAD_STORE else shape.stores
+        faults = ReplayFaults(silent_stores=silent_stores)
     return Replay(shape, policy, seed=seed, faults=faults).run(prompts)
 
 
 def table_row(name: str, result: ReplayResult) -> dict[str, str | float]:
-    """Return a row of the table by column."""
+    """Return a row of the table as a dict from column to value."""
     row: dict[str, str | float] = {
         "policy": name,
         "recomputed_share": round(result.recomputed_share, 4),
@@ -74,24 +74,25 @@
     return row
 
 
-_WHOLE_BY_NAME = {
+_FULL_BY_NAME = {
     "andinos": Workload(ANDINOS, andinos_prompts),
     "nota-birlik": Workload(
         replace(NOTA_BIRLIK, compute_weight=0.0), nota_birlik_prompts
     ),
 }
 _SMALL_ANDINOS = AndinosLoad(
-    shift_hours=2.0, models=20, visit_gap_ms=15 * MINUTE_MS, batch_prompts=20
+    shift_hours=2.0, building_models=20, visit_gap_ms=15 * MINUTE_MS, batch_prompts=20
 )
 _SMALL_NOTA_BIRLIK = NotaBirlikLoad(
     days=1, open_hours=4.0, ledgers=18, question_gap_ms=25 * MINUTE_MS, disputes=50
 )
 _SMALL_BY_NAME = {
     "andinos": Workload(
-        ANDINOS.shrunk(_SMALL), lambda seed: andinos_prompts(seed, _SMALL_ANDINOS)
+        ANDINOS.with_memory(_SMALL_MEMORY_SHARE),
+        lambda seed: andinos_prompts(seed, _SMALL_ANDINOS),
     ),
     "nota-birlik": Workload(
-        _WHOLE_BY_NAME["nota-birlik"].shape.shrunk(_SMALL),
+        _FULL_BY_NAME["nota-birlik"].shape.with_memory(_SMALL_MEMORY_SHARE),
         lambda seed: nota_birlik_prompts(seed, _SMALL_NOTA_BIRLIK),
     ),
 }
--- a/fireflyward/workloads/_events.py
+++ b/fireflyward/workloads/_events.py
@@ -1,4 +1,4 @@
-"""Time that jumps from event to event."""
+"""A clock that advances from event to event."""
 
 import heapq
 import itertools
@@ -8,10 +8,10 @@
 
 
 class EventClock(Clock):
-    """A clock that runs through a list of events as fast as the machine can.
+    """A clock that runs scheduled events without waiting for their times.
 
-    It is for decisions without tasks; ``ManualClock`` is the one for tasks.
-    Events of one time run in the order in which they were asked for.
+    Use it for code without asyncio tasks, and ``ManualClock`` for code with tasks.
+    Events with the same time run in the order in which they were scheduled.
 
     >>> clock, seen = EventClock(), []
     >>> clock.call_at(5.0, lambda: seen.append(clock.now_ms()))
@@ -31,16 +31,16 @@
         return int(self.exact_ms)
 
     def call_at(self, at_ms: float, event: Callable[[], None]) -> None:
-        """Run ``event`` when the time comes, at once if it has passed."""
+        """Schedule ``event`` for ``at_ms``, or for now if that time has passed."""
         at_ms = max(at_ms, self.exact_ms)
         heapq.heappush(self._events, (at_ms, next(self._order), event))
 
     def call_in(self, delay_ms: float, event: Callable[[], None]) -> None:
-        """Run ``event`` after a delay."""
+        """Schedule ``event`` after a delay."""
         self.call_at(self.exact_ms + delay_ms, event)
 
     def run(self) -> None:
-        """Run all events, and those that they ask for."""
+        """Run all events, including those that events schedule."""
         while self._events:
             self.exact_ms, _, event = heapq.heappop(self._events)
             event()
--- a/fireflyward/workloads/_import.py
+++ b/fireflyward/workloads/_import.py
@@ -23,87 +23,100 @@
 from ._events import EventClock
 from ._store import ReplayStore
 
-_WINDOW_PIECES = 6
-_EXPORT_LIMIT_MS = 5_000.0
+_MAX_PIECES_IN_FLIGHT = 6
+_EXPORT_TIME_LIMIT_MS = 5_000.0
 
 
-class LinkUser:
-    """One node's use of one store's link, through a ``LinkBudget``."""
+class NodeLink:
+    """One node's access to one store's link, limited by a ``LinkBudget``."""
 
-    __slots__ = ("_budget", "_clock", "_numbers", "_piece_bytes", "_work", "store")
+    __slots__ = (
+        "_budget",
+        "_clock",
+        "_transfer_ids",
+        "_piece_bytes",
+        "_callback_by_transfer",
+        "store",
+    )
 
     def __init__(self, store: ReplayStore, clock: EventClock, block_bytes: int) -> None:
         self.store = store
         self._clock = clock
         self._piece_bytes = PIECE_BLOCKS * block_bytes
-        self._budget = LinkBudget(_WINDOW_PIECES * self._piece_bytes)
-        self._numbers = itertools.count()
-        self._work: dict[int, Callable[[int], None]] = {}
+        self._budget = LinkBudget(_MAX_PIECES_IN_FLIGHT * self._piece_bytes)
+        self._transfer_ids = itertools.count()
+        self._callback_by_transfer: dict[int, Callable[[int], None]] = {}
 
     @property
     def piece_bytes(self) -> int:
         """Return the bytes of one piece."""
         return self._piece_bytes
 
-    def ask(self, urgency: Urgency, account: str, work: Callable[[int], None]) -> int:
-        """Have ``work`` called with the transfer's number once it is granted."""
-        number = next(self._numbers)
-        self._work[number] = work
-        transfer = Transfer(number, urgency, self._piece_bytes, account)
-        self._perform(self._budget.request(transfer))
-        return number
-
-    def end(self, number: int) -> None:
-        """Take the end of a granted transfer; a second end does nothing."""
-        self._perform(self._budget.on_end(number))
-
-    def withdraw(self, number: int) -> None:
-        """Give up a transfer, granted or not."""
-        if self._work.pop(number, None) is None:
-            self.end(number)
+    def request(
+        self, urgency: Urgency, account: str, on_granted: Callable[[int], None]
+    ) -> int:
+        """Request a transfer, and return its id.
+
+        ``on_granted`` is called with the id when the transfer is granted.
+        """
+        transfer_id = next(self._transfer_ids)
+        self._callback_by_transfer[transfer_id] = on_granted
+        transfer = Transfer(transfer_id, urgency, self._piece_bytes, account)
+        self._handle_actions(self._budget.request(transfer))
+        return transfer_id
+
+    def end(self, transfer_id: int) -> None:
+        """Finish a granted transfer; a second call has no effect."""
+        self._handle_actions(self._budget.on_end(transfer_id))
+
+    def cancel(self, transfer_id: int) -> None:
+        """Cancel a transfer, whether it was granted or not."""
+        if self._callback_by_transfer.pop(transfer_id, None) is None:
+            self.end(transfer_id)
         else:
-            self._budget.cancel(number)
+            self._budget.cancel(transfer_id)
 
-    def _perform(self, actions: list[BudgetAction]) -> None:
+    def _handle_actions(self, actions: list[BudgetAction]) -> None:
         for action in actions:
-            self._act(action)
+            self._handle(action)
 
     @singledispatchmethod
-    def _act(self, action: BudgetAction) -> None:
-        raise TypeError(f"nothing to do for {action!r}")
+    def _handle(self, action: BudgetAction) -> None:
+        raise TypeError(f"no handler for {action!r}")
 
-    @_act.register
+    @_handle.register
     def _(self, action: Grant) -> None:
-        number = action.transfer.transfer_id
-        self._work.pop(number)(number)
+        transfer_id = action.transfer.transfer_id
+        self._callback_by_transfer.pop(transfer_id)(transfer_id)
 
-    @_act.register
+    @_handle.register
     def _(self, action: Dropped) -> None:
-        del self._work[action.transfer.transfer_id]
+        del self._callback_by_transfer[action.transfer.transfer_id]
 
 
 class ReplayImport:
-    """Carries out one ``Import`` plan and calls ``done`` once, whatever comes.
+    """Executes one ``Import`` plan, and calls ``on_done`` once in every case.
 
-    ``done`` is told by how much the import outlasted what its watch allows.
+    ``on_done`` gets the time by which the import exceeded the limit of its
+    ``ImportWatch``; it is negative for an import within the limit.
     """
 
     __slots__ = (
         "_arrived_bytes",
-        "_began_ms",
+        "_first_read_ms",
         "_clock",
-        "_done",
+        "_on_done",
         "_engine",
-        "_is_over",
+        "_is_finished",
         "_keys",
-        "_last_ms",
-        "_left",
+        "_last_arrival_ms",
+        "_remaining_pieces",
         "_link",
         "_plan",
         "_rates",
         "_tier",
         "_watch",
-        "_numbers",
+        "_transfer_ids",
     )
 
     def __init__(
@@ -114,10 +127,10 @@
         *,
         clock: EventClock,
         engine: ReplayEngine,
-        link: LinkUser,
+        link: NodeLink,
         rates: LinkRates,
         queue_ms: float,
-        done: Callable[[float], None],
+        on_done: Callable[[float], None],
     ) -> None:
         self._plan = plan
         self._keys = keys
@@ -126,101 +139,114 @@
         self._engine = engine
         self._link = link
         self._rates = rates
-        self._done = done
+        self._on_done = on_done
         self._watch = ImportWatch(clock.exact_ms, plan, queue_ms=queue_ms)
         self._arrived_bytes = 0
-        self._began_ms = -1.0
-        self._last_ms = 0.0
-        self._is_over = False
-        self._numbers: list[int] = []
-        self._left = 0
+        self._first_read_ms = -1.0
+        self._last_arrival_ms = 0.0
+        self._is_finished = False
+        self._transfer_ids: list[int] = []
+        self._remaining_pieces = 0
 
     def start(self, account: str) -> None:
-        """Ask the link for every piece, first to last."""
+        """Request all pieces from the link, from first to last."""
         pieces = range(
             self._plan.first // PIECE_BLOCKS * PIECE_BLOCKS,
             self._plan.first + self._plan.blocks - PIECE_BLOCKS + 1,
             PIECE_BLOCKS,
         )
         self._engine.touch(self._keys[: self._plan.first])
-        self._left = len(pieces)
-        self._rates.on_start(self._plan.store, self._left * self._link.piece_bytes)
-        if not self._left:
+        self._remaining_pieces = len(pieces)
+        self._rates.on_start(
+            self._plan.store, self._remaining_pieces * self._link.piece_bytes
+        )
+        if not self._remaining_pieces:
             self._finish()
         for first in pieces:
-            if self._is_over:
+            if self._is_finished:
                 return
-            number = self._link.ask(
+            transfer_id = self._link.request(
                 Urgency.IMPORT,
                 account,
-                lambda number, first=first: self._read(number, first),
+                lambda transfer_id, first=first: self._read(transfer_id, first),
             )
-            self._numbers.append(number)
-        self._look_at_the_time()
+            self._transfer_ids.append(transfer_id)
+        self._check_time_limit()
 
-    def _read(self, number: int, first: int) -> None:
-        if self._began_ms < 0:
-            self._began_ms = self._clock.exact_ms
+    def _read(self, transfer_id: int, first: int) -> None:
+        if self._first_read_ms < 0:
+            self._first_read_ms = self._clock.exact_ms
         key = self._keys[first + PIECE_BLOCKS - 1]
         self._link.store.read(
             key,
-            self._watch_block,
-            lambda had: self._arrive(number, first, had),
+            self._on_block,
+            lambda is_found: self._on_piece(transfer_id, first, is_found),
         )
 
-    def _watch_block(self) -> None:
+    def _on_block(self) -> None:
         self._watch.on_blocks(1)
 
-    def _arrive(self, number: int, first: int, had: bool) -> None:
-        if self._is_over:
+    def _on_piece(self, transfer_id: int, first: int, is_found: bool) -> None:
+        if self._is_finished:
             return
-        self._left -= 1
+        self._remaining_pieces -= 1
         self._rates.on_end(self._plan.store, self._link.piece_bytes)
-        if had:
+        if is_found:
             self._engine.load(self._keys[first : first + PIECE_BLOCKS], first)
             self._arrived_bytes += self._link.piece_bytes
-            self._last_ms = self._clock.exact_ms
-        self._link.end(number)
-        if not had or not self._left:
+            self._last_arrival_ms = self._clock.exact_ms
+        self._link.end(transfer_id)
+        if not is_found or not self._remaining_pieces:
             self._finish()
 
-    def _look_at_the_time(self) -> None:
-        if self._is_over:
+    def _check_time_limit(self) -> None:
+        if self._is_finished:
             return
         abort_at_ms = self._watch.abort_at_ms()
         if abort_at_ms <= self._clock.exact_ms:
             self._finish()
         else:
-            self._clock.call_at(abort_at_ms, self._look_at_the_time)
+            self._clock.call_at(abort_at_ms, self._check_time_limit)
 
     def _finish(self) -> None:
-        """Give back what is not needed, learn the rate, and go on."""
-        if self._is_over:
+        """Cancel the remaining transfers, record the rate, and call ``on_done``."""
+        if self._is_finished:
             return
-        self._is_over = True
-        for number in self._numbers:
-            self._link.withdraw(number)
-        self._rates.on_end(self._plan.store, self._left * self._link.piece_bytes)
+        self._is_finished = True
+        for transfer_id in self._transfer_ids:
+            self._link.cancel(transfer_id)
+        self._rates.on_end(
+            self._plan.store, self._remaining_pieces * self._link.piece_bytes
+        )
         if self._arrived_bytes:
             self._rates.on_measured(
                 self._clock.exact_ms,
                 self._plan.store,
                 self._tier,
                 self._arrived_bytes,
-                self._last_ms - self._began_ms,
+                self._last_arrival_ms - self._first_read_ms,
             )
-        elif self._left:
+        elif self._remaining_pieces:
             self._rates.on_no_data(self._clock.exact_ms, self._plan.store)
-        self._done(self._clock.exact_ms - self._watch.abort_at_ms())
+        self._on_done(self._clock.exact_ms - self._watch.abort_at_ms())
 
 
 class ReplayExport:
-    """Writes one piece to a store, if the engine still has it by then.
+    """Writes one piece to a store, if the engine still has it cached by then.
 
-    A store that does not answer is left alone for a while, as for imports.
+    For some time after a store did not answer, nothing is exported to it. The same
+    holds for imports.
     """
 
-    __slots__ = ("_clock", "_engine", "_is_over", "_keys", "_link", "_offer", "_rates")
+    __slots__ = (
+        "_clock",
+        "_engine",
+        "_is_finished",
+        "_keys",
+        "_link",
+        "_offer",
+        "_rates",
+    )
 
     def __init__(
         self,
@@ -229,10 +255,10 @@
         *,
         clock: EventClock,
         engine: ReplayEngine,
-        link: LinkUser,
+        link: NodeLink,
         rates: LinkRates,
     ) -> None:
-        self._is_over = False
+        self._is_finished = False
         self._rates = rates
         self._offer = offer
         self._keys = keys
@@ -241,25 +267,27 @@
         self._link = link
 
     def start(self) -> None:
-        """Ask the link; exports go when nobody waits."""
-        if self._is_open():
-            self._link.ask(Urgency.EXPORT, self._offer.account, self._write)
+        """Request the transfer; it is granted when no import waits for the link."""
+        if self._is_store_available():
+            self._link.request(Urgency.EXPORT, self._offer.account, self._write)
 
-    def _is_open(self) -> bool:
+    def _is_store_available(self) -> bool:
         return self._rates.is_available(self._clock.exact_ms, self._link.store.name)
 
-    def _write(self, number: int) -> None:
-        if not self._is_open() or not self._engine.holds(self._keys):
-            self._clock.call_in(0, lambda: self._end(number))
+    def _write(self, transfer_id: int) -> None:
+        if not self._is_store_available() or not self._engine.has_cached(self._keys):
+            self._clock.call_in(0, lambda: self._end(transfer_id))
             return
-        self._link.store.write(self._offer, lambda: self._end(number))
-        self._clock.call_in(_EXPORT_LIMIT_MS, lambda: self._expire(number))
+        self._link.store.write(self._offer, lambda: self._end(transfer_id))
+        self._clock.call_in(
+            _EXPORT_TIME_LIMIT_MS, lambda: self._on_time_limit(transfer_id)
+        )
 
-    def _end(self, number: int) -> None:
-        self._is_over = True
-        self._link.end(number)
+    def _end(self, transfer_id: int) -> None:
+        self._is_finished = True
+        self._link.end(transfer_id)
 
-    def _expire(self, number: int) -> None:
-        if not self._is_over:
+    def _on_time_limit(self, transfer_id: int) -> None:
+        if not self._is_finished:
             self._rates.on_no_data(self._clock.exact_ms, self._link.store.name)
-            self._end(number)
+            self._end(transfer_id)
--- a/fireflyward/workloads/_node.py
+++ b/fireflyward/workloads/_node.py
@@ -1,4 +1,4 @@
-"""One entry node of the replay: it chooses, imports, sends and learns."""
+"""One entry node of the replay: it routes prompts, imports and exports blocks."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,27 +22,27 @@
 
 from ._engine import MODEL, VERSION, ReplayEngine
 from ._events import EventClock
-from ._import import LinkUser, ReplayExport, ReplayImport
+from ._import import NodeLink, ReplayExport, ReplayImport
 from ._index import ReplayIndex
 from ._policies import Chooser, LeastLoaded, Policy, RoundRobin
 from ._prompts import Prompt
 from ._shape import DeploymentShape
 from ._store import ReplayStore
 
-_OLD_REPORT_MS = 1_000
-_SESSION_BLOCK = 7
+_MAX_REPORT_AGE_MS = 1_000
+_OWNER_KEY_INDEX = 7
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    """What all nodes of one replay share."""
+class ReplayContext:
+    """The state and callbacks that all nodes of one replay share."""
 
     shape: DeploymentShape
     clock: EventClock
     engine_by_name: dict[str, ReplayEngine]
     store_by_name: dict[str, ReplayStore]
     index: ReplayIndex
-    keeper_by_name: dict[str, KeepPolicy]
+    keep_policy_by_node: dict[str, KeepPolicy]
     on_submit: Callable[[ReplayEngine, Prompt], None]
     on_change: Callable[[ReplayEngine], None]
     on_first_token: Callable[[Prompt, float], None]
@@ -50,19 +50,21 @@
 
 
 class ReplayNode:
-    """Drives the daemon's own decision classes for the prompts that come to it."""
+    """Uses the daemon's decision classes to serve the prompts that it receives."""
 
-    __slots__ = ("_chooser", "_domain", "_links", "_placement", "_router", "_world")
+    __slots__ = ("_chooser", "_domain", "_links", "_placement", "_router", "_context")
 
-    def __init__(self, world: World, domain: str, policy: Policy, seed: int) -> None:
-        self._world = world
+    def __init__(
+        self, context: ReplayContext, domain: str, policy: Policy, seed: int
+    ) -> None:
+        self._context = context
         self._domain = domain
-        shape = world.shape
+        shape = context.shape
         self._router = Router(domain, seed=seed)
         self._router.set_replicas(
             [
-                _candidate(name, home, shape)
-                for name, home in shape.replica_domains().items()
+                _candidate(name, replica_domain, shape)
+                for name, replica_domain in shape.replica_domains().items()
             ]
         )
         costs = PlacementCosts(
@@ -70,20 +72,20 @@
             link_bytes_per_ms=shape.store.link_bytes_per_ms,
             compute_weight=shape.compute_weight,
         )
-        self._placement = Placement(costs, world.index)
+        self._placement = Placement(costs, context.index)
         self._links = {
-            name: LinkUser(store, world.clock, shape.block_bytes)
-            for name, store in world.store_by_name.items()
+            name: NodeLink(store, context.clock, shape.block_bytes)
+            for name, store in context.store_by_name.items()
         }
         self._chooser = self._make_chooser(policy, seed)
 
     def on_report(self, name: str, report: LoadReport) -> None:
-        """Take a replica's load."""
-        self._router.on_report(self._world.clock.now_ms(), name, report)
+        """Handle a replica's load report."""
+        self._router.on_report(self._context.clock.now_ms(), name, report)
 
     def serve(self, run_id: str, prompt: Prompt) -> None:
-        """Choose a replica and a way, and set out on it."""
-        clock = self._world.clock
+        """Choose a replica, and send the prompt to it, after an import if planned."""
+        clock = self._context.clock
         self._refresh_reports()
         text = prompt.text
         shape = RunShape(prompt.account, MODEL, VERSION, text.tokens, text.keys, run_id)
@@ -107,10 +109,10 @@
         return self._router
 
     def _refresh_reports(self) -> None:
-        """Read the load of replicas of which nothing changed for a while."""
-        now_ms = self._world.clock.now_ms()
-        for name, engine in self._world.engine_by_name.items():
-            if self._router.candidate(name).report_age_ms(now_ms) > _OLD_REPORT_MS:
+        """Read the load of replicas whose last report is too old."""
+        now_ms = self._context.clock.now_ms()
+        for name, engine in self._context.engine_by_name.items():
+            if self._router.candidate(name).report_age_ms(now_ms) > _MAX_REPORT_AGE_MS:
                 self._router.on_report(now_ms, name, engine.model.report(now_ms))
 
     def _import(self, attempt: "_Attempt", estimate: Estimate) -> None:
@@ -119,58 +121,66 @@
             plan,
             attempt.prompt.text.keys,
             self._tier(plan, attempt.shape),
-            clock=self._world.clock,
-            engine=self._world.engine_by_name[attempt.replica],
+            clock=self._context.clock,
+            engine=self._context.engine_by_name[attempt.replica],
             link=self._links[plan.store],
             rates=self._placement.links,
             queue_ms=estimate.queue_ms,
-            done=lambda overrun_ms: self._imported(attempt, overrun_ms),
+            on_done=lambda overrun_ms: self._on_imported(attempt, overrun_ms),
         )
         transfer.start(attempt.prompt.account)
 
-    def _imported(self, attempt: "_Attempt", overrun_ms: float) -> None:
-        self._world.on_imported(overrun_ms)
+    def _on_imported(self, attempt: "_Attempt", overrun_ms: float) -> None:
+        self._context.on_imported(overrun_ms)
         attempt.send()
 
     def _tier(self, plan: Import, shape: RunShape) -> Tier:
-        known = self._world.index.locate(self._world.clock.now_ms(), shape)
-        return next((run.tier for run in known.stored if _is_in(plan, run)), Tier.DISK)
+        locations = self._context.index.locate(self._context.clock.now_ms(), shape)
+        return next(
+            (run.tier for run in locations.stored if _covers(plan, run)), Tier.DISK
+        )
 
-    def sent(self, replica: str) -> None:
-        """Count a run that is on its way to a replica."""
+    def on_sent(self, replica: str) -> None:
+        """Count a run that was sent to a replica."""
         self._router.on_start(replica)
 
-    def learn(self, attempt: "_Attempt", first_ms: float, cached_tokens: int) -> None:
-        """Take a run's first token: learn from it and keep what is worth it."""
-        now_ms = self._world.clock.now_ms()
+    def on_first_token(
+        self, attempt: "_Attempt", first_ms: float, cached_tokens: int
+    ) -> None:
+        """Handle a run's first token: update the router and export blocks."""
+        now_ms = self._context.clock.now_ms()
         router, run_id = self._router, attempt.run_id
         accepted = Accepted(VERSION, cached_tokens)
         router.on_event(now_ms, attempt.replica, run_id, accepted)
         router.on_event(now_ms, attempt.replica, run_id, Piece(0, 1, ""))
         if self._links:
-            self._keep(attempt)
+            self._export_pieces(attempt)
 
-    def ended(self, attempt: "_Attempt") -> None:
-        """Take the end of a run."""
-        now_ms = self._world.clock.now_ms()
+    def on_run_end(self, attempt: "_Attempt") -> None:
+        """Handle the end of a run."""
+        now_ms = self._context.clock.now_ms()
         usage = Finished(Usage(attempt.prompt.text.tokens, 1, 0))
         self._router.on_event(now_ms, attempt.replica, attempt.run_id, usage)
         self._router.on_end(now_ms, attempt.replica, failed=False)
         self._placement.on_end(attempt.replica, now_ms - attempt.sent_ms)
 
-    def _keep(self, attempt: "_Attempt") -> None:
-        """Ask the owner of the prompt's session what to keep, and export that."""
-        world, prompt = self._world, attempt.prompt
+    def _export_pieces(self, attempt: "_Attempt") -> None:
+        """Export the pieces that the prompt's owning node decides to keep.
+
+        That node is chosen by the key of one of the prompt's first blocks, which all
+        prompts of a session have in common.
+        """
+        context, prompt = self._context, attempt.prompt
         keys = prompt.text.keys
         if not keys:
             return
-        owners = tuple(world.keeper_by_name)
-        owner = preferred_store(keys[min(_SESSION_BLOCK, len(keys) - 1)], owners)
-        now_ms = world.clock.now_ms()
-        seen = ServedPrompt(
+        owners = tuple(context.keep_policy_by_node)
+        owner = preferred_store(keys[min(_OWNER_KEY_INDEX, len(keys) - 1)], owners)
+        now_ms = context.clock.now_ms()
+        served = ServedPrompt(
             prompt.account, keys, prompt.has_session, prompt.hinted_blocks
         )
-        offers = world.keeper_by_name[owner].on_prompt(now_ms, seen)
+        offers = context.keep_policy_by_node[owner].on_prompt(now_ms, served)
         for store_name, offer in assign_stores(offers, keys, tuple(self._links)):
             store = self._links[store_name].store
             if offer.piece.key in store.published:
@@ -181,27 +191,27 @@
             export = ReplayExport(
                 offer,
                 keys[first : first + PIECE_BLOCKS],
-                clock=world.clock,
-                engine=world.engine_by_name[attempt.replica],
+                clock=context.clock,
+                engine=context.engine_by_name[attempt.replica],
                 link=self._links[store_name],
                 rates=self._placement.links,
             )
             export.start()
 
-    def hop_ms(self, replica: str) -> float:
+    def one_way_ms(self, replica: str) -> float:
         """Return the one-way delay to a replica."""
-        shape = self._world.shape
+        shape = self._context.shape
         is_remote = shape.replica_domains()[replica] != self._domain
         return shape.one_way_ms if is_remote else 0.0
 
     @property
-    def world(self) -> World:
-        """Return what this node shares with the others."""
-        return self._world
+    def context(self) -> ReplayContext:
+        """Return the state that this node shares with the others."""
+        return self._context
 
 
 class _Attempt:
-    """One prompt on its way to one replica."""
+    """One prompt that was routed to one replica."""
 
     __slots__ = ("_node", "prompt", "replica", "run_id", "sent_ms", "shape")
 
@@ -221,49 +231,49 @@
         self.sent_ms = 0.0
 
     def send(self) -> None:
-        """Send the prompt as it is now."""
-        self._node.sent(self.replica)
-        clock = self._node.world.clock
-        clock.call_in(self._node.hop_ms(self.replica), self._submit)
+        """Send the prompt to the replica; it arrives after the one-way delay."""
+        self._node.on_sent(self.replica)
+        clock = self._node.context.clock
+        clock.call_in(self._node.one_way_ms(self.replica), self._submit)
 
     def _submit(self) -> None:
-        world = self._node.world
-        self.sent_ms = world.clock.exact_ms
-        engine = world.engine_by_name[self.replica]
-        world.on_submit(engine, self.prompt)
+        context = self._node.context
+        self.sent_ms = context.clock.exact_ms
+        engine = context.engine_by_name[self.replica]
+        context.on_submit(engine, self.prompt)
         is_accepted = engine.submit(
             self.run_id,
             self.prompt.text,
             self.prompt.answer_tokens,
-            self._first_token,
-            self._ended,
+            self._on_first_token,
+            self._on_end,
         )
-        assert is_accepted, "the replay has more runs than an engine queues"
-        world.on_change(engine)
+        assert is_accepted, "the engine rejected a run because its queue is full"
+        context.on_change(engine)
 
-    def _first_token(self, first_ms: float, cached_tokens: int) -> None:
-        world = self._node.world
-        took_ms = (
+    def _on_first_token(self, first_ms: float, cached_tokens: int) -> None:
+        context = self._node.context
+        elapsed_ms = (
             first_ms
             - self.prompt.at_ms
-            + world.shape.client_ms
-            + self._node.hop_ms(self.replica)
+            + context.shape.client_ms
+            + self._node.one_way_ms(self.replica)
         )
-        world.on_first_token(self.prompt, took_ms)
-        world.on_change(world.engine_by_name[self.replica])
-        self._node.learn(self, first_ms, cached_tokens)
+        context.on_first_token(self.prompt, elapsed_ms)
+        context.on_change(context.engine_by_name[self.replica])
+        self._node.on_first_token(self, first_ms, cached_tokens)
 
-    def _ended(self) -> None:
-        world = self._node.world
-        world.on_change(world.engine_by_name[self.replica])
-        self._node.ended(self)
+    def _on_end(self) -> None:
+        context = self._node.context
+        context.on_change(context.engine_by_name[self.replica])
+        self._node.on_run_end(self)
 
 
 def _candidate(name: str, domain: str, shape: DeploymentShape) -> Candidate:
-    """Return a replica of which only its usual speed is known, as a setting."""
+    """Return a replica for the router, with its usual prefill speed as a setting."""
     speed = shape.engine.prefill_ms_per_token
     return Candidate(name, domain, (MODEL,), {MODEL: VERSION}, ms_per_token=speed)
 
 
-def _is_in(plan: Import, run: StoredRun) -> bool:
+def _covers(plan: Import, run: StoredRun) -> bool:
     return run.store == plan.store and run.first <= plan.first < run.end
--- a/fireflyward/workloads/_plot.py
+++ b/fireflyward/workloads/_plot.py
@@ -1,4 +1,4 @@
-"""A picture of the table; matplotlib is not needed for serving."""
+"""Draws the table as bar charts; only this module needs matplotlib."""
 
 _WIDTH, _HEIGHT = 10, 4
 _BARS = (
@@ -8,7 +8,7 @@
 
 
 def draw_table(title: str, rows: list[dict[str, str | float]], path: str) -> None:
-    """Draw recomputed share and 95th percentile of each row as bars."""
+    """Draw the recomputed share and the 95th percentile of each row as bars."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/fireflyward/workloads/_policies.py
+++ b/fireflyward/workloads/_policies.py
@@ -1,4 +1,4 @@
-"""The ways of choosing a replica that the replay compares."""
+"""The policies for choosing a replica that the replay compares."""
 
 import enum
 import random
@@ -9,7 +9,14 @@
 
 
 class Policy(enum.StrEnum):
-    """What is compared; ``BOUND`` is ours with an endless cache and free links."""
+    """The compared policies.
+
+    ``OURS`` is the daemon's routing with stores. ``AFFINITY`` is the same router
+    without stores and without estimates of the time to first token. ``BOUND`` is a
+    lower bound for recomputation: it chooses as ``LEAST_LOADED``, but caches are
+    unlimited, and every block that any replica has computed is available to all
+    replicas at no cost.
+    """
 
     ROUND_ROBIN = "round-robin"
     LEAST_LOADED = "least-loaded"
@@ -19,13 +26,13 @@
 
 
 class Chooser(Protocol):
-    """What a node of the replay needs of a way to choose."""
+    """The interface through which a node of the replay chooses a replica."""
 
     def choose(self, now_ms: int, shape: RunShape) -> str | None: ...
 
 
 class RoundRobin:
-    """Each node takes the replicas in turn, whatever they hold or do."""
+    """Each node chooses the replicas in turn, without regard to load or caches."""
 
     __slots__ = ("_names", "_next")
 
@@ -39,9 +46,9 @@
 
 
 class LeastLoaded:
-    """The replica with the least prefill waiting, then the fewest runs.
+    """Chooses the replica with the shortest prefill queue, then the fewest runs.
 
-    It knows as much of the load as ours does; equals are drawn at random.
+    It uses the same load reports as our policy. Ties are broken at random.
     """
 
     __slots__ = ("_placement", "_random", "_router")
--- a/fireflyward/workloads/_prompts.py
+++ b/fireflyward/workloads/_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts of a workload, made of parts that return."""
+"""Prompts of a workload, composed of parts that recur."""
 
 import random
 from dataclasses import dataclass
@@ -12,26 +12,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Text:
-    """The beginning of a prompt: its tokens and the keys of its full blocks.
+    """A prefix of a prompt: its number of tokens and the keys of its full blocks.
 
-    Keys are drawn at random instead of hashed; like those of ``BlockNames`` they
-    are equal only for equal beginnings of one client account.
+    Keys are drawn at random instead of hashed. Like the keys of ``BlockNames``, two
+    keys are equal only for the same prefix of the same client account.
     """
 
     tokens: int = 0
     keys: tuple[str, ...] = ()
 
-    def then(self, source: random.Random, tokens: int) -> "Text":
-        """Return this text followed by ``tokens`` that no other text has."""
+    def extended(self, rng: random.Random, tokens: int) -> "Text":
+        """Return this text followed by ``tokens`` new tokens that no other text has."""
         total = self.tokens + tokens
         new = total // BLOCK_TOKENS - len(self.keys)
-        keys = (f"{source.getrandbits(_KEY_BITS):032x}" for _ in range(new))
+        keys = (f"{rng.getrandbits(_KEY_BITS):032x}" for _ in range(new))
         return Text(total, (*self.keys, *keys))
 
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """One request of a workload; ``hinted_blocks`` come from its ``keep`` hint."""
+    """One request of a workload.
+
+    ``hinted_blocks`` is how many leading blocks its ``keep`` hint covers.
+    """
 
     at_ms: float
     account: str
@@ -42,15 +45,15 @@
 
 
 def account_names(count: int) -> tuple[str, ...]:
-    """Return names of client accounts, the large ones first."""
+    """Return the names of client accounts, the largest first."""
     return tuple(f"account-{number + 1}" for number in range(count))
 
 
-def lognormal(source: random.Random, median: float, sigma: float) -> float:
-    """Draw from a log-normal distribution given by its median."""
-    return median * source.lognormvariate(0.0, sigma)
+def lognormal(rng: random.Random, median: float, sigma: float) -> float:
+    """Draw from the log-normal distribution with this median."""
+    return median * rng.lognormvariate(0.0, sigma)
 
 
-def bounded(value: float, least: float, most: float) -> int:
-    """Return ``value`` as a whole number within bounds."""
-    return int(min(max(value, least), most))
+def clamp(value: float, minimum: float, maximum: float) -> int:
+    """Return ``value`` limited to the bounds and truncated to an integer."""
+    return int(min(max(value, minimum), maximum))
--- a/fireflyward/workloads/_shape.py
+++ b/fireflyward/workloads/_shape.py
@@ -1,4 +1,4 @@
-"""The two deployments as the replay sees them."""
+"""The sizes and speeds of the two deployments, for the replay."""
 
 from dataclasses import dataclass, replace
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreShape:
-    """One store VM: room in blocks, and what its link and its disk pass on."""
+    """One store VM: its capacity in blocks, and the rates of its link and its disk."""
 
     memory_blocks: int = 12_800
     disk_blocks: int = 102_400
@@ -20,13 +20,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentShape:
-    """Sizes of a deployment.
+    """Sizes and speeds of a deployment.
 
-    The speeds are those of a large dense model: 4,000 tokens of prefill a second
-    on a replica, 160 KB of KV for a token (a block of 64 tokens is 10 MB), 40 GB of
-    accelerator memory left for KV, and 25 Gbit/s before each store.
-    ``compute_weight`` is the deployment's own choice between the recomputed share
-    and this caller's wait, as in ``PlacementCosts``.
+    The speeds are those of a large dense model: a replica prefills 4,000 tokens per
+    second, a token needs 160 KB of KV data (10 MB for a block of 64 tokens), 40 GB
+    of accelerator memory are available for KV data, and each store has a link of
+    25 Gbit/s. ``compute_weight`` is the deployment's trade-off between the
+    recomputed share and the wait of the current caller, as in ``PlacementCosts``.
     """
 
     name: str
@@ -54,24 +54,24 @@
             for index in range(self.replicas)
         }
 
-    def shrunk(self, by: float) -> "DeploymentShape":
-        """Return the same deployment with a part of its memories, for CI."""
+    def with_memory(self, share: float) -> "DeploymentShape":
+        """Return the deployment with a share of its memory and disk space, for CI."""
         store = replace(
             self.store,
-            memory_blocks=int(self.store.memory_blocks * by),
-            disk_blocks=int(self.store.disk_blocks * by),
+            memory_blocks=int(self.store.memory_blocks * share),
+            disk_blocks=int(self.store.disk_blocks * share),
         )
-        blocks = int(self.engine.cache_blocks * by)
+        blocks = int(self.engine.cache_blocks * share)
         engine = replace(self.engine, cache_blocks=blocks)
         return replace(self, engine=engine, store=store)
 
     def with_links(self, share: float) -> "DeploymentShape":
-        """Return the same deployment with a part of its links' rate."""
+        """Return the deployment with a share of its links' rate."""
         rate = self.store.link_bytes_per_ms * share
         return replace(self, store=replace(self.store, link_bytes_per_ms=rate))
 
     def without_stores(self) -> "DeploymentShape":
-        """Return the same deployment with nowhere to keep work."""
+        """Return the deployment without stores."""
         return replace(self, stores=0)
 
 
--- a/fireflyward/workloads/_store.py
+++ b/fireflyward/workloads/_store.py
@@ -1,4 +1,4 @@
-"""A store VM on the replay's clock: its space, its disk and its link."""
+"""A simulated store VM on the replay's clock: its space, its disk and its link."""
 
 from collections.abc import Callable
 
@@ -17,10 +17,10 @@
 
 
 class ReplayStore:
-    """Moves pieces first come, first served, at the link's and the disk's rates.
+    """Transfers pieces in order of request, at the rates of the link and the disk.
 
-    A store that is dead takes everything and answers nothing. ``published`` is
-    what the listings say, a second late.
+    A store with ``is_silent`` accepts all calls, but never answers. ``published``
+    holds the keys that its listing contains, which is a second behind.
     """
 
     __slots__ = (
@@ -28,7 +28,7 @@
         "_disk_free_ms",
         "_link_free_ms",
         "_shape",
-        "is_dead",
+        "is_silent",
         "link_bytes",
         "name",
         "published",
@@ -39,7 +39,7 @@
         self, name: str, shape: DeploymentShape, clock: EventClock, seed: int
     ) -> None:
         self.name = name
-        self.is_dead = False
+        self.is_silent = False
         self.link_bytes = 0
         self.published: set[str] = set()
         self.space = StoreSpace(
@@ -53,67 +53,70 @@
         self._disk_free_ms = 0.0
 
     def read(
-        self, key: str, block: Callable[[], None], arrived: Callable[[bool], None]
+        self, key: str, on_block: Callable[[], None], on_piece: Callable[[bool], None]
     ) -> None:
-        """Send a piece; ``arrived`` is told whether the store still had it.
+        """Send a piece, and call ``on_piece`` with whether the store still had it.
 
-        ``block`` is called for each of its blocks as it comes.
+        ``on_block`` is called as each of its blocks arrives.
         """
-        if self.is_dead:
+        if self.is_silent:
             return
         tier = self.space.tier(key)
         if tier is None:
-            self._clock.call_in(2 * self._shape.one_way_ms, lambda: arrived(False))
+            self._clock.call_in(2 * self._shape.one_way_ms, lambda: on_piece(False))
             return
         ready_ms = self._clock.exact_ms + self._shape.one_way_ms
         if tier is Tier.DISK:
-            ready_ms = self._from_disk(ready_ms)
+            ready_ms = self._read_from_disk(ready_ms)
         self.space.touch(self._clock.exact_ms, key, is_read=True)
-        took_ms = self._move(ready_ms, lambda: arrived(True))
-        for left in range(PIECE_BLOCKS):
-            at_ms = self._link_free_ms - took_ms * left / PIECE_BLOCKS
-            self._clock.call_at(at_ms + self._shape.one_way_ms, block)
-
-    def write(self, offer: KeepOffer, done: Callable[[], None]) -> None:
-        """Take a piece if there is room for it; ``done`` when it is published."""
-        if self.is_dead:
+        transfer_ms = self._transfer(ready_ms, lambda: on_piece(True))
+        for remaining in range(PIECE_BLOCKS):
+            at_ms = self._link_free_ms - transfer_ms * remaining / PIECE_BLOCKS
+            self._clock.call_at(at_ms + self._shape.one_way_ms, on_block)
+
+    def write(self, offer: KeepOffer, on_done: Callable[[], None]) -> None:
+        """Store a piece if there is space for it.
+
+        ``on_done`` is called when the piece has been written or rejected.
+        """
+        if self.is_silent:
             return
         result = self.space.offer(self._clock.exact_ms, offer)
         if not isinstance(result, Admit):
-            self._clock.call_in(2 * self._shape.one_way_ms, done)
+            self._clock.call_in(2 * self._shape.one_way_ms, on_done)
             return
         for key in result.evicted:
-            self._list_later(key, is_kept=False)
+            self._publish_later(key, is_kept=False)
         key = offer.piece.key
-        self._move(
+        self._transfer(
             self._clock.exact_ms + self._shape.one_way_ms,
-            lambda: self._written(key, done),
+            lambda: self._on_written(key, on_done),
         )
 
-    def _written(self, key: str, done: Callable[[], None]) -> None:
-        self._list_later(key, is_kept=True)
-        done()
+    def _on_written(self, key: str, on_done: Callable[[], None]) -> None:
+        self._publish_later(key, is_kept=True)
+        on_done()
 
-    def _list_later(self, key: str, *, is_kept: bool) -> None:
+    def _publish_later(self, key: str, *, is_kept: bool) -> None:
         change = self.published.add if is_kept else self.published.discard
         self._clock.call_in(_LISTING_LAG_MS, lambda: change(key))
 
-    def _from_disk(self, ready_ms: float) -> float:
-        took_ms = self._piece_bytes() / self._shape.store.disk_bytes_per_ms
-        self._disk_free_ms = max(ready_ms, self._disk_free_ms) + took_ms
+    def _read_from_disk(self, ready_ms: float) -> float:
+        read_ms = self._piece_bytes() / self._shape.store.disk_bytes_per_ms
+        self._disk_free_ms = max(ready_ms, self._disk_free_ms) + read_ms
         return self._disk_free_ms
 
-    def _move(self, ready_ms: float, moved: Callable[[], None]) -> float:
-        """Pass a piece over the link and return how long it has the link.
+    def _transfer(self, ready_ms: float, on_transferred: Callable[[], None]) -> float:
+        """Transfer a piece over the link, and return how long it occupies the link.
 
-        The link is given to pieces in the order in which they are asked for; one
-        that still comes from the disk holds it up.
+        Pieces use the link in the order in which they were requested; a piece that
+        is still being read from disk delays those after it.
         """
-        took_ms = self._piece_bytes() / self._shape.store.link_bytes_per_ms
-        self._link_free_ms = max(ready_ms, self._link_free_ms) + took_ms
+        transfer_ms = self._piece_bytes() / self._shape.store.link_bytes_per_ms
+        self._link_free_ms = max(ready_ms, self._link_free_ms) + transfer_ms
         self.link_bytes += self._piece_bytes()
-        self._clock.call_at(self._link_free_ms + self._shape.one_way_ms, moved)
-        return took_ms
+        self._clock.call_at(self._link_free_ms + self._shape.one_way_ms, on_transferred)
+        return transfer_ms
 
     def _piece_bytes(self) -> int:
         return PIECE_BLOCKS * self._shape.block_bytes
--- a/tests/workloads/test_prompts.py
+++ b/tests/workloads/test_prompts.py
@@ -9,18 +9,20 @@
 )
 
 DRAWS = (
-    lambda seed: andinos_prompts(seed, AndinosLoad(models=30, batch_prompts=10)),
+    lambda seed: andinos_prompts(
+        seed, AndinosLoad(building_models=30, batch_prompts=10)
+    ),
     lambda seed: nota_birlik_prompts(seed, NotaBirlikLoad(ledgers=20, disputes=30)),
 )
 
 
 class PromptTests(unittest.TestCase):
-    def test_one_seed_gives_the_same_prompts_and_another_others(self):
+    def test_same_seed_draws_the_same_prompts_and_another_seed_others(self):
         for draw in DRAWS:
             self.assertEqual(draw(1), draw(1))
             self.assertNotEqual(draw(1), draw(2))
 
-    def test_prompts_come_in_order_with_keys_for_their_full_blocks(self):
+    def test_prompts_are_sorted_and_have_keys_for_their_full_blocks(self):
         for draw in DRAWS:
             prompts = draw(1)
             times = [prompt.at_ms for prompt in prompts]
@@ -29,7 +31,7 @@
                 text = prompt.text
                 self.assertEqual(len(text.keys), text.tokens // BLOCK_TOKENS)
 
-    def test_no_block_belongs_to_two_accounts(self):
+    def test_no_block_key_occurs_in_two_accounts(self):
         for draw in DRAWS:
             account_by_key = {}
             for prompt in draw(1):
