--- a/fireflyward/demo/_demo.py
+++ b/fireflyward/demo/_demo.py
@@ -1,4 +1,4 @@
-"""``fireflyward demo``: prompts that return, losses on the way, their cost."""
+"""``fireflyward demo``: recurring prompts, the stop of an engine and a node, costs."""
 
 import asyncio
 from collections import Counter
@@ -15,20 +15,25 @@
 from ._deployment import KEY_BY_ACCOUNT, DemoDeployment
 
 _CLAUSE = "Seismic clause 8.{}: connections shall be detailed as the code requires. "
-_CLAUSES = 130
-_QUESTIONS = 4
+_CLAUSES_PER_PROMPT = 130
+_QUESTIONS_PER_ACCOUNT = 4
 _MAX_TOKENS = 40
-_PATIENCE_MS = 15_000
-_KEPT_LIMIT_MS = 6_000
-_LOSS_AFTER_MS = 80
+_TIME_LIMIT_MS = 15_000
+_EXPORT_TIME_LIMIT_MS = 6_000
+_STOP_DELAY_MS = 80
 _POLL_MS = 50
-_NIGHT_MS = 2_500
-_MB = 1e6
+_PAUSE_BETWEEN_DAYS_MS = 2_500
+_BYTES_PER_MB = 1e6
 _COSTS = EngineCosts(prefill_ms_per_token=0.3)
 
 
 class DemoReport(msgspec.Struct):
-    """What the demo counted; ``link_bytes`` crossed the stores' links."""
+    """The results of the demo, written as a JSON object.
+
+    ``whole`` counts answers that are correct to the last byte, ``lost`` requests
+    without an answer, ``doubled`` repeated calls of the service and ``mixed`` wrong
+    or foreign answers. ``link_bytes`` were transferred over the stores' links.
+    """
 
     answers: int
     whole: int
@@ -42,13 +47,13 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was lost, doubled or mixed."""
-        is_whole = self.whole == self.answers
-        return is_whole and not self.lost + self.doubled + self.mixed
+        """Return whether nothing was lost, doubled or mixed."""
+        all_complete = self.whole == self.answers
+        return all_complete and not self.lost + self.doubled + self.mixed
 
 
-class _Demo:
-    """Asks by way of the load tool's callers, so that every answer is checked."""
+class _DemoRun:
+    """Sends requests through the caller of the load tool, which checks all answers."""
 
     def __init__(
         self, deployment: DemoDeployment, session: aiohttp.ClientSession
@@ -64,45 +69,48 @@
             self._plan,
             self._checker,
             self._clock,
-            _PATIENCE_MS,
+            _TIME_LIMIT_MS,
         )
         self._tokens_before = (0, 0)
 
-    async def round(self, title: str) -> None:
-        """Ask every account's questions once more and say what it cost."""
+    async def run_round(self, title: str) -> None:
+        """Send the questions of all client accounts, and print outcomes and costs.
+
+        The title is part of the prompts and of the idempotency keys.
+        """
         print(f"\n{title}")
         requests = _requests(title)
         endings = await asyncio.gather(
             *(
-                self._caller.send_until_final(request, turn)
-                for turn, request in enumerate(requests)
+                self._caller.send_until_final(request, start_index)
+                for start_index, request in enumerate(requests)
             )
         )
         for request, ending in zip(requests, endings, strict=True):
             self._count_by_ending[ending] += 1
-            told = ending.value if ending else "lost"
-            print(f"  {request.account:<12} {request.mode:<7} {told}")
+            outcome = ending.value if ending else "lost"
+            print(f"  {request.account:<12} {request.mode:<7} {outcome}")
         computed, cached = self._tokens()
         computed_before, cached_before = self._tokens_before
         self._tokens_before = computed, cached
         print(
             f"  prompt tokens computed {computed - computed_before}, "
-            f"reused {cached - cached_before}; over the store's links so far "
-            f"{self._deployment.link_bytes / _MB:.0f} MB"
+            f"reused {cached - cached_before}; transferred over the store's links "
+            f"so far: {self._deployment.link_bytes / _BYTES_PER_MB:.0f} MB"
         )
 
-    async def wait_until_kept(self) -> None:
-        """Wait until the store holds what the round computed, or a while."""
-        end_ms = self._clock.now_ms() + _KEPT_LIMIT_MS
-        wanted = _CLAUSES * count_tokens(_CLAUSE) // BLOCK_TOKENS
+    async def wait_until_exported(self) -> None:
+        """Wait until the store has the prompts' shared blocks, or the limit passes."""
+        end_ms = self._clock.now_ms() + _EXPORT_TIME_LIMIT_MS
+        expected_blocks = _CLAUSES_PER_PROMPT * count_tokens(_CLAUSE) // BLOCK_TOKENS
         while self._clock.now_ms() < end_ms:
-            if self._deployment.stored_blocks >= wanted * len(KEY_BY_ACCOUNT):
+            if self._deployment.stored_blocks >= expected_blocks * len(KEY_BY_ACCOUNT):
                 break
             await self._clock.sleep_ms(_POLL_MS)
         print(f"  the store keeps {self._deployment.stored_blocks} blocks")
 
     def report(self) -> DemoReport:
-        """Put the figures together from what callers, engines and service saw."""
+        """Combine the counts of the callers, the engines and the service."""
         load = make_report(
             requests=self._count_by_ending.total(),
             answers=self._count_by_ending[Ending.ANSWERED],
@@ -115,12 +123,12 @@
         for violation in load.violations:
             print(f"  broken: {violation}")
         computed, cached = self._tokens()
-        times = Counter(self._deployment.service.bodies).values()
+        call_counts = Counter(self._deployment.service.bodies).values()
         return DemoReport(
             answers=load.requests,
             whole=load.whole,
             lost=load.requests - load.answers,
-            doubled=sum(count - 1 for count in times),
+            doubled=sum(count - 1 for count in call_counts),
             mixed=load.mixed,
             recomputed_share=round(computed / max(1, computed + cached), 4),
             ttft_ms={name: load.ttft_ms[name] for name in ("p50", "p95")},
@@ -143,15 +151,17 @@
         nodes = ", ".join(deployment.node_by_name)
         print(f"bundle {deployment.bundle_number}, signed by ana and bruno, in force")
         print(f"nodes: {nodes}")
-        demo = _Demo(deployment, session)
-        await demo.round("The first day: prompts come for the first time.")
-        await demo.wait_until_kept()
-        deployment.forget_cached_blocks()
-        await Clock().sleep_ms(_NIGHT_MS)
-        await demo.round("The next day: they return; every engine has evicted them.")
-        losing = asyncio.create_task(_lose_one_of_each(deployment))
-        await demo.round("Once more, and an engine and an entry node are lost.")
-        await losing
+        demo = _DemoRun(deployment, session)
+        await demo.run_round("The first day: prompts come for the first time.")
+        await demo.wait_until_exported()
+        deployment.evict_cached_blocks()
+        await Clock().sleep_ms(_PAUSE_BETWEEN_DAYS_MS)
+        await demo.run_round(
+            "The next day: they return; every engine has evicted them."
+        )
+        stop_task = asyncio.create_task(_stop_engine_and_node(deployment))
+        await demo.run_round("Once more, and an engine and an entry node are lost.")
+        await stop_task
         report = demo.report()
     print(
         f"\n{report.whole} of {report.answers} answers whole, {report.lost} lost, "
@@ -167,29 +177,33 @@
 def _requests(title: str) -> list[LoadRequest]:
     requests = []
     for account in KEY_BY_ACCOUNT:
-        clauses = account + "".join(_CLAUSE.format(index) for index in range(_CLAUSES))
-        for index in range(_QUESTIONS):
+        clauses = account + "".join(
+            _CLAUSE.format(index) for index in range(_CLAUSES_PER_PROMPT)
+        )
+        for index in range(_QUESTIONS_PER_ACCOUNT):
             name = f"{account} {title} {index}"
             mode = RequestMode.PROMPT if index == 0 else RequestMode.STREAM
             request = LoadRequest(
-                _key(name), account, mode, clauses + name, _MAX_TOKENS
+                _idempotency_key(name), account, mode, clauses + name, _MAX_TOKENS
             )
             requests.append(request)
         name = f"{account} {title} revision"
-        requests.append(LoadRequest(_key(name), account, RequestMode.CALL, name, 1))
+        requests.append(
+            LoadRequest(_idempotency_key(name), account, RequestMode.CALL, name, 1)
+        )
     return requests
 
 
-def _key(name: str) -> str:
-    """Return an idempotency key, which has visible characters only."""
+def _idempotency_key(name: str) -> str:
+    """Return an idempotency key; it may have visible characters only."""
     return name.replace(" ", "-")
 
 
-async def _lose_one_of_each(deployment: DemoDeployment) -> None:
-    """Lose an engine and an entry node while their streams are under way."""
-    await Clock().sleep_ms(_LOSS_AFTER_MS)
+async def _stop_engine_and_node(deployment: DemoDeployment) -> None:
+    """Stop an engine and an entry node while their streams are in flight."""
+    await Clock().sleep_ms(_STOP_DELAY_MS)
     engine_name = next(iter(deployment.engine_by_name))
     node_name = next(iter(deployment.node_by_name))
-    print(f"  {engine_name} and {node_name} are lost")
+    print(f"  {engine_name} and {node_name} are stopped")
     node = deployment.node_by_name.pop(node_name)
     await asyncio.gather(deployment.engine_by_name[engine_name].stop(), node.close())
--- a/fireflyward/demo/_deployment.py
+++ b/fireflyward/demo/_deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment on loopback: stand-ins, nodes and a signed bundle."""
+"""A small deployment on the loopback interface: stand-ins, nodes, a signed bundle."""
 
 import hashlib
 import itertools
@@ -52,8 +52,10 @@
 
 
 class DemoDeployment:
-    """Starts and stops everything; ``node_by_name`` and ``engine_by_name`` are
-    there to be stopped in the middle.
+    """Starts and stops all stand-ins and nodes.
+
+    Users may stop single nodes and engines of ``node_by_name`` and
+    ``engine_by_name`` in between.
     """
 
     def __init__(
@@ -86,7 +88,7 @@
         self._nodes_per_domain = nodes_per_domain
         self._accepts_bundle = accepts_bundle
         self.author = SigningKey.from_seed("ana", _AUTHOR_SEED)
-        self._accepted: BundleState | None = None
+        self._accepted_state: BundleState | None = None
         self.approver = SigningKey.from_seed("bruno", _APPROVER_SEED)
 
     async def __aenter__(self) -> "DemoDeployment":
@@ -114,60 +116,63 @@
 
     @property
     def urls(self) -> list[str]:
-        """Return where the nodes that were started serve callers."""
+        """Return the URLs at which the started nodes serve callers."""
         return [f"http://127.0.0.1:{node.port}" for node in self.node_by_name.values()]
 
     @property
     def bundle_number(self) -> int:
-        """Return the highest number in force at any node."""
+        """Return the highest number of a bundle in force at any node."""
         return max(node.holder.number for node in self.node_by_name.values())
 
     @property
     def accepted_number(self) -> int:
-        """Return the number of the bundle that was accepted last."""
-        return self._accepted.number if self._accepted else 0
+        """Return the number of the last accepted bundle, 0 if there is none."""
+        return self._accepted_state.number if self._accepted_state else 0
 
     @property
     def link_bytes(self) -> int:
-        """Return the bytes that crossed the links of all stores."""
+        """Return the bytes that were transferred over the links of all stores."""
         return sum(server.model.link_bytes for server in self.store_by_name.values())
 
     @property
     def stored_blocks(self) -> int:
-        """Return how many blocks the stores hold."""
+        """Return how many slots of the stores are in use."""
         return sum(server.model.used_slots() for server in self.store_by_name.values())
 
-    def forget_cached_blocks(self) -> None:
-        """Have every engine evict everything, as a day of other work would."""
+    def evict_cached_blocks(self) -> None:
+        """Empty the cache of every engine, as after a day of other work."""
         for server in self.engine_by_name.values():
             server.model.cache.restart_empty("2")
 
     async def accept(self, bundle: Bundle) -> None:
-        """Sign a bundle by both people and have the platform accept it."""
+        """Sign a bundle as both people, and submit it to the platform."""
         signed = sign_bundle(
-            bundle, author=self.author, approver=self.approver, base=self._accepted
+            bundle,
+            author=self.author,
+            approver=self.approver,
+            base=self._accepted_state,
         )
         async with aiohttp.ClientSession() as session:
             store = BundleStore(
                 HttpTable(session, self.platform.url),
                 HttpObjects(session, self.platform.url),
             )
-            result = await store.accept(bundle, signed, base=self._accepted)
+            result = await store.accept(bundle, signed, base=self._accepted_state)
         assert isinstance(result, Committed), result
-        self._accepted = self._state_after(signed)
+        self._accepted_state = self._state_after(signed)
 
     def _state_after(self, signed: SignedBundle) -> BundleState:
-        if self._accepted is not None:
-            state = verify_change(signed, self._accepted, deployment="demo")
+        if self._accepted_state is not None:
+            state = verify_change(signed, self._accepted_state, deployment="demo")
         else:
             keys = (self.author, self.approver)
-            roots = root_people({key.person: key.public_bytes() for key in keys})
-            state = verify_snapshot(signed, (), roots=roots, deployment="demo")
+            trust_roots = root_people({key.person: key.public_bytes() for key in keys})
+            state = verify_snapshot(signed, (), roots=trust_roots, deployment="demo")
         assert isinstance(state, BundleState), state
         return state
 
     def make_bundle(self, number: int) -> Bundle:
-        """Return the demo's bundle under a number."""
+        """Return the demo's bundle with this number."""
         upstreams = {
             name: Upstream("engine", engine.url, _domain_of(name), (MODEL,))
             for name, engine in self.engine_by_name.items()
@@ -178,7 +183,7 @@
             "service", self.service.url, DOMAINS[0], service=SERVICE
         )
         accounts = {
-            name: Account((MODEL,), {"portal": Caller(_digest(key), (SERVICE,))})
+            name: Account((MODEL,), {"portal": Caller(_key_digest(key), (SERVICE,))})
             for name, key in KEY_BY_ACCOUNT.items()
         }
         services = {SERVICE: Service(("POST /revisions*",))}
@@ -187,8 +192,8 @@
         )
 
     def flag_values(self, name: str, domain: str) -> dict[str, str]:
-        """Return the settings of one node as text by name."""
-        roots = ",".join(
+        """Return the settings of one node as strings, by name of the setting."""
+        trust_roots = ",".join(
             f"{key.person}={key.public_bytes().hex()}"
             for key in (self.author, self.approver)
         )
@@ -201,11 +206,11 @@
             "objects_url": self.platform.url,
             "weights_url": self.platform.url,
             "vms_url": self.platform.url,
-            "trust_roots": roots,
+            "trust_roots": trust_roots,
         }
 
     def make_settings(self, name: str, domain: str) -> Settings:
-        """Return the settings of one node of this process."""
+        """Return the settings of a node that runs in this process."""
         ports = {"port": "0", "peer_port": "0"}
         periods = {"bundle_poll_ms": "200", "balancer_wait_ms": "100"}
         periods["rollout_watch_ms"] = "100"
@@ -237,5 +242,5 @@
     return engine_name.removeprefix("engine-").rpartition("-")[0]
 
 
-def _digest(key: str) -> str:
+def _key_digest(key: str) -> str:
     return hashlib.sha256(key.encode()).hexdigest()
--- a/tests/demo/test_deployment.py
+++ b/tests/demo/test_deployment.py
@@ -7,7 +7,7 @@
 from fireflyward.standins import answer_text
 
 
-class WholePathTests(unittest.IsolatedAsyncioTestCase):
+class DemoDeploymentTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.deployment = await self.enterAsyncContext(
             DemoDeployment(nodes_per_domain=1, engines_per_domain=1)
@@ -22,7 +22,7 @@
             self.url + path, data=body, headers={**self.headers, **headers}
         )
 
-    async def test_plain_answer_is_whole_and_names_its_bundle(self):
+    async def test_plain_answer_is_complete_and_carries_its_bundle_number(self):
         body = json.dumps({"model": "clauses", "prompt": "beam 7?", "max_tokens": 6})
         async with await self.post("/v1/completions", body) as response:
             answer = await response.json()
@@ -40,7 +40,7 @@
             text = await response.text()
         self.assertTrue(text.endswith("data: [DONE]\n\n"))
 
-    async def test_refusals_say_not_run_and_reach_no_engine(self):
+    async def test_rejected_requests_are_reported_as_not_run_and_reach_no_engine(self):
         cases = [
             ("{", {}, 400),
             (json.dumps({"model": "other", "prompt": "x"}), {}, 404),
@@ -62,14 +62,17 @@
             self.assertEqual(engine.model.run_by_id, {})
 
     async def test_non_idempotent_service_call_runs_once_when_repeated(self):
-        """Symptom: a revision record stands twice. Sequence: the caller loses the
-        answer and sends the same request with the same key again. Cause: nothing
-        remembered that the first had been dispatched."""
+        """Guards against duplicate revision records.
+
+        The caller loses the answer and repeats the request with the same key. The
+        node must have recorded that it dispatched the first one."""
         path = "/services/drafting/revisions"
         async with await self.post(path, b"r7", **{"Idempotency-Key": "k1"}) as first:
             self.assertEqual(first.status, 200)
-            wanted = await first.read()
-        async with await self.post(path, b"r7", **{"Idempotency-Key": "k1"}) as again:
-            self.assertEqual(again.status, 200)
-            self.assertEqual(await again.read(), wanted)
+            expected = await first.read()
+        async with await self.post(
+            path, b"r7", **{"Idempotency-Key": "k1"}
+        ) as repeated:
+            self.assertEqual(repeated.status, 200)
+            self.assertEqual(await repeated.read(), expected)
         self.assertEqual(self.deployment.service.bodies, [b"r7"])
