--- a/fireflyward/standins/_engine_faults.py
+++ b/fireflyward/standins/_engine_faults.py
@@ -5,11 +5,11 @@
 
 @dataclass(slots=True)
 class EngineFaults:
-    """The faults that strike the connections between an engine and its nodes.
+    """The faults of the connections between an engine and its nodes.
 
     With ``unreachable`` the engine refuses connections. With ``paused`` it accepts
     them, but sends nothing on new or existing ones. ``silent_streams`` to
-    ``crossed_streams`` are how many of the next streams or requests are struck:
+    ``crossed_streams`` are how many of the next streams or requests are affected:
     ``silent_streams`` stop after ``after_tokens`` tokens and stay open,
     ``cut_streams`` close at that point, ``lost_requests`` are lost before they reach
     the engine, ``lost_answers`` run but their answer is lost, and
@@ -28,7 +28,7 @@
     delay_ms: int = 0
 
     def consume(self, name: str) -> bool:
-        """Return whether the fault strikes now, and decrement its counter if so."""
+        """Return whether the fault applies now, and decrement its counter if so."""
         remaining = getattr(self, name)
         if remaining:
             setattr(self, name, remaining - 1)
--- a/fireflyward/standins/_engine_model.py
+++ b/fireflyward/standins/_engine_model.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class EngineRun:
-    """One run on the engine; ``first_token_ms`` is negative until it is known."""
+    """One run on the engine; ``first_token_ms`` is negative before it is scheduled."""
 
     call: EngineCall
     answer: "_AnswerGenerator"
--- a/fireflyward/standins/_fault_injection.py
+++ b/fireflyward/standins/_fault_injection.py
@@ -44,7 +44,7 @@
         return _OTHER_RUN_ID if self.faults.consume("crossed_streams") else run_id
 
     def sendable(self, sent: int, ready: int) -> int:
-        """Return up to which token a stream may send before a fault strikes.
+        """Return up to which token a stream may send before a fault applies.
 
         Without this limit, a stream on a busy machine could send several tokens at
         once and pass the point at which the fault is due.
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class ServiceFaults:
-    """The faults of a plain service: how many of the next calls each one strikes.
+    """The faults of a plain service: how many of the next calls each one affects.
 
     ``lost_requests`` are lost before the service acts and ``lost_answers`` after it
     acted. ``crossed_replies`` carry another run's id, ``refusals`` state that
@@ -86,7 +86,7 @@
     delay_ms: int = 0
 
     def consume(self, name: str) -> bool:
-        """Return whether the fault strikes now, and decrement its counter if so."""
+        """Return whether the fault applies now, and decrement its counter if so."""
         remaining = getattr(self, name)
         if remaining:
             setattr(self, name, remaining - 1)
--- a/fireflyward/workloads/_index.py
+++ b/fireflyward/workloads/_index.py
@@ -52,7 +52,7 @@
             self._clock.call_in(_RESYNC_MS, lambda: self._resync(engine))
 
     def locate(self, now_ms: float, shape: RunShape) -> PrefixLocations:
-        """Return where a prompt's blocks are cached or stored, as far as known."""
+        """Return where the index lists a prompt's blocks as cached or stored."""
         keys = shape.block_keys
         cached = {
             name: _prefix_blocks(keys, cached_keys)
