--- a/fireflyward/bench/measures/kept_wire.py
+++ b/fireflyward/bench/measures/kept_wire.py
@@ -5,12 +5,12 @@
 from fireflyward.bench import Bench, Figure
 from fireflyward.kept import (
     INDEX_STRIDE,
+    AppliedRefs,
     BlockNames,
     BlockRef,
-    Done,
     ListQuery,
     Reserved,
-    Wanted,
+    SlotRequest,
     shard_of,
 )
 from fireflyward.kept._index import entries_of
@@ -38,7 +38,7 @@
     owner = names.owner_tag("account")
     store = StoreModel("store-1")
     wanted = tuple(
-        Wanted(key, place, shard_of(keys[0]), owner)
+        SlotRequest(key, place, shard_of(keys[0]), owner)
         for place, key in enumerate(keys, start=1)
     )
     reserved = store.reserve(0, wanted)
@@ -78,10 +78,10 @@
 
 
 def _export(
-    wanted: tuple[Wanted, ...],
+    wanted: tuple[SlotRequest, ...],
     reserved: Reserved,
     sealed: tuple[BlockRef, ...],
-    published: Done,
+    published: AppliedRefs,
 ) -> list[object]:
     order = ExportOrder("run", "clauses", "v1", reserved.refs, _URLS)
     return [
@@ -94,7 +94,7 @@
     ]
 
 
-def _import(keys: tuple[str, ...], published: Done) -> list[object]:
+def _import(keys: tuple[str, ...], published: AppliedRefs) -> list[object]:
     order = ImportOrder("run", "clauses", "v1", published.refs, _URLS, 100, keys[0])
     return [DescribeBody(keys), published, order, ImportReport(_BLOCKS)]
 
--- a/fireflyward/daemon/_kept_duty.py
+++ b/fireflyward/daemon/_kept_duty.py
@@ -16,9 +16,9 @@
     PrefixIndex,
     PrefixTexts,
     ShardLookUp,
-    StoreAway,
     StoreClient,
     StoreReader,
+    StoreUnavailable,
     Sweeper,
     shards_held_by,
 )
@@ -130,7 +130,7 @@
         followed = self._replicas_to_follow(bundle)
         for name in self._engine_reader_by_name.keys() - followed:
             del self._engine_reader_by_name[name]
-            self.index.forget(name)
+            self.index.remove_holder(name)
         for name in followed - self._engine_reader_by_name.keys():
             self._engine_reader_by_name[name] = EngineReader(name)
         self.work.prefixes.followed = followed
@@ -154,9 +154,9 @@
             reader = self._store_reader_by_name[name]
             while True:
                 listing = await store.list(reader.query(shards))
-                if isinstance(listing, StoreAway):
+                if isinstance(listing, StoreUnavailable):
                     break
-                if not reader.take(listing, self.index):
+                if not reader.apply(listing, self.index):
                     break
         self._metrics.gauge("kept_index_entries", len(self.index))
 
@@ -183,10 +183,10 @@
         engine = self.kv_by_replica.get(reader.name)
         if engine is None:
             return
-        after = reader.after(self._clock.now_ms(), shards)
+        after = reader.start_after(self._clock.now_ms(), shards)
         events = await engine.cache_events(after, stride=INDEX_STRIDE)
         if not isinstance(events, Broken):
-            reader.take(events, self.index)
+            reader.apply(events, self.index)
 
     def _add_store(self, name: str, url: str) -> None:
         if name in self.store_by_name:
@@ -207,7 +207,7 @@
 
     def _remove_store(self, name: str) -> None:
         """Remove a store that the bundle no longer has, without a request to it."""
-        self.index.forget(name)
+        self.index.remove_holder(name)
         del self.store_by_name[name], self.url_by_store[name]
         del self._store_reader_by_name[name], self._lease_by_store[name]
         self._lease_run_by_store.pop(name).cancel()
@@ -233,7 +233,7 @@
 
     def _shards(self) -> frozenset[int]:
         shards = shards_held_by(self._members.own, self._domain_members())
-        self.index.keep_shards(shards)
+        self.index.retain_shards(shards)
         return shards
 
     def _domain_members(self) -> tuple[Member, ...]:
--- a/fireflyward/daemon/_sweep_duty.py
+++ b/fireflyward/daemon/_sweep_duty.py
@@ -3,7 +3,7 @@
 import random
 
 from fireflyward.clock import Clock
-from fireflyward.runs import LOOK_MS, Sweeper
+from fireflyward.runs import SWEEP_INTERVAL_MS, Sweeper
 
 
 async def run_sweeper(sweeper: Sweeper, clock: Clock) -> None:
@@ -13,5 +13,7 @@
     """
     rng = random.Random()
     while True:
-        await clock.sleep_ms(rng.randint(LOOK_MS // 2, LOOK_MS * 3 // 2))
-        await sweeper.look()
+        await clock.sleep_ms(
+            rng.randint(SWEEP_INTERVAL_MS // 2, SWEEP_INTERVAL_MS * 3 // 2)
+        )
+        await sweeper.poll()
--- a/fireflyward/entry/_run_request.py
+++ b/fireflyward/entry/_run_request.py
@@ -7,7 +7,7 @@
 
 from fireflyward.outcomes import NotRun, Reason
 from fireflyward.routing import RunShape
-from fireflyward.runs import Mark, RecordOfRun, RunTask
+from fireflyward.runs import Mark, RequestRecord, RunTask
 from fireflyward.upstreams import EngineCall, count_tokens
 
 from ._context import EntryContext
@@ -147,7 +147,7 @@
         shape=shape,
         deadline_ms=identity.deadline_ms,
         prepare=context.prepare,
-        once=_record(context, run_request),
+        record=_record(context, run_request),
         budget=context.retry_budget,
         mark=run_request.mark,
         is_streamed=prompt.stream,
@@ -156,12 +156,12 @@
     )
 
 
-def _record(context: EntryContext, run_request: RunRequest) -> RecordOfRun | None:
+def _record(context: EntryContext, run_request: RunRequest) -> RequestRecord | None:
     """Return the record of a non-idempotent request, None for any other."""
     identity = run_request.identity
     if not identity.is_non_idempotent:
         return None
-    return RecordOfRun(
+    return RequestRecord(
         context.records,
         account=identity.account_name,
         request_key=identity.idempotency_key,
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, field
 
 from fireflyward.kept import (
+    AppliedRefs,
     BlockRef,
-    Cold,
-    Done,
+    ColdBlock,
     Fenced,
     Listing,
     ListQuery,
     Reserved,
-    Room,
+    SlotRequest,
     SlotState,
     StoreChange,
+    StoreUsage,
     Unfinished,
-    Wanted,
 )
 from fireflyward.upstreams import Miss, MissReason, block_checksum
 
@@ -73,7 +73,7 @@
         """Return how many slots the two tiers have together."""
         return self.costs.memory_slots + self.costs.disk_slots
 
-    def reserve(self, now_ms: float, wanted: tuple[Wanted, ...]) -> Reserved:
+    def reserve(self, now_ms: float, wanted: tuple[SlotRequest, ...]) -> Reserved:
         """Reserve a slot with a new generation for each block that is not kept yet."""
         refs, kept = [], []
         for item in wanted:
@@ -88,30 +88,30 @@
             refs.append(slot.ref(self.name))
         return Reserved(tuple(refs), tuple(kept))
 
-    def write(self, ref: BlockRef, payload: bytes) -> Done:
+    def write(self, ref: BlockRef, payload: bytes) -> AppliedRefs:
         """Store bytes in a reserved slot; a second write replaces the first."""
         slot = self._slot(ref)
         if slot is None or slot.state is not SlotState.RESERVED:
-            return Done(())
+            return AppliedRefs(())
         slot.payload = payload
         self._memory[slot.number] = None
         self._demote()
         self.link_bytes += self.costs.block_bytes
-        return Done((slot.ref(self.name),))
+        return AppliedRefs((slot.ref(self.name),))
 
-    def seal(self, refs: tuple[BlockRef, ...]) -> Done:
+    def seal(self, refs: tuple[BlockRef, ...]) -> AppliedRefs:
         """Seal slots whose bytes match the length and checksum in their descriptor."""
         return self._apply_to_each(refs, self._seal_slot)
 
-    def publish(self, refs: tuple[BlockRef, ...]) -> Done:
+    def publish(self, refs: tuple[BlockRef, ...]) -> AppliedRefs:
         """Make sealed blocks readable; a second copy of a published block is freed."""
         return self._apply_to_each(refs, self._publish_slot)
 
-    def abandon(self, refs: tuple[BlockRef, ...]) -> Done:
+    def abandon(self, refs: tuple[BlockRef, ...]) -> AppliedRefs:
         """Free unpublished slots that still have exactly these generations."""
         return self._apply_to_each(refs, self._abandon_slot)
 
-    def describe(self, keys: tuple[str, ...]) -> Done:
+    def describe(self, keys: tuple[str, ...]) -> AppliedRefs:
         """Return the descriptors of the longest published prefix of ``keys``."""
         refs = []
         for key in keys:
@@ -119,7 +119,7 @@
             if slot is None:
                 break
             refs.append(slot.ref(self.name))
-        return Done(tuple(refs))
+        return AppliedRefs(tuple(refs))
 
     def read(self, ref: BlockRef) -> bytes | Miss:
         """Return the bytes of a published block of exactly this generation.
@@ -147,16 +147,16 @@
             slot.reads += 1
             slot.read_at_ms = now_ms
 
-    def raise_fence(self, fencing: int) -> Done | Fenced:
+    def raise_fence(self, fencing: int) -> AppliedRefs | Fenced:
         """Reject all smaller fencing numbers from now on."""
         if fencing < self._highest_fencing:
             return Fenced(self._highest_fencing)
         self._highest_fencing = fencing
-        return Done(())
+        return AppliedRefs(())
 
     def free(
         self, refs: tuple[BlockRef, ...], *, state: SlotState, fencing: int
-    ) -> Done | Fenced:
+    ) -> AppliedRefs | Fenced:
         """Free slots that still have this generation and state.
 
         A sweeper that was paused until its lease expired acts on an old listing.
@@ -183,20 +183,20 @@
         matching.sort(key=lambda item: -item.age_ms)
         return tuple(matching[:_MAX_UNFINISHED])
 
-    def room(self) -> Room:
+    def room(self) -> StoreUsage:
         """Return how many slots are used, in total and by owner."""
         used = Counter(
             slot.owner
             for slot in self._slot_by_number.values()
             if slot.state is not SlotState.FREE
         )
-        return Room(used.total(), self.capacity(), dict(used))
+        return StoreUsage(used.total(), self.capacity(), dict(used))
 
-    def coldest(self, now_ms: float, limit: int) -> tuple[Cold, ...]:
+    def coldest(self, now_ms: float, limit: int) -> tuple[ColdBlock, ...]:
         """Return the least recently read blocks."""
         slots = self._published_by_key.values()
         return tuple(
-            Cold(
+            ColdBlock(
                 slot.ref(self.name),
                 slot.owner,
                 slot.reads,
@@ -275,13 +275,13 @@
 
     def _apply_to_each(
         self, refs: tuple[BlockRef, ...], action: Callable[[Slot, BlockRef], bool]
-    ) -> Done:
+    ) -> AppliedRefs:
         done = []
         for ref in refs:
             slot = self._slot(ref)
             if slot is not None and action(slot, ref):
                 done.append(slot.ref(self.name) if slot.key else ref)
-        return Done(tuple(done))
+        return AppliedRefs(tuple(done))
 
     def _seal_slot(self, slot: Slot, ref: BlockRef) -> bool:
         if slot.state is SlotState.SEALED:
--- a/tests/daemon/test_kept_work.py
+++ b/tests/daemon/test_kept_work.py
@@ -83,7 +83,7 @@
             await self.world.clock.advance_ms(1_500)
             await self.measure_ms(self.work.export_due())
         listing = await self.store.list(self.reader.query(ALL_SHARDS))
-        self.reader.take(listing, self.index)
+        self.reader.apply(listing, self.index)
 
     def blocks_at_second(self):
         return self.second.engine.cache.prefix_blocks(KEYS)
@@ -158,7 +158,7 @@
         """
         await self.serve_and_export()
         self.store.model.restart_empty(2)
-        self.index.forget("s1")
+        self.index.remove_holder("s1")
         self.world.compute(KEYS)
         await self.measure_ms(self.work.prepare("A", CALL, shape_of()))
         await self.world.clock.advance_ms(1_500)
