--- a/fireflyward/bench/_balancing.py
+++ b/fireflyward/bench/_balancing.py
@@ -303,7 +303,7 @@
         delay_ms = self._network_delay_ms(node, name)
         costs = self._engine_by_name[name].model.costs
         first_ms = max(now_ms, run.first_token_ms + delay_ms)
-        end_ms = max(now_ms, run.ends_ms(costs.decode_ms_per_token) + delay_ms)
+        end_ms = max(now_ms, run.end_ms(costs.decode_ms_per_token) + delay_ms)
         self._schedule(first_ms, self._on_first_token, node, name, run_id)
         self._schedule(end_ms, self._on_end, node, name, run_id)
 
--- a/fireflyward/bench/measures/rollout_swap.py
+++ b/fireflyward/bench/measures/rollout_swap.py
@@ -73,7 +73,7 @@
             await self.lease.step()
             await self.task.step()
             await self.clock.advance_ms(_STEP_MS)
-            serving = self.fleet.serving(self.clock.now_ms(), _MODEL)
+            serving = self.fleet.count_serving(self.clock.now_ms(), _MODEL)
             self.min_serving = min(self.min_serving, serving)
             self.lost_replica_time_ms += (len(self.names) - serving) * _STEP_MS
         return self.clock.now_ms() - began_ms
--- a/tests/daemon/test_kept_duty.py
+++ b/tests/daemon/test_kept_duty.py
@@ -79,7 +79,7 @@
         store = self.deployment.store.model
         await self.wait_until(lambda: len(store.describe(self.block_keys()).refs) >= 96)
         for engine in self.deployment.engine_by_name.values():
-            engine.model.cache.lose_all("2")
+            engine.model.cache.restart_empty("2")
         node = next(iter(self.deployment.node_by_name.values()))
         await node.kept.read_events()
         await node.kept.read_listings()
--- a/tests/daemon/test_kept_work.py
+++ b/tests/daemon/test_kept_work.py
@@ -101,9 +101,9 @@
         a time limit, the import would wait for the store.
         """
         cases = (
-            ("dead", True, "store_away"),
-            ("late_ms", 60_000, "deadline"),
-            ("late_ms", 15, "deadline"),
+            ("unavailable", True, "store_away"),
+            ("delay_ms", 60_000, "deadline"),
+            ("delay_ms", 15, "deadline"),
         )
         for name, value, reason in cases:
             with self.subTest(fault=name, value=value):
@@ -162,7 +162,7 @@
         self.world.compute(KEYS)
         await self.measure_ms(self.work.prepare("A", CALL, shape_of()))
         await self.world.clock.advance_ms(1_500)
-        self.store.model.faults.late_ms = 20
+        self.store.model.faults.delay_ms = 20
         exporting = asyncio.ensure_future(self.work.export_due())
         await self.world.clock.advance_ms(60)
         self.work._imports_in_flight = 1
--- a/tests/kept/test_prefix_texts.py
+++ b/tests/kept/test_prefix_texts.py
@@ -62,7 +62,7 @@
 
     async def test_unavailable_store_is_reported_and_cached_texts_still_resolve(self):
         ref = await self.texts.store_text(ANDES, "clauses", CLAUSES)
-        self.objects.away = True
+        self.objects.unavailable = True
         self.assertEqual(await self.texts.resolve(ANDES, ref), PrefixText(CLAUSES))
         node = PrefixTexts(self.objects, SECRET)
         self.assertIsInstance(await node.resolve(ANDES, ref), Unavailable)
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -16,7 +16,7 @@
 )
 from fireflyward.clock import Clock
 from fireflyward.demo import DemoDeployment
-from fireflyward.load import LoadPlan, LoadRun, Way, draw_requests
+from fireflyward.load import LoadPlan, LoadRun, RequestMode, draw_requests
 from fireflyward.standins import EngineCosts
 
 from ._nodes import NodeProcess
@@ -90,7 +90,7 @@
             for _, item in zip(
                 range(report.requests), draw_requests(self._plan), strict=False
             )
-            if item.way is Way.CALL
+            if item.mode is RequestMode.CALL
         }
         third = max(1, len(self._rss_mb) // 3)
         return {
@@ -174,19 +174,19 @@
         platform = self._deployment.platform
         for node in self._nodes:
             self._see(ReachabilityChanged, node.url, False)
-        platform.table.away = platform.objects.away = True
+        platform.table.unavailable = platform.objects.unavailable = True
         await asyncio.sleep(_AWAY_S)
-        platform.table.away = platform.objects.away = False
+        platform.table.unavailable = platform.objects.unavailable = False
         for node in self._nodes:
             self._see(ReachabilityChanged, node.url, True)
 
     async def _stores_slow(self) -> None:
         faults = [server.model.faults for server in self._stores()]
         for fault in faults:
-            fault.late_ms = 400.0
+            fault.delay_ms = 400.0
         await asyncio.sleep(_AWAY_S)
         for fault in faults:
-            fault.late_ms = 0.0
+            fault.delay_ms = 0.0
 
     def _stores(self) -> list:
         return list(self._deployment.store_by_name.values())
