--- a/fireflyward/admin/_auth.py
+++ b/fireflyward/admin/_auth.py
@@ -46,10 +46,11 @@
 class RequestAuthenticator:
     """Identifies the person who signed a request and rejects replayed requests.
 
-    The signature covers the name of the node, so a recorded request cannot be
-    replayed to another node. This node remembers the nonce of a request for as long
-    as its timestamp is accepted. After a restart of the node the request could be
-    replayed within that time, which only shows or submits the same thing again.
+    The signature covers the name of the node, so a recorded request cannot be replayed
+    to another node. This node stores the nonce of a request for as long as the
+    request's timestamp is accepted. After a restart of the node the request could be
+    replayed within that time, which would only return the same data or submit the same
+    bundle again.
     """
 
     __slots__ = ("_deployment", "_expiry_ms_by_nonce", "_node_name")
@@ -72,7 +73,7 @@
         body: bytes,
         people: Mapping[str, Person],
     ) -> str | ErrorReply:
-        """Return the person's name, or why the request is rejected."""
+        """Return the person's name, or the reason why the request is rejected."""
         person = headers.get(PERSON_HEADER, "")
         time_text = headers.get(TIME_HEADER, "")
         nonce = headers.get(NONCE_HEADER, "")
--- a/fireflyward/admin/_bundle_admin.py
+++ b/fireflyward/admin/_bundle_admin.py
@@ -56,15 +56,15 @@
         """Return the bundle in force at this node."""
 
     async def catch_up(self, number: int) -> bool:
-        """Wait a short time for a number that is known to be accepted."""
+        """Wait briefly for the bundle ``number``, which was accepted."""
 
     def apply_state(
         self, state: BundleState, changes: tuple[SignedBundle, ...]
     ) -> None:
-        """Put a bundle that was accepted through this node in force."""
+        """Bring a bundle that was accepted through this node into force."""
 
     async def node_statuses(self) -> tuple[NodeStatus, ...]:
-        """Request from every known node the number that is in force there."""
+        """Request from every known node the number of its bundle in force."""
 
 
 class BundleAdmin:
@@ -93,7 +93,7 @@
         return f"BundleAdmin({self.deployment!r})"
 
     def people(self) -> Mapping[str, Person]:
-        """Return who may send requests: the current bundle's people, or the roots."""
+        """Return the people who may send requests: the bundle's or the trust roots'."""
         state = self._node.state()
         return state.people if state else self._roots
 
--- a/fireflyward/admin/_messages.py
+++ b/fireflyward/admin/_messages.py
@@ -71,7 +71,7 @@
 
 
 class SubmitReply(msgspec.Struct, frozen=True):
-    """The outcome; after a lost race also the winner and the differences from it."""
+    """The outcome; after a lost race also the winner's head and the differences."""
 
     outcome: SubmitOutcome
     number: int
--- a/fireflyward/admin/_proposals.py
+++ b/fireflyward/admin/_proposals.py
@@ -25,8 +25,8 @@
 class ProposalStore:
     """Stores proposals: a short row in the table, the bytes in the object store.
 
-    A proposal has no effect on the service. With it colleagues need not send files to
-    each other; the approver signs the same statement that the author signed.
+    A proposal has no effect on the service. With proposals, colleagues need not send
+    files to each other; the approver signs the same statement that the author signed.
     """
 
     __slots__ = ("_bundle_store", "_clock", "_objects", "_table")
--- a/fireflyward/bundles/_bundle.py
+++ b/fireflyward/bundles/_bundle.py
@@ -86,10 +86,10 @@
 class Person(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A person who signs bundles, with public keys and the scopes of their roles.
 
-    During a key rotation ``keys`` holds both the old and the new key. A signature
-    made with a key in ``revoked`` is refused as revoked, not as unknown. A scope is
-    ``*``, ``trust``, or ``account:…``, ``model:…``, ``service:…``, ``upstream:…``
-    with ``*`` wildcards.
+    During a key rotation ``keys`` holds both the old and the new key. A signature made
+    with a key in ``revoked`` is rejected as revoked, not as unknown. A scope is ``*``,
+    ``trust``, or ``account:…``, ``model:…``, ``service:…``, ``upstream:…`` with ``*``
+    wildcards.
     """
 
     keys: tuple[PublicKey, ...] = ()
@@ -101,9 +101,9 @@
 class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The complete configuration of a deployment, under one number.
 
-    ``number`` is the number under which the author expects the bundle to be
-    accepted; acceptance refuses any other than the number in force plus one.
-    Without ``trust``, the trust roots of the settings sign the bundles.
+    ``number`` is the number under which the author expects the bundle to be accepted; a
+    bundle with any number other than the number in force plus one is not accepted.
+    Without ``trust``, the people of the settings' trust roots sign the bundles.
     """
 
     deployment: str
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleError:
-    """Why a bundle is refused: the field, its value and the allowed values.
+    """Why a bundle is rejected: the field, its value and the allowed values.
 
     ``code`` is a stable identifier for programs, such as ``revoked_key``.
     """
--- a/fireflyward/bundles/_exchange.py
+++ b/fireflyward/bundles/_exchange.py
@@ -21,7 +21,7 @@
 _PARTS_PER_PAGE = 64
 _MAX_PAGES = 200
 _MAX_REPLY_BYTES = 1 << 20
-NEWS_KIND = "bundle.news"
+ANNOUNCEMENT_KIND = "bundle.news"
 CHANGES_KIND = "bundle.changes"
 WHOLE_KIND = "bundle.whole"
 STATE_KIND = "bundle.state"
@@ -63,8 +63,8 @@
     def page(self, digest: str, after_part: str) -> Any | None:
         """Return the page of parts that follows ``after_part``.
 
-        If ``digest`` names another bundle than the one in force here, that is the
-        first page. Returns None before the first bundle.
+        If ``digest`` names another bundle than the one in force here, that is the first
+        page. Return None before the first bundle.
         """
         if self.state is None:
             return None
@@ -98,8 +98,8 @@
 async def fetch_all_pages(fetch_page: FetchPage) -> Whole | BundleError:
     """Fetch page after page from a peer until all parts have arrived.
 
-    If a newer bundle comes into force at the peer in between, its pages replace
-    those that were fetched before.
+    If a newer bundle comes into force at the peer in the meantime, the pages of that
+    bundle replace the pages that were fetched before.
     """
     digest, after_part = "", ""
     parts: dict[str, bytes] = {}
--- a/fireflyward/bundles/_follower.py
+++ b/fireflyward/bundles/_follower.py
@@ -1,4 +1,4 @@
-"""When a node looks for a newer bundle, and where it fetches it from.
+"""Decides when a node polls for a newer bundle, and from where it fetches one.
 
 Each node polls the head in the table service. A node at which a new number has
 come into force announces it to a few others at once, and those fetch the change
@@ -10,15 +10,15 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-HEAD_READS_PER_SECOND = 60
+HEAD_READS_PER_S = 60
 MAX_POLL_MS = 4_000
-MIN_READ_GAP_MS = 200
+MIN_READ_INTERVAL_MS = 200
 ANNOUNCE_FANOUT = 5
 FETCH_TIMEOUT_MS = 2_500
 ANNOUNCE_PERIOD_MS = 2_000
 _JITTER = 0.1
-_FIRST_RETRY_MS = 250
-_MAX_RETRY_MS = 2_000
+_FIRST_BACKOFF_MS = 250
+_MAX_BACKOFF_MS = 2_000
 _MS_PER_SECOND = 1_000
 
 
@@ -54,10 +54,10 @@
 class BundleFollower:
     """Decides, without I/O, what a node reads, fetches and announces.
 
-    Heads that were read and numbers that peers announced go in, actions come out.
-    None of them lowers ``number``: a lagging table replica, a lagging peer or a
-    false number can cause a useless fetch, but never a return to an older number.
-    The caller verifies what was fetched before it calls ``on_applied``.
+    Its inputs are the heads that were read and the numbers that peers announced; its
+    outputs are actions. No input lowers ``number``: a lagging table replica, a lagging
+    peer or a false number can cause a useless fetch, but never a return to an older
+    number. The caller verifies what was fetched before it calls ``on_applied``.
     """
 
     __slots__ = (
@@ -72,7 +72,7 @@
         "_refused_digest",
         "_refused_number",
         "_retry_at_ms",
-        "_retry_ms",
+        "_backoff_ms",
         "confirmed_at_ms",
         "head_number",
         "number",
@@ -93,7 +93,7 @@
         self._current_fetch: FetchFromStore | FetchFromPeer | None = None
         self._fetch_deadline_ms = 0
         self._retry_at_ms = 0
-        self._retry_ms = _FIRST_RETRY_MS
+        self._backoff_ms = _FIRST_BACKOFF_MS
 
     def __repr__(self) -> str:
         return f"BundleFollower(number={self.number}, head={self.head_number})"
@@ -112,10 +112,10 @@
     def poll_period_ms(self, nodes: int) -> float:
         """Return the time between two polls of one node among ``nodes``.
 
-        All nodes together read the head at most ``HEAD_READS_PER_SECOND`` times a
+        All nodes together read the head at most ``HEAD_READS_PER_S`` times a
         second, unless each node would have to wait longer than ``MAX_POLL_MS``.
         """
-        shared = nodes * _MS_PER_SECOND / HEAD_READS_PER_SECOND
+        shared = nodes * _MS_PER_SECOND / HEAD_READS_PER_S
         return max(self._poll_ms, min(shared, MAX_POLL_MS))
 
     def on_tick(self, now_ms: int, peers: Sequence[str]) -> list[Action]:
@@ -146,24 +146,24 @@
     def on_head_refused(self, number: int, digest: str) -> None:
         """Record that the bundle of this head does not verify.
 
-        It is not fetched again; without this, every node would fetch and refuse the
+        The bundle is not fetched again; otherwise every node would fetch and reject the
         same bytes every two seconds. A head with another digest is fetched.
         """
         self._refused_number = number
         self._refused_digest = digest
 
     def on_peer_number(self, now_ms: int, peer: str, number: int) -> list[Action]:
-        """Record a peer's number; announce ours if the peer is behind."""
+        """Record a peer's number; announce the own number if the peer is behind."""
         if number < self.number:
             return [AnnounceNumber(peer, self.number)]
         self._number_by_peer[peer] = number
         return self._start_fetch(now_ms)
 
     def on_caller_number(self, now_ms: int, number: int) -> list[Action]:
-        """Look at once for ``number``, which a caller has seen at another node.
+        """Read the head at once: a caller was served by ``number`` at another node.
 
         However many callers send such a number, the table is read at most once in
-        ``MIN_READ_GAP_MS``.
+        ``MIN_READ_INTERVAL_MS``.
         """
         if number <= self.number:
             return []
@@ -177,7 +177,7 @@
             return []
         self.number = number
         self._current_fetch = None
-        self._retry_ms = _FIRST_RETRY_MS
+        self._backoff_ms = _FIRST_BACKOFF_MS
         self._number_by_peer = {
             peer: peer_number
             for peer, peer_number in self._number_by_peer.items()
@@ -190,18 +190,18 @@
         )
 
     def on_fetch_failed(self, now_ms: int) -> list[Action]:
-        """Handle a failed, refused or late fetch: try a peer, or the store later."""
+        """Handle a failed, rejected or late fetch: try a peer, or the store later."""
         failed, self._current_fetch = self._current_fetch, None
         if isinstance(failed, FetchFromPeer):
             self._number_by_peer.pop(failed.peer, None)
             return self._start_fetch(now_ms)
-        self._retry_at_ms = now_ms + self._retry_ms
-        self._retry_ms = min(_MAX_RETRY_MS, self._retry_ms * 2)
+        self._retry_at_ms = now_ms + self._backoff_ms
+        self._backoff_ms = min(_MAX_BACKOFF_MS, self._backoff_ms * 2)
         return []
 
     def _read_head(self, now_ms: int) -> list[Action]:
         last = self._last_read_ms
-        if last is not None and now_ms - last < MIN_READ_GAP_MS:
+        if last is not None and now_ms - last < MIN_READ_INTERVAL_MS:
             return []
         self._last_read_ms = now_ms
         return [ReadHead()]
--- a/fireflyward/bundles/_holder.py
+++ b/fireflyward/bundles/_holder.py
@@ -33,11 +33,11 @@
         return self._bundle.number if self._bundle else 0
 
     def update(self, bundle: Bundle) -> bool:
-        """Put ``bundle`` in force if its number is higher; return whether it was.
+        """Bring ``bundle`` into force if its number is higher; return whether it was.
 
-        A lagging read or a peer that restarted can supply an older bundle, whose
-        rules operators have withdrawn. The numbers are compared here, in the only
-        place that sets the bundle, so that a node never returns to it.
+        A lagging read or a peer that restarted can supply an older bundle, whose rules
+        operators have withdrawn. The numbers are compared here, in the only place that
+        sets the bundle, so that a node never returns to an older bundle.
         """
         if bundle.number <= self.number:
             return False
--- a/fireflyward/bundles/_keys.py
+++ b/fireflyward/bundles/_keys.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyProblem:
-    """Why a key file was not written or cannot be used."""
+    """The reason why a key file was not written or cannot be used."""
 
     path: str
     detail: str
@@ -54,8 +54,8 @@
 def load_key(path: Path, passphrase: str = "") -> SigningKey | KeyProblem:
     """Read a key, unless other users have access to its file.
 
-    A key that other users of the machine can read must count as stolen; the owner
-    learns of this before signing anything with it.
+    A key that other users of the machine can read must be considered stolen. The error
+    reports this to the owner before the key signs anything.
     """
     try:
         with open(path, "rb") as file:
--- a/fireflyward/bundles/_loader.py
+++ b/fireflyward/bundles/_loader.py
@@ -38,8 +38,8 @@
     ) -> Loaded | BundleError | Missing | Unavailable:
         """Return the verified state of ``head``.
 
-        Starts from ``state`` if all changes after it can be fetched, else from a
-        snapshot.
+        The loader starts from ``state`` if all changes after it can be fetched,
+        otherwise from a snapshot.
         """
         if state is not None:
             changes = await self._store.fetch_changes(head, state.number)
--- a/fireflyward/bundles/_node_status.py
+++ b/fireflyward/bundles/_node_status.py
@@ -1,4 +1,4 @@
-"""Which number each node has in force and since when, as seen by one node."""
+"""The bundle number in force at each node and since when, as observed by one node."""
 
 import enum
 from collections.abc import Iterable
@@ -96,7 +96,7 @@
 
 
 def _is_unchanged(before: NodeStatus, condition: Condition, number: int) -> bool:
-    """Return whether the condition goes on; a new number in force is a change."""
+    """Return whether the condition continues; a new number in force is a change."""
     if before.condition is not condition:
         return False
     return condition is not Condition.IN_FORCE or before.number == number
--- a/fireflyward/bundles/_parts.py
+++ b/fireflyward/bundles/_parts.py
@@ -115,7 +115,7 @@
 
 
 def decode_part(name: str, body: bytes) -> dict[str, Any] | BundleError:
-    """Decode a part, refusing bytes that are not its canonical form."""
+    """Decode a part; reject bytes that are not its canonical form."""
     kind = _TYPE_BY_SECTION.get(section_of(name))
     if kind is None:
         return BundleError(name, "is not a part of a bundle", code="unknown_part")
@@ -145,10 +145,10 @@
 class ChunkedAccounts(Mapping[str, Account]):
     """Client accounts, stored as the encoded bytes of their chunks.
 
-    Nineteen thousand accounts as objects would take more memory than a node has
-    to spare; their bytes and an index of eight bytes of each key's hash do not.
-    A chunk is decoded when one of its accounts is needed; the most recently used
-    chunks stay decoded.
+    As objects, 19,000 accounts would need more memory than a node has available for
+    them; their bytes and an index with eight bytes of each key's hash do not. A chunk
+    is decoded when one of its accounts is needed; the most recently used chunks stay
+    decoded.
     """
 
     __slots__ = ("_body_by_chunk", "_chunk_by_key", "_chunks", "_decoded", "_length")
@@ -206,7 +206,7 @@
     ) -> "ChunkedAccounts | BundleError":
         """Return a copy with these chunks replaced; None removes a chunk.
 
-        A caller's key that an account in another chunk already has is refused, since
+        A caller's key that an account in another chunk already has is rejected, since
         answers for one of the two accounts would reach the other one.
         """
         after = ChunkedAccounts({}, self._chunks)
--- a/fireflyward/bundles/_plan.py
+++ b/fireflyward/bundles/_plan.py
@@ -9,7 +9,7 @@
 from ._bundle import Account, Bundle, Upstream
 from ._diff import Difference, diff
 
-LOAD_SECONDS = 1.2
+LOAD_TIME_S = 1.2
 MAX_CONCURRENT_LOADS = 2
 _MAX_NAMES_SHOWN = 8
 
@@ -34,7 +34,7 @@
     differences = diff(old, new)
     load_by_replica = _loads_by_replica(before, new)
     loads = sum(load_by_replica.values())
-    seconds = round(math.ceil(loads / MAX_CONCURRENT_LOADS) * LOAD_SECONDS, 1)
+    seconds = round(math.ceil(loads / MAX_CONCURRENT_LOADS) * LOAD_TIME_S, 1)
     sentences = [
         *_account_sentences(before, new),
         *_model_sentences(before, new, load_by_replica),
@@ -149,7 +149,7 @@
 def _load_sentence(loads: int, load_by_replica: Counter[str], seconds: float) -> str:
     return (
         f"{_count_of(loads, 'load')} on {_count_of(len(load_by_replica), 'replica')}; "
-        f"with {MAX_CONCURRENT_LOADS} at a time and {LOAD_SECONDS} s each this takes "
+        f"with {MAX_CONCURRENT_LOADS} at a time and {LOAD_TIME_S} s each this takes "
         f"at least {seconds} s, in addition to the draining. More loads at a time "
         f"would make each load slower."
     )
--- a/fireflyward/bundles/_signing.py
+++ b/fireflyward/bundles/_signing.py
@@ -28,7 +28,7 @@
 class TrustRef(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The number that last changed who may sign, and the hash of its trust part.
 
-    ``since`` is 0 while the trust roots of the settings sign.
+    ``since`` is 0 while the people of the settings' trust roots sign.
     """
 
     since: int = 0
--- a/fireflyward/bundles/_state.py
+++ b/fireflyward/bundles/_state.py
@@ -38,8 +38,8 @@
     """One verified number: its statement, its parts and the bundle they form.
 
     ``people`` may sign the next number. ``links`` are the signed statements that
-    changed who may sign, oldest first; a new node verifies them one by one to find
-    out whose signatures are valid now.
+    changed who may sign, oldest first; a new node verifies them one by one to determine
+    whose signatures are valid now.
     """
 
     __slots__ = (
@@ -81,7 +81,7 @@
         return self.statement.number
 
     def snapshot(self) -> SignedBundle:
-        """Return the signed bundle with every part, from which a node can start."""
+        """Return the signed bundle with all parts, from which a node can start."""
         return SignedBundle(
             self.signed.document, self.signed.signatures, dict(self.part_by_name)
         )
@@ -190,7 +190,7 @@
 def decode_parts(
     statement: Statement, parts: Mapping[str, bytes]
 ) -> dict[str, dict[str, Any]] | BundleError:
-    """Decode parts, refusing those that are unreadable, not canonical or misplaced."""
+    """Decode parts; reject those that are unreadable, not canonical or misplaced."""
     table_by_name: dict[str, dict[str, Any]] = {}
     for name, body in parts.items():
         if not body:
--- a/fireflyward/bundles/_store.py
+++ b/fireflyward/bundles/_store.py
@@ -25,7 +25,7 @@
 MAX_HISTORY_ROWS = 2_000
 NUMBERS_PER_SNAPSHOT = 64
 _MAX_CHANGES = 2 * NUMBERS_PER_SNAPSHOT
-_SETTLE_ATTEMPTS = 4
+_MAX_SETTLE_ATTEMPTS = 4
 _SETTLE_PAUSE_MS = 250
 
 
@@ -108,7 +108,7 @@
     async def accept(
         self, bundle: Bundle, signed: SignedBundle, *, base: BundleState | None = None
     ) -> Committed | Conflict | Unavailable | Uncertain:
-        """Accept ``bundle`` as the next number, unless another bundle was first.
+        """Accept ``bundle`` as the next number, unless another one was accepted first.
 
         The bytes are stored in the object store under their digest before the head
         names them, so a reader of the head always finds them. The head and the
@@ -162,7 +162,7 @@
         """Fetch what a node without a bundle needs to reach ``head``.
 
         That is a snapshot with its trust links, and all changes since, however many:
-        nodes must be able to start even if the object store refused every later
+        nodes must be able to start even if the object store rejected every later
         snapshot.
         """
         changes = await self.fetch_changes(
@@ -227,7 +227,7 @@
     ) -> Head:
         """Store a snapshot of the bundle in force if one is due.
 
-        Returns the head that names it, or the same head if none was stored.
+        Return the head that names it, or the same head if none was stored.
         """
         is_due = head.number - head.snapshot_number > NUMBERS_PER_SNAPSHOT
         if not is_due or base is None or base.digest != before.digest:
@@ -246,7 +246,7 @@
         An object's name contains the digest of its contents, so a delayed put writes
         the same bytes, and a second put is harmless.
         """
-        for _ in range(_SETTLE_ATTEMPTS):
+        for _ in range(_MAX_SETTLE_ATTEMPTS):
             result = await self._objects.put(name, body)
             if isinstance(result, Unavailable):
                 return Unavailable(f"object store: {result.detail}")
@@ -294,14 +294,14 @@
 
         If the answer to the write is lost, the head does not always show whether the
         write took effect: a delayed write may do so later, and another operator may
-        already have written the next number. An operator to whom this is reported as
-        a lost race writes the change a second time, on top of itself. The history
-        row of the number shows whose write it was. While that row is missing, the
-        same conditional write is sent again; at most one of them can take effect.
+        already have written the next number. If this were reported as a lost race, the
+        operator would submit the change a second time, on top of the first one. The
+        history row of the number shows whose write it was. While that row is missing,
+        the same conditional write is sent again; at most one of them can take effect.
         """
         lost_answer = Uncertain("the answer was lost")
         may_be_written = False
-        for _ in range(_SETTLE_ATTEMPTS):
+        for _ in range(_MAX_SETTLE_ATTEMPTS):
             result = await self._write_head(head, version)
             self._observe(AcceptStep.HEAD_WRITTEN)
             if isinstance(result, Committed):
--- a/fireflyward/bundles/_toml.py
+++ b/fireflyward/bundles/_toml.py
@@ -26,7 +26,7 @@
 def parse_bundle(text: str) -> Bundle | tuple[BundleError, ...]:
     """Read a bundle from TOML, checking types and references between its parts.
 
-    Returns all errors, not only the first. Each has the line of its field, or of
+    All errors are returned, not only the first. Each has the line of its field, or of
     the surrounding table if the line of the field itself is not found.
     """
     try:
@@ -144,7 +144,7 @@
 
 
 def _lines(text: str) -> dict[Path, int]:
-    """Map each table and key to its line, looking at each line by itself."""
+    """Map each table and key to its line; each line is parsed separately."""
     line_by_path: dict[Path, int] = {}
     table: Path = ()
     for number, line in enumerate(text.splitlines(), 1):
--- a/fireflyward/bundles/_verify.py
+++ b/fireflyward/bundles/_verify.py
@@ -1,4 +1,4 @@
-"""The checks that every node makes before it puts a bundle in force."""
+"""The checks that every node makes before it brings a bundle into force."""
 
 from collections.abc import Mapping
 
@@ -51,8 +51,8 @@
     """Return the state of a bundle that comes with all its parts.
 
     ``links`` lead from the trust roots of the settings to the people who signed it.
-    Roles can be checked only against the preceding bundle. What is checked here is
-    that both signers are known and that their keys are not revoked.
+    Roles can be checked only against the preceding bundle. This function checks that
+    both signers are known and that their keys are not revoked.
     """
     statement = _decode_statement(signed.document, deployment)
     if isinstance(statement, BundleError):
@@ -219,7 +219,7 @@
 def _missing_chunks_error(
     statement: Statement, signed: SignedBundle, base: BundleState
 ) -> BundleError | None:
-    """Refuse a new number of chunks unless the change contains all of them."""
+    """Reject a new number of chunks unless the change contains all of them."""
     unchanged = base.part_by_name.keys() - signed.parts.keys()
     before = base.statement
     for section, is_changed in (
--- a/fireflyward/bundles/messages.py
+++ b/fireflyward/bundles/messages.py
@@ -9,11 +9,11 @@
     WholeReply,
     WholeRequest,
 )
-from ._exchange import CHANGES_KIND, NEWS_KIND, STATE_KIND, WHOLE_KIND
+from ._exchange import ANNOUNCEMENT_KIND, CHANGES_KIND, STATE_KIND, WHOLE_KIND
 
 __all__ = [
     "CHANGES_KIND",
-    "NEWS_KIND",
+    "ANNOUNCEMENT_KIND",
     "STATE_KIND",
     "WHOLE_KIND",
     "BundleNews",
--- a/fireflyward/commands/_bundle.py
+++ b/fireflyward/commands/_bundle.py
@@ -12,7 +12,7 @@
     load_operator_settings,
 )
 
-_WAIT_SECONDS = 9.0
+_MAX_WAIT_S = 9.0
 
 
 def add(commands) -> None:
@@ -39,7 +39,7 @@
     check.add_argument(
         "--offline",
         action="store_true",
-        help="check the file alone, without asking a node",
+        help="check the file alone, without a request to a node",
     )
     diff = _action(inner, "diff", "show what a file changes, by meaning")
     diff.add_argument("file", help="a bundle or a signed bundle")
@@ -75,11 +75,11 @@
         "--wait",
         type=float,
         nargs="?",
-        const=_WAIT_SECONDS,
+        const=_MAX_WAIT_S,
         default=0.0,
         metavar="SECONDS",
         help="wait until the number is in force at every reachable node; without "
-        f"SECONDS at most {_WAIT_SECONDS:g} s",
+        f"SECONDS at most {_MAX_WAIT_S:g} s",
     )
     history = _action(inner, "history", "list the last accepted numbers")
     history.add_argument("--limit", type=int, default=20)
--- a/fireflyward/commands/_bundle_actions.py
+++ b/fireflyward/commands/_bundle_actions.py
@@ -97,7 +97,7 @@
     url: str,
     key: SigningKey | None,
 ) -> int:
-    """Run an action and return its exit code; print why if it stopped early."""
+    """Run an action and return its exit code; if it stops early, print the reasons."""
     async with aiohttp.ClientSession() as http:
         client = AdminClient(http, url, key)
         try:
--- a/fireflyward/commands/_common.py
+++ b/fireflyward/commands/_common.py
@@ -15,7 +15,7 @@
 def load_settings(
     options: argparse.Namespace, declared: tuple[Setting, ...] = SERVE_SETTINGS
 ) -> Settings | None:
-    """Return a node's settings, or print what is wrong with them and return None."""
+    """Return a node's settings, or print their errors and return None."""
     result = load(declared, vars(options), os.environ)
     if isinstance(result, Settings):
         return result
--- a/fireflyward/commands/_operator.py
+++ b/fireflyward/commands/_operator.py
@@ -25,7 +25,7 @@
 
 
 def load_operator_settings(options: argparse.Namespace) -> Settings | None:
-    """Return the operator's settings, or print what is wrong and return None."""
+    """Return the operator's settings, or print their errors and return None."""
     result = load(OPERATOR_SETTINGS, vars(options), os.environ)
     if isinstance(result, Settings):
         return result
--- a/fireflyward/commands/_standins.py
+++ b/fireflyward/commands/_standins.py
@@ -1,4 +1,4 @@
-"""``fireflyward standins``: runs stand-ins for all a node needs, in one process."""
+"""``fireflyward standins``: runs the platform's and upstreams' stand-ins."""
 
 import argparse
 
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -30,8 +30,8 @@
     root_people,
 )
 from fireflyward.bundles.messages import (
+    ANNOUNCEMENT_KIND,
     CHANGES_KIND,
-    NEWS_KIND,
     STATE_KIND,
     WHOLE_KIND,
     BundleNews,
@@ -120,7 +120,7 @@
         self._unanswered: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._ticker: asyncio.Task[None] | None = None
-        link.register(NEWS_KIND, BundleNews, self._on_announcement)
+        link.register(ANNOUNCEMENT_KIND, BundleNews, self._on_announcement)
         link.register(CHANGES_KIND, ChangesRequest, self._on_changes_request)
         link.register(WHOLE_KIND, WholeRequest, self._on_whole_request)
         link.register(STATE_KIND, StateRequest, self._on_state_request)
@@ -129,12 +129,13 @@
         return f"BundleDuty({self._follower!r})"
 
     async def start(self) -> None:
-        """Fetch a first bundle, then keep following newer ones.
+        """Fetch a first bundle, then fetch newer ones periodically.
 
-        The method returns without a bundle if none is found within the timeout. A
-        node in a failure domain without a connection to the platform fetches the
-        bundle from other nodes. It cannot know whether a newer one was accepted
-        outside the domain, and uses the highest number that any of them has.
+        The method returns without a bundle if none is found within the timeout. A node
+        in a failure domain without a connection to the platform fetches the bundle from
+        other nodes. Such a node cannot find out whether a newer bundle was accepted
+        outside its domain, so it uses the bundle with the highest number that any of
+        these nodes has.
         """
         self._ticker = asyncio.create_task(self._run_ticks())
         try:
@@ -245,20 +246,20 @@
         )
         if members:
             current = {own.name, *(member.name for member in members)}
-            gone = [
+            removed = [
                 item.name
                 for item in self.status_tracker.statuses()
                 if item.name not in current
             ]
-            self.status_tracker.forget(gone)
+            self.status_tracker.forget(removed)
 
     def _apply_unanswered(self, member: NodeObservation) -> NodeObservation:
         """Treat a member that did not answer a call as unreachable.
 
         The membership needs some seconds to detect that a node has crashed. Without
         this rule, the status would meanwhile show the crashed node as serving again,
-        and then as unreachable since a later time. The rule ends when the membership
-        reports the member as unreachable itself.
+        and then as unreachable since a later time. The rule applies until the
+        membership itself reports the member as unreachable.
         """
         if not member.is_reached:
             self._unanswered.discard(member.name)
--- a/fireflyward/daemon/_bundle_peers.py
+++ b/fireflyward/daemon/_bundle_peers.py
@@ -13,8 +13,8 @@
     fetch_all_pages,
 )
 from fireflyward.bundles.messages import (
+    ANNOUNCEMENT_KIND,
     CHANGES_KIND,
-    NEWS_KIND,
     STATE_KIND,
     WHOLE_KIND,
     BundleNews,
@@ -32,10 +32,11 @@
 
 
 class BundlePeers:
-    """Knows the addresses of the other nodes and calls them for bundles.
+    """Holds the addresses of the other nodes and calls them for bundles.
 
-    The addresses come from the node's membership. Until that contains another live
-    node, this class uses the seeds from the settings and the nodes that sent a message.
+    The addresses come from the node's membership. Until the membership contains another
+    live node, this class uses the seeds from the settings and the addresses of nodes
+    that sent a message.
     """
 
     __slots__ = ("_seeds", "_sender_address_by_name", "_link", "_members")
@@ -89,7 +90,7 @@
         if address:
             host, port = self._link.address
             announcement = BundleNews(number=number, host=host, port=port)
-            self._link.send(address, NEWS_KIND, announcement)
+            self._link.send(address, ANNOUNCEMENT_KIND, announcement)
 
     async def fetch_changes(
         self, name: str, after: int
--- a/fireflyward/daemon/_guards.py
+++ b/fireflyward/daemon/_guards.py
@@ -85,8 +85,8 @@
 def count_nodes(members: Members) -> Callable[[], int]:
     """Return a function that counts the nodes that may be using the platform.
 
-    Nodes of a silent failure domain are included: they may be unreachable only from
-    this node, and still use their share.
+    Nodes of an unreachable failure domain are included: they may be unreachable only
+    from this node and may still use their share.
     """
     return lambda: sum(
         member.state is not MemberState.DEAD for member in members.stored_all()
--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -63,7 +63,7 @@
         self._cached: tuple[float, RunShape, PrefixLocations] | None = None
 
     def locate(self, now_ms: float, shape: RunShape) -> PrefixLocations:
-        """Return which blocks of a prompt the replicas and the stores have.
+        """Return the blocks of a prompt that the replicas and the stores have.
 
         Routing calls this once for each replica while it chooses one. The result is
         computed at the first call and cached for the others.
@@ -124,10 +124,10 @@
 class KeptWork:
     """Performs the imports and exports of one node.
 
-    The time limit of an import comes from the estimated time to compute its blocks.
-    So a slow, crashed or full store delays an answer by at most a small share of that
-    time. An export waits for one second, so that its prompt is computed first, and as
-    long as an import is in flight. When too many exports are pending, the oldest are
+    The time limit of an import comes from the estimated time to compute its blocks. So
+    a slow, crashed or full store delays an answer by at most a small share of that
+    time. An export waits for one second, so that its prompt is computed first, and then
+    until no import is in flight. When too many exports are pending, the oldest are
     dropped, because an export only saves later computation.
     """
 
@@ -186,8 +186,8 @@
     def _record_served(self, now_ms: int, replica: str, shape: RunShape) -> None:
         """Record a prompt; a later attempt of the same run replaces an earlier one.
 
-        If both attempts counted, a prompt that was only retried would look like one
-        that returned, and would be exported for that reason.
+        If both attempts counted, a prompt that was only retried would be considered a
+        prompt that returned later, and would be exported for that reason.
         """
         pending = self._served_by_run
         earlier = pending.get(shape.run_id)
--- a/fireflyward/daemon/_planned_stop.py
+++ b/fireflyward/daemon/_planned_stop.py
@@ -22,10 +22,10 @@
     """Lets every request finish before the node exits.
 
     First the node reports that it is not ready. The balancer then has
-    ``balancer_wait_ms`` to notice, while the node still serves all requests. Only
-    after that the port is closed, so that no caller is rejected because the balancer
-    did not know of the stop yet. ``limit_ms`` counts from the beginning of the stop;
-    ``cut`` ends the waiting at once.
+    ``balancer_wait_ms`` to stop sending requests, while the node still serves all of
+    them. The port is closed only after that time, so that no caller is rejected because
+    the balancer has not detected the stop yet. ``limit_ms`` counts from the beginning
+    of the stop; ``cut`` ends the waiting at once.
     """
 
     def __init__(
--- a/fireflyward/daemon/_tls.py
+++ b/fireflyward/daemon/_tls.py
@@ -8,7 +8,7 @@
 
 
 class CallerTls:
-    """Holds the TLS context of the caller port; None when no certificate is set.
+    """Holds the TLS context of the caller port; it is None when no certificate is set.
 
     Certificates are short-lived and their files are replaced in place. A node that
     read them only at its start would at some point present an expired certificate,
--- a/fireflyward/entry/_bundle_check.py
+++ b/fireflyward/entry/_bundle_check.py
@@ -1,4 +1,4 @@
-"""Rejects a caller that has seen a newer bundle than this node has."""
+"""Rejects a caller that was served by a newer bundle than this node has."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -22,9 +22,9 @@
     """Catch up with the bundle number in the request's ``X-Bundle``, or reject it.
 
     Every response contains the number of the bundle by which it was served. A caller
-    can send that number with its next request. A node that does not have the bundle
-    yet then rejects the request, so that it is not served by rules that the caller
-    has already seen replaced.
+    can send that number with its next request. A node that does not have the bundle yet
+    then rejects the request, so that the request is not served by rules that were
+    already replaced for this caller.
     """
     header = request.headers.get(BUNDLE_HEADER)
     if header is None:
--- a/fireflyward/entry/_completions.py
+++ b/fireflyward/entry/_completions.py
@@ -185,8 +185,8 @@
 ) -> RunRequest | None:
     """Return the request to retry if no replica had its version, or None.
 
-    The retry uses the version that is served now. There is none if the request must
-    not be retried, or if no replica has that version.
+    The retry uses the version that is served now. Return None if the request must not
+    be retried, or if no replica has that version.
     """
     if not isinstance(outcome, NotRun) or outcome.reason is not Reason.NO_UPSTREAM:
         return None
--- a/fireflyward/entry/_errors.py
+++ b/fireflyward/entry/_errors.py
@@ -52,7 +52,7 @@
 
 
 def error_bytes(outcome: NotRun | Unknown, request_id: str) -> bytes:
-    """Return the JSON_CONTENT_TYPE error body of an outcome."""
+    """Return the JSON error body of an outcome."""
     message = outcome.detail or outcome.reason.value
     detail = ErrorDetail(message, outcome.tag, outcome.reason.value, request_id)
     return msgspec.json.encode(ErrorBody(detail))
--- a/fireflyward/entry/_requests.py
+++ b/fireflyward/entry/_requests.py
@@ -45,9 +45,9 @@
 class Prompt(msgspec.Struct):
     """A prompt, from a completion request or a chat request.
 
-    ``prefix_text`` goes before the text. If ``keep`` is set, it is stored under that
-    name, and later requests send its reference in ``prefix`` instead. With a
-    ``session``, the caller announces that it will send the prompt again.
+    ``prefix_text`` is put before the text. If ``keep`` is set, the prefix text is
+    stored under that name, and later requests send its reference in ``prefix`` instead.
+    With a ``session``, the caller announces that it will send the prompt again.
     """
 
     model: str
--- a/fireflyward/kept/_export.py
+++ b/fireflyward/kept/_export.py
@@ -57,11 +57,11 @@
 class Exporter:
     """Executes the steps reserve, write, seal and publish for the blocks of a plan.
 
-    The node sends the orders; the engine writes and seals. If this process crashes
-    at any step, the slots stay reserved or sealed. Such slots are never read, and the
-    sweep frees them by their age. If the engine continues to write after that, its
-    descriptor names a generation that the slot no longer has, and the store rejects
-    the write.
+    The node sends the orders; the engine writes and seals. If this process crashes at
+    any step, the slots stay reserved or sealed. Such slots are never read, and the
+    sweep frees them by their age. If the engine continues to write after the slot was
+    freed, its descriptor contains a generation that the slot no longer has, and the
+    store rejects the write.
     """
 
     __slots__ = ("_observe", "_url_by_store")
--- a/fireflyward/kept/_index.py
+++ b/fireflyward/kept/_index.py
@@ -28,9 +28,10 @@
     Every eighth block of a prompt has an entry with its holders, both stores and
     replicas, as the bits of one number. Since a block's key covers all tokens before
     it, the entry of the eighth block also represents the seven blocks before it. All
-    entries of a prompt are in the shard of its first block, so a single request to
-    one node finds them. An entry is wrong between a loss and its report; therefore
-    the store's descriptors and the engine's check of the bytes are authoritative.
+    entries of a prompt are in the shard of its first block, so a single request to one
+    node finds them. An entry is wrong from the loss of a block until the holder reports
+    the loss; therefore the store's descriptors and the engine's check of the bytes are
+    authoritative.
 
     >>> index = PrefixIndex()
     >>> keys = tuple(f"{number:032x}" for number in range(8))
@@ -81,7 +82,7 @@
                 self._set(entries, entry, bits & ~bit)
 
     def remove_holder(self, holder: str) -> None:
-        """Remove a holder, which has lost its content, from every entry."""
+        """Remove a holder that has lost its content from every entry."""
         bit = self._bit_by_holder.get(holder)
         if bit is None:
             return
@@ -90,7 +91,7 @@
                 self._set(entries, entry, entries[entry] & ~bit)
 
     def retain_shards(self, shards: frozenset[int]) -> None:
-        """Drop all other shards, which other nodes now hold."""
+        """Keep only these shards; other nodes now hold the others."""
         for shard in self._entries_by_shard.keys() - shards:
             self._entries -= len(self._entries_by_shard.pop(shard))
 
@@ -107,7 +108,7 @@
         )
 
     def places(self, shard: int, entries: Sequence[int]) -> dict[str, int]:
-        """Return by holder a bit set of the positions of the entries that it has."""
+        """Return for each holder a bit set of the positions of its entries."""
         entry_bits = self._entries_by_shard.get(shard)
         if not entry_bits:
             return {}
--- a/fireflyward/kept/_look_up.py
+++ b/fireflyward/kept/_look_up.py
@@ -21,9 +21,9 @@
 class ShardLookUp:
     """Queries the holders of a shard, and answers queries for local shards.
 
-    In a failure domain of up to four nodes every node holds every shard, so no
-    queries are sent. If no answer arrives within ``timeout_s``, the prompt is computed
-    as if no blocks had been stored. The second holder is not queried then, since the
+    In a failure domain of up to four nodes every node holds every shard, so no queries
+    are sent. If no answer arrives within ``timeout_s``, the prompt is computed as if no
+    blocks had been stored. In that case the second holder is not queried, since the
     caller has already waited for the first one.
     """
 
--- a/fireflyward/kept/_readers.py
+++ b/fireflyward/kept/_readers.py
@@ -14,10 +14,11 @@
 class StoreReader:
     """Follows one store's listing for the shards that this node holds.
 
-    A full listing consists of several pages, and the store's content changes while
-    they are read. After the last page the reader reads all changes since the first
-    page, so that no change between pages is lost. The reader starts again with a full
-    listing after new shards, a new epoch, or when the store no longer has the changes.
+    A full listing consists of several pages, and the store's content changes while they
+    are read. After the last page the reader reads all changes since the first page, so
+    that no change between pages is lost. The reader starts again with a full listing
+    when this node gets new shards, when the epoch changes, or when the store no longer
+    has the requested changes.
     """
 
     __slots__ = (
@@ -67,10 +68,10 @@
 class EngineReader:
     """Follows one engine's cache events, which may be late, duplicated or missing.
 
-    An event that was already received is recognized by its sequence number and
-    dropped. A gap may hide evictions, after which routing would send prompts to a
-    replica that no longer has their blocks. Therefore the reader requests the full
-    content of the cache after a gap, a new epoch or new shards, at most every ten
+    An event that was already received is recognized by its sequence number and dropped.
+    A gap may hide evictions, after which routing would send prompts to a replica that
+    no longer has their blocks. Therefore the reader requests the full content of the
+    cache after a gap, after a change of the epoch and for new shards, at most every ten
     seconds.
     """
 
--- a/fireflyward/kept/_stores.py
+++ b/fireflyward/kept/_stores.py
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChange:
-    """One line of a store's listing: a block that is stored, or no longer is."""
+    """One line of a store's listing: a block that was stored or removed."""
 
     key: str
     position: int
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unfinished:
-    """A slot whose write was begun but not published, with its age."""
+    """A slot whose write was begun but whose block is not published, with its age."""
 
     ref: BlockRef
     state: SlotState
--- a/fireflyward/kept/_sweep.py
+++ b/fireflyward/kept/_sweep.py
@@ -54,10 +54,10 @@
     """Sweeps one store under a lease.
 
     The sweeper raises the fencing number before it lists any slots. From then on the
-    store itself rejects an earlier lease holder, however long that was paused. Every
-    call to free a slot contains the generation and the state from the listing, so
-    that a slot which a slow writer has published in the meantime, or which was used
-    again, is not freed by the current lease holder either.
+    store itself rejects an earlier lease holder, however long that holder was paused.
+    Every call to free a slot contains the generation and the state from the listing. So
+    the current lease holder, too, never frees a slot that a slow writer has published
+    in the meantime, or that was used again.
     """
 
     __slots__ = ("_held_lease", "_garbage_age_ms", "_observe")
@@ -141,5 +141,5 @@
         log.warning(
             "kept: sweep of %s refused, number %d was there", store.name, cause.highest
         )
-        return NotSwept(f"{store.name} has seen fencing number {cause.highest}")
+        return NotSwept(f"{store.name} has received fencing number {cause.highest}")
     return NotSwept(f"{store.name}: {cause.detail}")
--- a/fireflyward/peers/_codec.py
+++ b/fireflyward/peers/_codec.py
@@ -22,7 +22,7 @@
 
 
 def unpack(struct_type: type, body: bytes) -> Any | None:
-    """Decode a Thrift struct; return None when the bytes are no complete one.
+    """Decode a Thrift struct; return None if the bytes are not a complete struct.
 
     The decoder leaves a missing required field as None. A handler that relies on
     the definition would then fail far from the cause, so such a struct is rejected
--- a/fireflyward/peers/_link.py
+++ b/fireflyward/peers/_link.py
@@ -67,9 +67,9 @@
     Anything above a bound is dropped and counted in ``dropped``; every sender has
     to cope with lost messages anyway.
 
-    ``incarnation`` distinguishes the restarts of a node. When a peer has received
-    a higher one from this node, which happens when the wall clock was set back
-    before a restart, this node raises its own above it and calls
+    ``incarnation`` distinguishes the restarts of a node. When a peer has received a
+    higher incarnation from this node, which happens when the wall clock was set back
+    before a restart, this node raises its own incarnation above that one and calls
     ``on_incarnation_raised``.
     """
 
--- a/fireflyward/peers/_replay.py
+++ b/fireflyward/peers/_replay.py
@@ -10,7 +10,7 @@
 
 
 class Freshness(enum.Enum):
-    """Whether a frame is new, judged by its incarnation and sequence number."""
+    """Whether a frame is new, according to its incarnation and sequence number."""
 
     NEW = "new"
     REPEATED = "repeated"
@@ -25,7 +25,7 @@
 
 
 class ReplayGuard:
-    """Remembers the last sequence numbers of each sender.
+    """Stores the last sequence numbers of each sender.
 
     The tag of a frame proves that a peer created it, not that the peer sends it
     now: without this check a recorded frame could be replayed. Within an
@@ -45,7 +45,7 @@
         self._window_by_sender: OrderedDict[str, _Window] = OrderedDict()
 
     def check(self, sender: str, incarnation: int, sequence: int) -> Freshness:
-        """Classify a frame, and remember it if it is new."""
+        """Classify a frame, and record it if it is new."""
         window = self._window_by_sender.get(sender)
         if window is None or incarnation > window.incarnation:
             self._start_window(sender, incarnation, sequence)
--- a/fireflyward/peers/node.thrift
+++ b/fireflyward/peers/node.thrift
@@ -1,5 +1,5 @@
-/* The envelope of every message between nodes. Each slice that talks to its
-   peers has a file of its own for what goes into the body. */
+/* The envelope of every message between nodes. Each package that sends
+   messages has its own file with the structs of the body. */
 namespace py fireflyward.peers
 
 struct Envelope {
@@ -11,7 +11,7 @@
   6: optional i64 reply_to = 0,
 }
 
-/* The answer to a frame of an earlier incarnation than is known of its sender. */
+/* The answer to a frame whose sender has already sent a later incarnation. */
 struct Behind {
   1: required i64 incarnation,
 }
--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -122,7 +122,7 @@
         self, number: int, replica: str, engine: Engine | None, offset: int
     ) -> None:
         if engine is None:
-            lost = Broken(True, f"replica {replica} is no longer served")
+            lost = Broken(True, f"replica {replica} is no longer an upstream")
             await self._inbox.put(AttemptEvent(number, lost))
             return
         with hop("resume", upstream=replica):
@@ -150,10 +150,11 @@
         self._observe(OnceStep.DISPATCHING)
         if self._is_permit_valid():
             return True
-        # A process that was paused after its claim resumes here with an expired
-        # permit. Its caller has given up, and a sweep may have deleted the record in
-        # the meantime, so a second request with the same key could run as well and
-        # its effect would be duplicated. The monotonic clock counts such a pause.
+        # A process that was paused after its claim resumes here with an expired permit.
+        # Its caller no longer waits, and a sweep may have deleted the record in the
+        # meantime. A second request with the same key could therefore run as well, and
+        # its effect would be duplicated. The monotonic clock advances during such a
+        # pause.
         outcome = NotRun(Reason.DEADLINE, "its permit expired", _RETRY_AFTER_MS)
         await self._inbox.put(Denied(number, outcome))
         return False
--- a/fireflyward/runs/_budget.py
+++ b/fireflyward/runs/_budget.py
@@ -22,7 +22,7 @@
     (True, False)
     """
 
-    __slots__ = ("_most_saved", "_random", "_tokens", "_share")
+    __slots__ = ("_capacity", "_random", "_tokens", "_share")
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         seed: int | None = None,
     ) -> None:
         self._share = share
-        self._most_saved = capacity
+        self._capacity = capacity
         self._tokens = capacity
         self._random = random.Random(seed)
 
@@ -41,7 +41,7 @@
 
     def on_request(self) -> None:
         """Count a request that is not a retry."""
-        self._tokens = min(self._most_saved, self._tokens + self._share)
+        self._tokens = min(self._capacity, self._tokens + self._share)
 
     def try_acquire(self) -> bool:
         """Take a token for a retry; return False if none is left."""
--- a/fireflyward/runs/_detached.py
+++ b/fireflyward/runs/_detached.py
@@ -1,4 +1,4 @@
-"""Tasks that continue after their caller has gone."""
+"""Tasks that continue after their caller has disconnected."""
 
 import asyncio
 from collections.abc import Coroutine
--- a/fireflyward/runs/_group_commit.py
+++ b/fireflyward/runs/_group_commit.py
@@ -18,7 +18,7 @@
 _MIN_INTERVAL_MS = 30
 _MAX_LAZY_DELAY_MS = 500
 _COMMIT_TIMEOUT_MS = 2_500
-_MAX_RETRY_MS = 4_000
+_RETRY_TIMEOUT_MS = 4_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,10 +84,10 @@
 class WriteQueue:
     """Decides which writes are committed together and when.
 
-    Only one transaction is in flight at a time, and at least ``min_interval_ms``
-    pass between the starts of two, which limits the node's share of the table's
-    writes independent of its traffic. A single write after an idle period is
-    committed immediately.
+    Only one transaction is in flight at a time, and at least ``min_interval_ms`` pass
+    between the starts of two, which limits the node's share of the table's writes
+    independently of its traffic. A single write after an idle period is committed
+    immediately.
     """
 
     __slots__ = ("_min_interval_ms", "_last_start_ms", "_max_writes", "_queued")
@@ -205,7 +205,7 @@
                 _resolve_all(batch, NotWritten(result.detail))
             else:
                 batch.may_have_committed |= not isinstance(result, Unavailable)
-                if self.clock.now_ms() - batch.started_ms >= _MAX_RETRY_MS:
+                if self.clock.now_ms() - batch.started_ms >= _RETRY_TIMEOUT_MS:
                     _resolve_all(batch, MaybeWritten(result.detail))
                 else:
                     await self.clock.sleep_ms(self.queue.wait_ms(self.clock.now_ms()))
--- a/fireflyward/runs/_ids.py
+++ b/fireflyward/runs/_ids.py
@@ -10,7 +10,7 @@
 
 _ID_BYTES = 16
 _TAG_BYTES = 12
-_MAX_MARK_CHARS = 1_024
+_MAX_MARK_CHARACTERS = 1_024
 
 
 class SealedMark(msgspec.Struct, array_like=True):
@@ -63,7 +63,7 @@
 
     def open(self, run_id: str, text: str) -> tuple[Mark, str] | None:
         """Return the mark and weight version, or None if the mark is of another run."""
-        if len(text) > _MAX_MARK_CHARS:
+        if len(text) > _MAX_MARK_CHARACTERS:
             return None
         try:
             data = base64.urlsafe_b64decode(text.partition(".")[2])
--- a/fireflyward/runs/_records.py
+++ b/fireflyward/runs/_records.py
@@ -148,8 +148,8 @@
         """Reject a request whose record could not be written.
 
         The request is not dispatched, so "not run" is true even if the write takes
-        effect later. Such a record would make duplicates end as possibly run, so it
-        is released.
+        effect later. With such a record, duplicates would get the outcome "unknown", so
+        it is released.
         """
         if isinstance(result, MaybeWritten):
             self.release(key, 0, record)
--- a/fireflyward/runs/_request_record.py
+++ b/fireflyward/runs/_request_record.py
@@ -45,7 +45,8 @@
     ) -> None:
         """Record the outcome, if this request claimed the record.
 
-        Without a ``body``, duplicates learn that the request ran but not its answer.
+        Without a ``body``, the record shows duplicates that the request ran, but not
+        its answer.
         """
         if self._claim is None:
             return
--- a/fireflyward/runs/_run.py
+++ b/fireflyward/runs/_run.py
@@ -373,9 +373,9 @@
 def _for_caller(refusal: Refused) -> Refused:
     """Return a replica's rejection in the form that is valid for the whole request.
 
-    A replica without the weight version rejects the request as of an unknown model.
-    Passed on to the caller, this would look like a permanent mistake in the request,
-    although another replica or a later attempt can succeed.
+    A replica without the weight version rejects the request because the model is
+    unknown to it. Passed on to the caller, this would look like a permanent mistake in
+    the request, although another replica or a later attempt can succeed.
     """
     if refusal.reason is not Reason.UNKNOWN_MODEL:
         return refusal
--- a/fireflyward/runs/_service_task.py
+++ b/fireflyward/runs/_service_task.py
@@ -35,12 +35,12 @@
 class ServiceTask:
     """Owns the calls of one request to a plain service.
 
-    A plain service sends nothing while it works, so a silent connection may belong to
-    a slow call or may be lost. After ``reply_timeout_ms`` an idempotent call is
-    therefore made a second time on a new connection, without cancelling the first
-    one, and the first reply is used. The caller of a non-idempotent call gets the
-    outcome "unknown" instead, and the task waits for the reply until the deadline, to
-    settle the record with it.
+    A plain service sends nothing while it works, so a silent connection may belong to a
+    slow call or may be lost. After ``reply_timeout_ms`` an idempotent call is therefore
+    made a second time on a new connection, without cancelling the first one, and the
+    first reply is used. The caller of a non-idempotent call gets the outcome "unknown"
+    instead, and the task waits for the reply until the deadline, to settle the record
+    with that reply.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         return Unknown(Reason.DEADLINE, detail, _RETRY_AFTER_MS)
 
     async def _call_with_record(self, record: RequestRecord) -> ServiceOutcome:
-        """Claim the record, call and settle, even if the caller has gone."""
+        """Claim the record, call and settle, even if the caller has disconnected."""
         self._observe(OnceStep.CLAIMING)
         claim_result = await record.claim("")
         self._observe(OnceStep.CLAIMED)
@@ -111,7 +111,7 @@
         self._observe(OnceStep.SETTLED)
 
     async def _call_non_idempotent(self, permit: Permit) -> ServiceOutcome:
-        """Call replicas in turn as long as certainly none has executed the call."""
+        """Call replicas in turn while it is certain that none has executed the call."""
 
         def may_send() -> bool:
             # A process that was paused after its claim must not dispatch when it
@@ -173,7 +173,7 @@
         """Call one replica; count the call unless it certainly did not run."""
         service = self._service_by_name.get(name)
         if service is None:
-            return Refused(Reason.NO_UPSTREAM, "the replica is no longer served")
+            return Refused(Reason.NO_UPSTREAM, "the replica is no longer an upstream")
         self._possible_runs += 1
         try:
             result = await within(self._clock, self._remaining_ms(), service.call(call))
--- a/fireflyward/runs/_sweep.py
+++ b/fireflyward/runs/_sweep.py
@@ -39,9 +39,9 @@
     """Decides when the period may be advanced.
 
     A node advances the period after it has read the same row for a full period of its
-    own monotonic clock, counted from its first read. Wall clocks are not compared, so
-    a jump of a wall clock cannot delete a record early. If no node runs long enough,
-    records are only kept longer.
+    own monotonic clock, counted from the time after its first read. Wall clocks are not
+    compared, so a jump of a wall clock cannot delete a record early. If no node runs
+    long enough, records are only kept longer.
 
     >>> watch = PeriodWatch(100)
     >>> watch.observe_row(0, Period(7, 3)), watch.observe_row(99, Period(7, 3))
@@ -105,7 +105,7 @@
         self._period_watch = PeriodWatch(period_ms)
 
     async def poll(self) -> int:
-        """Advance the period if it is due, then sweep; return how many batches went."""
+        """Advance a due period, then sweep; return the number of deleted batches."""
         row = await self._table.get(PERIOD_KEY)
         if isinstance(row, Unavailable):
             return 0
@@ -125,7 +125,7 @@
             self._period_watch.observe_row(self._clock.now_ms(), advanced)
 
     async def _sweep(self, end_period: int) -> int:
-        """Sweep shards from the cursor up to, but without, period ``end_period``."""
+        """Sweep the shards from the cursor on, in all periods before ``end_period``."""
         deleted = 0
         while True:
             cursor = await self._read_cursor()
--- a/fireflyward/runs/_task.py
+++ b/fireflyward/runs/_task.py
@@ -50,9 +50,9 @@
     """Owns the connections of one run.
 
     ``results`` yields ``Placed`` and ``Deliver`` and then a single ``End``. The task
-    buffers at most ``_MAX_PENDING_PIECES`` pieces that the caller has not read. Then
-    it stops reading from the replica, and a caller that reads nothing for
-    ``_CALLER_READ_TIMEOUT_MS`` counts as gone.
+    buffers at most ``_MAX_PENDING_PIECES`` pieces that the caller has not read. Then it
+    stops reading from the replica, and a caller that reads nothing for
+    ``_CALLER_READ_TIMEOUT_MS`` is treated as disconnected.
 
     ``prepare(replica, call, shape)`` is awaited after a replica was chosen and before
     the dispatch, for a limited time. ``record`` is the record of a non-idempotent
@@ -122,7 +122,7 @@
     async def results(self) -> AsyncIterator[Result]:
         """Yield the answer's pieces and its outcome.
 
-        Closing this iterator early means that the caller has gone.
+        Closing this iterator early means that the caller has disconnected.
         """
         worker = asyncio.ensure_future(self._work())
         try:
--- a/fireflyward/upstreams/_engine_http.py
+++ b/fireflyward/upstreams/_engine_http.py
@@ -46,7 +46,7 @@
 
 
 class StreamLine(msgspec.Struct):
-    """One event of a run's stream as JSON; the fields that are set tell which kind.
+    """One event of a run's stream as JSON; the fields that are set show its kind.
 
     Every line has the ``run_id``, so that the client detects the late or mixed-up
     response of another run before any of it reaches a caller.
--- a/fireflyward/upstreams/_kv.py
+++ b/fireflyward/upstreams/_kv.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockRef:
-    """Where one block is kept: the descriptor of a slot in one of its generations.
+    """The place of one block: the descriptor of a slot in one of its generations.
 
     ``length`` and ``checksum`` are empty until the block is sealed; ``position``
     is 1 for the first block of a prompt. Reading with a descriptor of an earlier
--- a/fireflyward/upstreams/_service_http.py
+++ b/fireflyward/upstreams/_service_http.py
@@ -19,9 +19,9 @@
 class HttpService:
     """One replica of a plain service behind a base URL.
 
-    A call with ``may_send`` or ``needs_new_connection`` uses a new connection. A
-    device on the path can lose the state of a pooled connection; a non-idempotent
-    call on it would get no reply, and the node could not tell whether it arrived.
+    A call with ``may_send`` or ``needs_new_connection`` uses a new connection. A device
+    on the path can lose the state of a pooled connection; a non-idempotent call on it
+    would get no reply, and the node could not determine whether the call arrived.
     """
 
     __slots__ = ("_base_url", "_deadline_s", "_session", "_unpooled_session")
--- a/tests/bundles/test_follower.py
+++ b/tests/bundles/test_follower.py
@@ -25,9 +25,11 @@
 
 class NumberNeverDecreasesTests(unittest.TestCase):
     def test_no_message_lowers_the_number(self):
-        """Symptom: rules that were withdrawn are in force again. Sequence: a lagging
-        table replica or a restarted peer sends an old number. Cause: the number that
-        was received last counted as the newest."""
+        """Guards against rules that come into force again after they were withdrawn.
+
+        A lagging table replica or a restarted peer sends an old number. The number that
+        was received last must not be taken for the newest one.
+        """
         node = follower(7)
         node.on_head(100, 3)
         node.on_peer_number(100, "peer-1", 2)
@@ -106,8 +108,11 @@
         self.assertEqual(node.poll_period_ms(350), 4_000)
 
     def test_numbers_of_many_callers_cause_few_reads(self):
-        """Symptom: the table service is overloaded. Sequence: callers send numbers
-        that do not exist. Cause: one read for each request."""
+        """Guards against an overload of the table service.
+
+        Many callers send numbers that do not exist. The node must not read the table
+        once for each request.
+        """
         node = follower()
         reads = 0
         for now_ms in range(3_000, 4_000):
--- a/tests/bundles/test_holder.py
+++ b/tests/bundles/test_holder.py
@@ -6,8 +6,11 @@
 
 class HolderTests(unittest.TestCase):
     def test_number_never_decreases(self):
-        """Symptom: a withdrawn key works again. Sequence: an older bundle arrives
-        from a lagging peer. Cause: the bundle that arrived last came into force."""
+        """Guards against a withdrawn key that works again.
+
+        An older bundle arrives from a lagging peer. The bundle that arrived last must
+        not come into force.
+        """
         holder = BundleHolder()
         self.assertTrue(holder.update(bundle(5, ("tower-team",))))
         self.assertFalse(holder.update(bundle(4)))
--- a/tests/bundles/test_parts.py
+++ b/tests/bundles/test_parts.py
@@ -45,8 +45,11 @@
         self.assertIsNone(self.accounts.find_key(sha256("other")))
 
     def test_key_with_the_same_indexed_bytes_is_not_found(self):
-        """Symptom: a stranger is served as a client account. Cause: the index has
-        only eight bytes of each hash, and no more than these were compared."""
+        """Guards against serving a stranger as a client account.
+
+        The index has only eight bytes of each hash. After a match the complete hash
+        must be compared.
+        """
         digest = sha256(f"key-{NAMES[0]}")
         self.assertIsNone(self.accounts.find_key(digest[:16] + "0" * 48))
 
--- a/tests/bundles/test_store.py
+++ b/tests/bundles/test_store.py
@@ -110,8 +110,11 @@
         self.assertEqual((heads[0].author, heads[0].approver), ("ana", "bruno"))
 
     async def test_of_two_racing_operators_one_wins(self):
-        """Symptom: two changes under one number. Sequence: both operators read
-        head 0 and write 1. Cause: the write did not depend on the head as read."""
+        """Guards against two changes under one number.
+
+        Both operators read head 0 and write number 1. The write must depend on the head
+        that was read.
+        """
         winner, loser = signed(1), signed(1, author=CARLA)
         self.table.commit = self._commit_after(winner)
         result = await self.store().accept(*loser)
@@ -130,10 +133,11 @@
         return commit
 
     async def test_repeated_submission_of_an_accepted_bundle_is_committed(self):
-        """Symptom: an operator loses the race against their own change. Sequence:
-        the bundle is accepted, the process crashes before it reports that, and the
-        operator runs submit again. Cause: only the number was compared, not the
-        digest."""
+        """Guards against an operator who loses a race against the own change.
+
+        The bundle is accepted, the process crashes before it reports that, and the
+        operator runs submit again. The digest must be compared, not only the number.
+        """
         await self.store().accept(*signed(1))
         await self.store().accept(*signed(2))
         self.assertIsInstance(await self.store().accept(*signed(1)), Committed)
@@ -148,9 +152,11 @@
         self.assertEqual(self.table.writes, 1)
 
     async def test_write_that_takes_effect_after_the_read_back(self):
-        """Symptom: a change is reported as not accepted, but comes into force.
-        Sequence: the commit is delayed in the network, and the read-back finds the
-        old head. Cause: an old head counted as proof that the write had failed."""
+        """Guards against reporting a change as not accepted that comes into force.
+
+        The commit is delayed in the network, and the read-back finds the old head. An
+        old head does not prove that the write failed.
+        """
         for reads in range(1, 6):
             with self.subTest(reads=reads):
                 self.table = DelayedTable()
@@ -160,10 +166,12 @@
                 self.assertEqual(self.table.writes, 1)
 
     async def test_lost_answer_and_another_operator_already_at_the_next_number(self):
-        """Symptom: a lost race is reported although the change was accepted.
-        Sequence: our commit takes effect, its answer is lost, another operator's
-        bundle becomes the next number, and then we read back. Cause: only the
-        head's digest was compared."""
+        """Guards against reporting a lost race although the change was accepted.
+
+        One operator's commit takes effect, its answer is lost, another operator's
+        bundle becomes the next number, and then the head is read back. Comparing only
+        the digest of the head is not enough.
+        """
         real = self.table.commit
 
         async def commit(**write):
@@ -210,9 +218,11 @@
 
 class CrashTests(StoreTestCase):
     async def test_after_a_crash_at_any_step_the_submission_can_be_repeated(self):
-        """Symptom: a head names bytes that are not stored, or a change gets two
-        numbers. Sequence: the process crashes between two writes, and the operator
-        submits again. Cause: the head was written before its bytes."""
+        """Guards against a head without its bytes and a change with two numbers.
+
+        The process crashes between two writes, and the operator submits again. The
+        bytes must be written before the head that names them.
+        """
         for crash_step in AcceptStep:
             for losing in (0, 1):
                 with self.subTest(step=crash_step, losing=losing):
@@ -240,8 +250,11 @@
 
 class SnapshotTests(StoreTestCase):
     async def test_node_can_start_if_no_later_snapshot_was_stored(self):
-        """Symptom: no new node can start. Sequence: the object store refuses every
-        snapshot, and there are more changes than a running node would fetch."""
+        """Guards against a deployment in which no new node can start.
+
+        The object store rejects every snapshot, and there are more changes than a
+        running node would fetch.
+        """
         change, base = signed(1)[1], None
         for number in range(1, 140):
             bundle = Bundle("demo", number, {}, {}, {})
--- a/tests/bundles/test_verify.py
+++ b/tests/bundles/test_verify.py
@@ -86,8 +86,11 @@
 
 class RefusalTests(VerifyTestCase):
     def test_stolen_single_key_cannot_sign_for_two(self):
-        """Symptom: one stolen key is enough to change everything. Sequence: the thief
-        signs with it as the author and, under a colleague's name, as the approver."""
+        """Guards against one stolen key that is enough to change everything.
+
+        The thief signs with it as the author and, under a colleague's name, as the
+        approver.
+        """
         forged = with_author(draft(self.following, author="ana", base=self.base), ANA)
         as_bruno = SigningKey("bruno", ANA._private)
         self.assert_refused(
@@ -187,8 +190,10 @@
         self.assert_refused(verify_demo_change(altered, self.base), "bad_signature")
 
     def test_bytes_that_are_not_canonical(self):
-        """Symptom: one bundle has two digests. Cause: JSON with an additional space
-        has the same meaning but another hash."""
+        """Guards against one bundle that has two digests.
+
+        JSON with an additional space has the same meaning but another hash.
+        """
         drafted = draft(self.following, author="ana", base=self.base)
         document = drafted.document.replace(b'":', b'": ', 1)
         spaced = SignedBundle(document, (), drafted.parts)
@@ -218,8 +223,10 @@
         self.assert_refused(verify_demo_change(following, self.base), "misplaced")
 
     def test_key_of_another_account(self):
-        """Symptom: one account's answers reach another. Sequence: a team adds to its
-        account a key that an account in another chunk already has."""
+        """Guards against one account's answers that reach another account.
+
+        A team adds to its account a key that an account in another chunk already has.
+        """
         accounts = {f"tower-{index}": account(f"tower-{index}") for index in range(99)}
         base = first_state(account_by_name=accounts)
         thief = {**accounts, "tower-5": account("tower-77")}
--- a/tests/entry/test_bundle_check.py
+++ b/tests/entry/test_bundle_check.py
@@ -20,7 +20,7 @@
             return response, await response.json()
 
     async def test_caller_that_saw_a_newer_bundle_is_rejected(self):
-        """Guards against serving a caller by a bundle that it has seen replaced.
+        """Guards against serving a caller by a bundle that was already replaced for it.
 
         One node has bundle N, and the balancer sends the caller's next request to a
         node that still has N-1.
--- a/tests/entry/test_resume.py
+++ b/tests/entry/test_resume.py
@@ -74,8 +74,8 @@
     async def test_mark_of_another_key_or_account_is_rejected(self):
         """Guards against a caller that reads the answer of another caller.
 
-        The caller sends an event id that it saw in the other's stream. The id alone
-        must not give access to the run.
+        The caller sends an event id from the other caller's stream. The id alone must
+        not give access to the run.
         """
         (_, first), (_, second) = self.nodes
         async with self.complete(first, **{"Idempotency-Key": "k1"}) as response:
--- a/tests/kept/test_import.py
+++ b/tests/kept/test_import.py
@@ -74,13 +74,13 @@
     async def test_import_from_a_slow_store_ends_at_the_limit(self):
         """Guards against an answer that is later than without stored blocks.
 
-        The store needs seconds to answer, and imports had no limit.
+        The store needs seconds to answer, so an import must have a time limit.
         """
         self.store.model.faults.delay_ms = 60_000
-        began_ms = self.world.clock.now_ms()
+        started_ms = self.world.clock.now_ms()
         result = await self.load(limit_ms=25)
         self.assertEqual(result.reason, MissReason.DEADLINE)
-        self.assertLessEqual(self.world.clock.now_ms() - began_ms, 27)
+        self.assertLessEqual(self.world.clock.now_ms() - started_ms, 27)
 
     async def test_store_restarted_empty_after_the_choice_is_a_miss(self):
         def restart(step):
@@ -105,7 +105,7 @@
         """Guards against a new request that runs on blocks of the old version.
 
         A bundle with a new version comes into force after the store was chosen. The
-        version was compared only when the run was planned.
+        version must be compared again after the run was planned.
         """
         for trigger in (ImportStep.CHOSEN, ImportStep.DESCRIBED):
             with self.subTest(step=trigger):
--- a/tests/kept/test_index.py
+++ b/tests/kept/test_index.py
@@ -44,7 +44,7 @@
     def test_full_index_accepts_no_new_entries_and_keeps_the_others(self):
         """Guards against a small VM that runs out of memory and serves no requests.
 
-        The prompts of a large account fill the index, which had no limit.
+        The prompts of a large account fill the index, which must have a limit.
         """
         index = PrefixIndex(max_entries=2)
         index.apply("s1", changes(8, 16, 24))
--- a/tests/kept/test_keys.py
+++ b/tests/kept/test_keys.py
@@ -18,7 +18,7 @@
         """Guards against answering an account's prompt with another account's blocks.
 
         Account "ab" with model "c" and account "a" with model "bc" send the same text.
-        The root hash joined its parts without their lengths.
+        The root hash must contain the lengths of its parts.
         """
         first = NAMES.of_prompt(*one, PROMPT, caller=caller)
         second = NAMES.of_prompt(*other, PROMPT, caller=other_caller)
--- a/tests/kept/test_prefix_texts.py
+++ b/tests/kept/test_prefix_texts.py
@@ -23,7 +23,7 @@
         """Guards against reading the text of another account.
 
         A caller sends a reference that it found in another account's log. References
-        were plain names that were not bound to an account.
+        must be bound to their account.
         """
         ref = await self.texts.store_text(PrefixScope("andes", "review"), "c", CLAUSES)
         for scope in (PrefixScope("nota"), ANDES, PrefixScope("andes", "drafting")):
--- a/tests/kept/test_readers.py
+++ b/tests/kept/test_readers.py
@@ -56,7 +56,8 @@
         """Guards against imports of one prompt that always miss.
 
         The store frees a block of a page that was already read while the next page is
-        requested. The reader followed changes only from the last page on.
+        requested. The reader must follow the changes since the first page, not only
+        since the last one.
         """
         write_blocks(self.store)
 
@@ -111,8 +112,8 @@
     def test_gap_is_detected_and_repaired(self):
         """Guards against prompts for a replica that evicted their blocks long ago.
 
-        An eviction's event is lost. The reader applied the next event as if no event
-        were missing.
+        An eviction's event is lost. The reader must not apply the next event as if no
+        event were missing.
         """
         self.read(0)
         self.cache_blocks()
--- a/tests/kept/test_sweep.py
+++ b/tests/kept/test_sweep.py
@@ -62,7 +62,7 @@
         """Guards against freeing a block that was just published.
 
         A slow writer publishes between the sweep's listing and its call to free the
-        slot. Freeing compared only the generation and not the state.
+        slot. Freeing must compare the state and not only the generation.
         """
         ref = await self.begin_write(KEYS[0])
 
@@ -112,7 +112,7 @@
     def test_blocks_of_an_owner_above_its_share_are_evicted_first(self):
         """Guards against evicting the blocks of small accounts every day.
 
-        One large account exports all day, and blocks of all accounts were evicted by
+        One large account exports all day. Blocks of all accounts must not be evicted by
         age only.
         """
         usage = StoreUsage(100, 100, {"large": 90, "small": 10})
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -18,7 +18,7 @@
     def test_both_keys_are_accepted_during_rotation(self):
         """Guards against two halves of the nodes that reject each other's messages.
 
-        Keys are rotated node by node, and a node accepted only its own new key.
+        Keys are rotated node by node. A node must accept more than its own new key.
         """
         before, during, after = (
             PeerCodec((OLD,)),
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -50,8 +50,8 @@
     async def test_repeated_datagram_is_handled_once(self):
         """Guards against a recorded order to leave that is executed days later.
 
-        Somebody on the network records a datagram and sends it again. Its tag is
-        valid, and the node did not detect that it had handled the datagram before.
+        An attacker on the network records a datagram and sends it again. Its tag is
+        valid, so the node must detect that it has already handled the datagram.
         """
         envelope = Envelope(
             sender="entry-2", incarnation=1, sequence=9, kind="k", body=pack(MESSAGE)
@@ -73,8 +73,8 @@
     async def test_waiting_handlers_are_bounded(self):
         """Guards against a node whose memory grows until the node is killed.
 
-        The platform does not answer, handlers wait for it, and datagrams keep
-        arriving. Each datagram had a task, and the number of tasks was unbounded.
+        The platform does not answer, handlers wait for it, and datagrams keep arriving.
+        Each datagram has a task, so the number of tasks must be bounded.
         """
         self.gate.clear()
         peer = await self.start("entry-2")
@@ -97,7 +97,8 @@
     async def test_nothing_is_sent_after_the_link_has_stopped(self):
         """Guards against a traceback in the log of a node that stops as planned.
 
-        Messages are sent again after a second; the timer used the closed socket.
+        Messages are sent again after a second. The timer must not use the closed
+        socket.
         """
         link = await self.start("entry-2")
         await link.stop()
@@ -208,8 +209,8 @@
         """Guards against calls to an aggregator that time out without any load.
 
         After the same lost datagram, each of 38 neighbours requested 15 stores at once.
-        The listen backlog had room for 100 connections. The kernel retried the others
-        after 1 s, when their callers had already timed out.
+        With a listen backlog of 100 connections, the kernel retried the others after 1
+        s, when their callers had already timed out.
         """
         link = PeerLink(node_name="a", incarnation=1, codec=PeerCodec((b"k" * 32,)))
         with mock.patch("asyncio.start_server", wraps=asyncio.start_server) as start:
--- a/tests/runs/test_once.py
+++ b/tests/runs/test_once.py
@@ -129,7 +129,8 @@
         """Guards against losing an answer that the replica computed.
 
         The entry VM crashes during the stream, and its caller sends the request to
-        another node with the same key. That node knew of the run but not its replica.
+        another node with the same key. That node must find the run's replica in the
+        record.
         """
         task = asyncio.ensure_future(self.collect(self.make()))
         await self.clock.advance_ms(50)
@@ -157,7 +158,8 @@
         """Guards against running a request a second time, hours later.
 
         A node claims the record and is paused before it dispatches. When it resumes,
-        its caller has long sent the request elsewhere. Permits did not expire.
+        its caller sent the request to another node long ago. The permit must have
+        expired.
         """
 
         def pause(step):
@@ -254,8 +256,8 @@
     async def test_late_reply_of_a_non_idempotent_call_is_recorded(self):
         """Guards against losing the reply of a slow call.
 
-        The service replies after eight seconds. The call was cancelled as soon as its
-        caller had received the outcome "unknown".
+        The service replies after eight seconds. The call must not be cancelled when its
+        caller has received the outcome "unknown".
         """
         self.first_service.delay_ms = 8_000
         first = await self.await_within(self.make(is_non_idempotent=True), 5_100)
--- a/tests/runs/test_records.py
+++ b/tests/runs/test_records.py
@@ -103,8 +103,8 @@
     async def test_key_of_a_request_that_was_not_run_can_be_claimed_again(self):
         """Guards against "unknown" for a day after an outcome "not run".
 
-        The record was written, and then no replica could execute the run. The record
-        stayed as if the run had been dispatched, so each retry ended as unknown.
+        The record is written, and then no replica can execute the run. If the record
+        stayed as if the run had been dispatched, each retry would end as unknown.
         """
         first = self.record(0)
         await self.await_within(first.claim("r"))
@@ -140,8 +140,8 @@
         """Guards against "unknown" for the retries of a request that was not run.
 
         The commit's response is lost, and the table stays unavailable until the node
-        rejects the request; then the commit takes effect. The node had read that no
-        record exists, and ignored that the write was still in flight.
+        rejects the request; then the commit takes effect. Even if the node has read
+        that no record exists, it must consider that the write may still be in flight.
         """
         self.table.pending_late = 1_000
         result = await self.await_within(self.record(0).claim("r"), 5_000)
@@ -165,7 +165,8 @@
         """Guards against "not run" for a retry while the first request runs.
 
         The retry's claim conflicts with the first request's row, and the table becomes
-        unavailable before that row is read. A failed read counted as a missing row.
+        unavailable before that row is read. A failed read must not count as a missing
+        row.
         """
         await self.await_within(self.record(0).claim("r"))
 
@@ -213,9 +214,9 @@
     async def test_validity_of_a_permit_starts_before_the_write(self):
         """Guards against running a request twice, a long time apart.
 
-        Its node is paused while the table responds, and resumes after the record was
-        deleted. The permit's validity started when the node read the response and not
-        when it sent the write.
+        The request's node is paused while the table responds, and resumes after the
+        record was deleted. The permit's validity must start when the node sends the
+        write and not when it reads the response.
         """
         commit = self.table.commit
 
@@ -225,6 +226,6 @@
             return result
 
         self.table.commit = slow_commit
-        began_ms = self.clock.now_ms()
+        started_ms = self.clock.now_ms()
         permit = await self.await_within(self.record(0).claim("r"), 1_500)
-        self.assertEqual(permit.valid_until_ms, began_ms + 10_000)
+        self.assertEqual(permit.valid_until_ms, started_ms + 10_000)
--- a/tests/runs/test_run.py
+++ b/tests/runs/test_run.py
@@ -65,8 +65,8 @@
         """Guards against repeating a word in the middle of an answer.
 
         A replica crashes after three tokens, and the next one sends the answer in
-        pieces of two tokens. The piece with tokens three and four was delivered
-        completely, although the caller already had token three.
+        pieces of two tokens. The piece with tokens three and four must not be delivered
+        completely, because the caller already has token three.
         """
         self.begin_run()
         first = self.place("a")
@@ -84,8 +84,8 @@
     def test_different_answer_is_not_appended_to_the_delivered_part(self):
         """Guards against an answer that consists of parts of two different answers.
 
-        A stream moves to another replica, which generates a different text. The
-        offsets matched, and the text before them was not compared.
+        A stream moves to another replica, which generates a different text. The offsets
+        match, so the text before them must be compared as well.
         """
         self.begin_run()
         first = self.place("a")
@@ -127,8 +127,8 @@
         """Guards against long prompts that never get an answer.
 
         The network drops idle connections: the stream falls silent during prefill, is
-        resumed and accepted, and falls silent again. The second silence counted as a
-        crashed replica, although the replica had just confirmed the run.
+        resumed and accepted, and falls silent again. The second silence must not count
+        as a crashed replica, because the replica has just confirmed the run.
         """
         self.begin_run()
         attempt = self.place("a")
@@ -190,8 +190,8 @@
     def test_lost_connection_of_a_non_idempotent_run_is_unknown(self):
         """Guards against computing and billing a non-idempotent request twice.
 
-        A replica accepts the run, and its connection breaks permanently. The run was
-        started again on another replica, as an idempotent one would be.
+        A replica accepts the run, and its connection breaks permanently. The run must
+        not be started again on another replica, as an idempotent one would be.
         """
         self.begin_run(is_non_idempotent=True)
         (resume,) = self.send_event(self.place("a"), Broken(True, "cut"))
@@ -209,8 +209,8 @@
     def test_dispatched_run_is_unknown_before_it_is_accepted(self):
         """Guards against "not run" for a run that the engine executed.
 
-        The deadline passes between dispatch and acceptance. Only an accepted run
-        counted as one that may have run.
+        The deadline passes between dispatch and acceptance. A run that is dispatched
+        but not yet accepted may have run.
         """
         self.begin_run()
         self.place("a")
--- a/tests/runs/test_sweep.py
+++ b/tests/runs/test_sweep.py
@@ -75,7 +75,7 @@
     async def test_jump_of_the_wall_clock_deletes_nothing(self):
         """Guards against running a request twice after the time was corrected.
 
-        The wall clock jumps ahead by a day. The age of records was taken from it.
+        The wall clock jumps ahead by a day. The age of records must not depend on it.
         """
         await self.finish(self.record().claim("r"))
         self.clock.jump_wall_ms(86_400_000)
@@ -87,7 +87,7 @@
         """Guards against running a request twice while its record should be retained.
 
         The request is not run at first, and runs three periods later under the same
-        key. Sweeping the first batch deleted the later claim as well.
+        key. Sweeping the first batch must not delete the later claim.
         """
         first = self.record()
         await self.finish(first.claim("r"))
@@ -100,8 +100,8 @@
     async def test_claim_after_a_long_idle_time_is_assigned_to_the_current_period(self):
         """Guards against deleting a new record immediately.
 
-        A node that last read the period long ago claims a record. It assigned the
-        record to that old period.
+        A node that last read the period long ago claims a record. It must not assign
+        the record to that old period.
         """
         await self.finish(self.record("before").claim("r"))
         await self.pass_periods(RETAINED + 2)
--- a/tests/runs/test_task.py
+++ b/tests/runs/test_task.py
@@ -108,7 +108,7 @@
         """Guards against a stream that stops in the middle and never ends.
 
         A device between node and replica drops the connection's state without notice.
-        The node did not query the run's state over a new connection.
+        The node must query the run's state over a new connection.
         """
         self.a.faults.silent_streams, self.a.faults.after_tokens = 1, 4
         await self.run_for(self.make(), 4_000)
@@ -130,7 +130,7 @@
         """Guards against prompts that hang while a replica's process is paused.
 
         Its machine still accepts connections, but no data arrives over old or new ones.
-        Only a refused connection counted as a failure.
+        Silence must count as a failure, and not only a refused connection.
         """
         self.add_replica_b()
         self.a.faults.paused = True
@@ -197,8 +197,8 @@
     async def test_caller_that_reads_nothing_uses_bounded_memory(self):
         """Guards against unlimited memory for unread answers.
 
-        Callers keep their connections open and read nothing. The queue of pieces had
-        no limit.
+        Callers keep their connections open and read nothing. The queue of pieces must
+        have a limit.
         """
         task = self.make(deadline_ms=600_000)
         task._call = EngineCall("r1", "m", "v1", PROMPT, 5_000)
@@ -225,7 +225,8 @@
         """Guards against logging a run as not run although its replica executed it.
 
         The caller closes its connection between the dispatch and the next iteration of
-        the event loop. The record of the dispatch was queued behind that message.
+        the event loop. The run must record the dispatch before it handles the message
+        of the closed connection.
         """
         task = self.make()
         may_have_run_at_end = []
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -30,7 +30,8 @@
     def test_keys_have_no_default(self):
         """Guards against names of kept blocks and run ids that anybody can compute.
 
-        The default of ``kept_key`` was all zeros, and a node could start with it.
+        ``kept_key`` must have no default: with a default of all zeros, a node could
+        start without a secret.
         """
         invalid = load(SERVE_SETTINGS, {}, {})
         self.assertEqual([item.name for item in invalid], ["peer_keys", "kept_key"])
--- a/tests/upstreams/test_engine_http.py
+++ b/tests/upstreams/test_engine_http.py
@@ -59,8 +59,8 @@
     async def test_stream_of_another_run_yields_none_of_its_tokens(self):
         """Guards against a caller that receives another caller's answer.
 
-        A connection carries the stream of an earlier run, and the client did not
-        compare the run id of the lines.
+        A connection carries the stream of an earlier run. The client must compare the
+        run id of each line.
         """
         self.server.faults.crossed_streams = 1
         events = await self.events(self.engine.generate(CALL))
@@ -90,8 +90,8 @@
     async def test_body_is_withheld_when_its_permit_has_expired(self):
         """Guards against a non-idempotent run that starts long after it was aborted.
 
-        The process of the node is paused between the check of the permit and the
-        write of the request, and the permit was not checked again before the write.
+        The process of the node is paused between the check of the permit and the write
+        of the request. The permit must be checked again before the write.
         """
         call = EngineCall("r2", "m", "v1", "beam", 6, may_send=lambda: False)
         events = await asyncio.wait_for(self.events(self.engine.generate(call)), 5)
--- a/tests/upstreams/test_engine_reuse.py
+++ b/tests/upstreams/test_engine_reuse.py
@@ -12,8 +12,9 @@
     async def test_consecutive_runs_reuse_a_connection(self):
         """Guards against a new connection for each run and reset errors in engine logs.
 
-        The reader stopped at the end marker, before the last chunk of the body. The
-        connection of an incompletely read response cannot be reused.
+        The end marker arrives before the last chunk of the body. The reader must read
+        to the end of the body, because the connection of an incompletely read response
+        cannot be reused.
         """
         opened = []
 
--- a/tests/upstreams/test_service_http.py
+++ b/tests/upstreams/test_service_http.py
@@ -43,8 +43,8 @@
     async def test_redirect_is_returned_and_not_followed(self):
         """Guards against a revision that is recorded twice.
 
-        A service answered a call with status 307, and the HTTP library sent the body
-        again to the new address.
+        A service answers a call with status 307. The HTTP library must not send the
+        body again to the new address.
         """
         self.server.faults.redirects = 1
         reply = await self.service.call(self.call())
