--- a/fireflyward/kept/_store_http.py
+++ b/fireflyward/kept/_store_http.py
@@ -151,7 +151,7 @@
     async def list(self, query: ListQuery) -> Listing | StoreUnavailable:
         return await self._post("/list", query, Listing)
 
-    async def room(self) -> StoreUsage | StoreUnavailable:
+    async def usage(self) -> StoreUsage | StoreUnavailable:
         return await self._call("GET", "/room", b"", StoreUsage)
 
     async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
--- a/fireflyward/kept/_sweep.py
+++ b/fireflyward/kept/_sweep.py
@@ -110,16 +110,16 @@
     async def _evict_if_nearly_full(
         self, store: StoreClient, fencing: int
     ) -> int | NotSwept:
-        room = await store.room()
-        if isinstance(room, StoreUnavailable):
-            return _not_swept(store, room)
-        if not room.is_nearly_full():
+        usage = await store.usage()
+        if isinstance(usage, StoreUnavailable):
+            return _not_swept(store, usage)
+        if not usage.is_nearly_full():
             return 0
         coldest = await store.coldest(_MAX_EVICTION_CANDIDATES)
         if isinstance(coldest, StoreUnavailable):
             return _not_swept(store, coldest)
         self._observe(FreeStep.COLDEST_LISTED)
-        victims = choose_victims(room, coldest)
+        victims = choose_victims(usage, coldest)
         evicted = await _free(store, victims, SlotState.PUBLISHED, fencing)
         self._observe(FreeStep.EVICTED)
         return evicted
--- a/fireflyward/standins/_store_memory.py
+++ b/fireflyward/standins/_store_memory.py
@@ -92,8 +92,8 @@
     async def list(self, query: ListQuery) -> Listing | StoreUnavailable:
         return await self._call_with_faults(lambda: self.model.list(query))
 
-    async def room(self) -> StoreUsage | StoreUnavailable:
-        return await self._call_with_faults(self.model.room)
+    async def usage(self) -> StoreUsage | StoreUnavailable:
+        return await self._call_with_faults(self.model.usage)
 
     async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
         return await self._call_with_faults(
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -183,7 +183,7 @@
         matching.sort(key=lambda item: -item.age_ms)
         return tuple(matching[:_MAX_UNFINISHED])
 
-    def room(self) -> StoreUsage:
+    def usage(self) -> StoreUsage:
         """Return how many slots are used, in total and by owner."""
         used = Counter(
             slot.owner
--- a/fireflyward/standins/_store_server.py
+++ b/fireflyward/standins/_store_server.py
@@ -102,7 +102,7 @@
         return web.Response(body=result, content_type="application/octet-stream")
 
     async def _room(self, request: web.Request) -> web.Response:
-        return _json(self.model.room())
+        return _json(self.model.usage())
 
     async def _coldest(self, request: web.Request) -> web.Response:
         limit = int(request.query["limit"])
