--- a/fireflyward/kept/_stores.py
+++ b/fireflyward/kept/_stores.py
@@ -105,7 +105,7 @@
     shards: frozenset[int] = frozenset()
     start_slot: int = 0
 
-    def wants(self, change: StoreChange) -> bool:
+    def includes(self, change: StoreChange) -> bool:
         """Return whether a line belongs to the answer."""
         if change.position % self.stride:
             return False
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -217,7 +217,7 @@
         pending = [item for item in self._changes if item[0] > query.after]
         page = pending[: self.costs.page]
         last = page[-1][0] if page else self._sequence
-        changes = tuple(item for _, item in page if query.wants(item))
+        changes = tuple(item for _, item in page if query.includes(item))
         return Listing(self.epoch, last, changes, has_more=len(pending) > len(page))
 
     def transfer_ms(self, now_ms: float, ref: BlockRef) -> float:
@@ -246,7 +246,7 @@
         return Listing(
             self.epoch,
             self._sequence,
-            tuple(change for change in changes if query.wants(change)),
+            tuple(change for change in changes if query.includes(change)),
             is_whole=True,
             next_slot=end if end < len(self._slot_by_number) else 0,
         )
