--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -126,9 +126,10 @@
 
     The time limit of an import comes from the estimated time to compute its blocks. So
     a slow, crashed or full store delays an answer by at most a small share of that
-    time. An export waits for one second, so that its prompt is computed first, and then
-    until no import is in flight. When too many exports are pending, the oldest are
-    dropped, because an export only saves later computation.
+    time. An export waits for one second, so that its prompt is computed first. Before
+    each of its parts it also waits, for at most two seconds, while an import is in
+    flight. When too many exports are pending, the oldest are dropped, because an export
+    only saves later computation.
     """
 
     def __init__(
--- a/fireflyward/daemon/_planned_stop.py
+++ b/fireflyward/daemon/_planned_stop.py
@@ -60,7 +60,7 @@
         self._is_cut = True
 
     async def run(self) -> None:
-        """Perform the stop; return when no request is in flight any more."""
+        """Perform the stop; return when no request is in flight."""
         deadline_ms = self._clock.now_ms() + self._limit_ms
         self._in_flight.begin_closing()
         self._observe(StopStep.READINESS_GONE)
--- a/fireflyward/kept/_import.py
+++ b/fireflyward/kept/_import.py
@@ -42,7 +42,7 @@
     """Consecutive blocks of one prompt, and the version that the prompt is for.
 
     ``block_ms`` is the time to compute one block; every loaded block extends the limit
-    for the remaining ones by it.
+    for the remaining blocks by this time.
     """
 
     order_id: str
--- a/fireflyward/upstreams/_orders_http.py
+++ b/fireflyward/upstreams/_orders_http.py
@@ -7,7 +7,8 @@
 from ._orders import EngineOrder, OrderRefused, OrderResult
 
 # The longest time for which this process may be sending an order. The rollout driver
-# waits longer than this before it takes over an expired lease (rollout/_limits.py).
+# waits longer than this before it takes over an expired lease (``order_flight_ms`` in
+# rollout/_limits.py).
 _ORDER_TIMEOUT_S = 2.0
 _CONNECT_TIMEOUT_S = 1.0
 _CONFLICT_STATUS = 409
