--- a/tests/bundles/test_node_status.py
+++ b/tests/bundles/test_node_status.py
@@ -15,13 +15,13 @@
 
 class NodeStatusTrackerTests(unittest.TestCase):
     def setUp(self):
-        self.watch = NodeStatusTracker()
+        self.tracker = NodeStatusTracker()
 
     def conditions(self):
-        return {item.name: item.condition for item in self.watch.statuses()}
+        return {item.name: item.condition for item in self.tracker.statuses()}
 
     def test_each_condition(self):
-        self.watch.observe(
+        self.tracker.observe(
             100,
             2,
             [
@@ -43,32 +43,32 @@
             ],
         )
 
-    def test_since_is_when_the_condition_began(self):
+    def test_since_is_the_start_of_the_condition(self):
         for wall_ms, number in ((100, 1), (200, 1), (300, 2), (400, 2)):
-            self.watch.observe(wall_ms, 2, [observation("a", number)])
-        self.assertEqual(self.watch.statuses()[0].since_wall_ms, 300)
+            self.tracker.observe(wall_ms, 2, [observation("a", number)])
+        self.assertEqual(self.tracker.statuses()[0].since_wall_ms, 300)
 
     def test_each_new_number_in_force_has_its_own_start(self):
-        self.watch.observe(100, 1, [observation("a", 1)])
-        self.watch.observe(200, 2, [observation("a", 2)])
-        self.watch.observe(300, 2, [observation("a", 2)])
-        self.assertEqual(self.watch.statuses()[0].since_wall_ms, 200)
+        self.tracker.observe(100, 1, [observation("a", 1)])
+        self.tracker.observe(200, 2, [observation("a", 2)])
+        self.tracker.observe(300, 2, [observation("a", 2)])
+        self.assertEqual(self.tracker.statuses()[0].since_wall_ms, 200)
 
     def test_unreachable_node_keeps_its_last_reported_number(self):
-        self.watch.observe(100, 2, [observation("a")])
-        self.watch.observe(200, 3, [observation("a", 0, is_reached=False)])
-        (status,) = self.watch.statuses()
+        self.tracker.observe(100, 2, [observation("a")])
+        self.tracker.observe(200, 3, [observation("a", 0, is_reached=False)])
+        (status,) = self.tracker.statuses()
         self.assertEqual((status.number, status.failure_domain), (2, "norte"))
 
-    def test_in_force_everywhere_it_can_be(self):
-        self.watch.observe(
+    def test_in_force_everywhere_disregards_unreachable_nodes(self):
+        self.tracker.observe(
             1, 2, [observation("a"), observation("b", 0, is_reached=False)]
         )
-        self.assertTrue(is_in_force_everywhere(self.watch.statuses()))
-        self.watch.observe(2, 2, [observation("c", 1)])
-        self.assertFalse(is_in_force_everywhere(self.watch.statuses()))
+        self.assertTrue(is_in_force_everywhere(self.tracker.statuses()))
+        self.tracker.observe(2, 2, [observation("c", 1)])
+        self.assertFalse(is_in_force_everywhere(self.tracker.statuses()))
 
     def test_forgotten_node_is_no_longer_listed(self):
-        self.watch.observe(1, 2, [observation("a"), observation("b")])
-        self.watch.forget(["a"])
+        self.tracker.observe(1, 2, [observation("a"), observation("b")])
+        self.tracker.forget(["a"])
         self.assertEqual(list(self.conditions()), ["b"])
--- a/tests/bundles/test_parts.py
+++ b/tests/bundles/test_parts.py
@@ -28,7 +28,7 @@
     def setUp(self):
         self.accounts = ChunkedAccounts(bodies(NAMES, 128), 128)
 
-    def test_reads_like_a_table_of_objects(self):
+    def test_accounts_are_read_like_a_dict(self):
         table = {name: account(name) for name in NAMES}
         self.assertEqual(len(self.accounts), len(NAMES))
         self.assertEqual(dict(self.accounts.items()), table)
@@ -74,5 +74,5 @@
         after = self.accounts.with_chunks({chunk_of(NAMES[0], 128): thief})
         self.assertIsInstance(after, BundleError)
 
-    def test_state_holds_accounts_in_this_form(self):
+    def test_state_holds_chunked_accounts(self):
         self.assertIsInstance(first_state().bundle.accounts, ChunkedAccounts)
--- a/tests/bundles/test_plan.py
+++ b/tests/bundles/test_plan.py
@@ -40,7 +40,7 @@
         plan = make_plan(bundle(1), bundle(2, ("bridge-team",)))
         self.assertEqual(plan.loads, 0)
 
-    def test_plan_without_changes_says_so(self):
+    def test_plan_without_changes_states_that(self):
         self.assertIn("Nothing changes", make_plan(bundle(1), bundle(2)).sentences[0])
 
 
--- a/tests/bundles/test_store.py
+++ b/tests/bundles/test_store.py
@@ -101,7 +101,7 @@
 
 
 class AcceptTests(StoreTestCase):
-    async def test_numbers_follow_one_another(self):
+    async def test_accepted_numbers_are_consecutive(self):
         self.assertIsInstance(await self.store().accept(*signed(1)), Committed)
         self.assertIsInstance(await self.store().accept(*signed(3)), Conflict)
         self.assertIsInstance(await self.store().accept(*signed(2)), Committed)
@@ -109,7 +109,7 @@
         self.assertEqual([head.number for head in heads], [1, 2])
         self.assertEqual((heads[0].author, heads[0].approver), ("ana", "bruno"))
 
-    async def test_of_two_racing_operators_one_wins(self):
+    async def test_one_of_two_racing_operators_wins(self):
         """Guards against two changes under one number.
 
         Both operators read head 0 and write number 1. The write must depend on the head
--- a/tests/commands/test_bundle.py
+++ b/tests/commands/test_bundle.py
@@ -63,7 +63,7 @@
             await node.close()
 
 
-class CommandTests(unittest.TestCase):
+class CommandTestCase(unittest.TestCase):
     def setUp(self):
         directory = self.enterContext(tempfile.TemporaryDirectory())
         self.enterContext(contextlib.chdir(directory))
@@ -93,7 +93,7 @@
         )
 
 
-class OfflineTests(CommandTests):
+class OfflineTests(CommandTestCase):
     def test_invalid_file_exits_3_and_prints_the_problem(self):
         Path("b.toml").write_text(
             first_bundle("demo").replace("weight = 1", "wait = 1")
@@ -130,7 +130,7 @@
         self.assertEqual(code, 1)
 
 
-class LifecycleTests(CommandTests):
+class LifecycleTests(CommandTestCase):
     def test_from_the_first_bundle_to_a_revert(self):
         """Follows docs/operate/first-week.md and checks each exit code."""
         with ServedNode(self.make_keys()) as node:
--- a/tests/commands/test_settings.py
+++ b/tests/commands/test_settings.py
@@ -45,6 +45,6 @@
         for text in keys.values():
             self.assertNotIn(text, printed.getvalue())
 
-    def test_page_is_what_the_command_prints(self):
+    def test_page_equals_the_output_of_the_command(self):
         page = PAGE.read_text().rstrip()
         self.assertEqual(page, reference().rstrip(), "run: make settings-page")
--- a/tests/daemon/test_stopping.py
+++ b/tests/daemon/test_stopping.py
@@ -32,7 +32,7 @@
         return await super()._handle(request)
 
 
-class StoppingCase(unittest.IsolatedAsyncioTestCase):
+class StoppingTestCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.enterContext(suppress_logs())
         deployment = DemoDeployment(
@@ -74,7 +74,7 @@
     )
 
 
-class DrainTests(StoppingCase):
+class DrainTests(StoppingTestCase):
     async def test_service_call_in_flight_is_not_cut(self):
         """Guards against resetting the connection of a plain service's caller.
 
@@ -164,7 +164,7 @@
         await asyncio.gather(call, stopping)
 
 
-class CutTests(StoppingCase):
+class CutTests(StoppingTestCase):
     async def test_second_signal_cuts_and_logs_the_requests(self):
         call = self.call_service()
         await self.service.reached.wait()
@@ -181,7 +181,7 @@
         self.assertIn("POST " + SERVICE_PATH, logs.output[1])
 
 
-class StepTests(StoppingCase):
+class StepTests(StoppingTestCase):
     async def test_steps_are_reached_in_order(self):
         await self.node.stop()
         wanted = [step for step in StopStep if step is not StopStep.CUT]
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -11,7 +11,7 @@
 MESSAGE = Envelope(sender="s", incarnation=1, sequence=1, kind="inner", body=b"m")
 
 
-class LinkCase(unittest.IsolatedAsyncioTestCase):
+class LinkTestCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.enterContext(mock.patch("fireflyward.peers._link.log"))
         self.received_senders = []
@@ -46,7 +46,7 @@
         return await link.call(self.server.address, "k", MESSAGE, Envelope)
 
 
-class DatagramTests(LinkCase):
+class DatagramTests(LinkTestCase):
     async def test_repeated_datagram_is_handled_once(self):
         """Guards against a recorded order to leave that is executed days later.
 
@@ -117,7 +117,7 @@
         self.assertEqual(await self.call(peer), MESSAGE)
 
 
-class IncarnationTests(LinkCase):
+class IncarnationTests(LinkTestCase):
     async def test_call_after_the_wall_clock_was_set_back(self):
         """Guards against a restarted node that gets no reply from its peers.
 
@@ -144,7 +144,7 @@
         await self.wait_until(lambda: len(self.received_senders) == 2)
 
 
-class CallTests(LinkCase):
+class CallTests(LinkTestCase):
     async def test_reply_to_another_request_is_not_accepted(self):
         async def serve(reader, writer):
             (length,) = struct.unpack("!I", await reader.readexactly(4))
--- a/tests/runs/test_run.py
+++ b/tests/runs/test_run.py
@@ -34,7 +34,7 @@
 DEADLINE_MS = 10_000
 
 
-class RunTests(unittest.TestCase):
+class RunTestCase(unittest.TestCase):
     def begin_run(self, **options):
         self.run_ = Run(DEADLINE_MS, version="v1", **options)
         self.run_.decide(0, Begin())
@@ -60,7 +60,7 @@
         return actions
 
 
-class StreamTests(RunTests):
+class StreamTests(RunTestCase):
     def test_piece_that_contains_the_callers_offset_is_cut(self):
         """Guards against repeating a word in the middle of an answer.
 
@@ -186,7 +186,7 @@
         self.assertEqual(self.texts(actions), ["four five"])
 
 
-class OutcomeTests(RunTests):
+class OutcomeTests(RunTestCase):
     def test_lost_connection_of_a_non_idempotent_run_is_unknown(self):
         """Guards against computing and billing a non-idempotent request twice.
 
@@ -256,7 +256,7 @@
         self.assertEqual(self.send_event(self.place("a"), refused), [Resume(2, "a", 0)])
 
 
-class RetryTests(RunTests):
+class RetryTests(RunTestCase):
     def test_run_is_not_retried_after_its_deadline(self):
         self.begin_run()
         late_ms = DEADLINE_MS
