--- a/fireflyward/connections/__init__.py
+++ b/fireflyward/connections/__init__.py
@@ -2,11 +2,11 @@
 
 from ._guard import GuardedBody, PermitExpired
 from ._sessions import Sessions, make_socket
-from ._watch import Heard, SilenceLimits, ran_out, was_silent, within
+from ._watch import SilenceLimits, SilenceTimer, ran_out, was_silent, within
 
 __all__ = [
     "GuardedBody",
-    "Heard",
+    "SilenceTimer",
     "PermitExpired",
     "Sessions",
     "SilenceLimits",
--- a/fireflyward/connections/_watch.py
+++ b/fireflyward/connections/_watch.py
@@ -26,7 +26,7 @@
     probe_ms: int = _PROBE_MS
 
 
-class Heard:
+class SilenceTimer:
     """When something last came over a connection.
 
     Between ``pause`` and ``hear`` nothing is asked of the connection, as when the
@@ -106,7 +106,7 @@
     return False
 
 
-async def was_silent(clock: Clock, work: Awaitable[None], heard: Heard) -> bool:
+async def was_silent(clock: Clock, work: Awaitable[None], heard: SilenceTimer) -> bool:
     """Await ``work``; cancel it and return true if its connection is silent."""
     return await ran_out(clock, heard.left_ms, work)
 
--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from fireflyward.clock import Clock
-from fireflyward.connections import Heard, SilenceLimits, ran_out, was_silent
+from fireflyward.connections import SilenceLimits, SilenceTimer, ran_out, was_silent
 from fireflyward.observe import hop
 from fireflyward.outcomes import NotRun, Reason, Unknown
 from fireflyward.routing import Router, RunShape
@@ -158,7 +158,7 @@
         events: AsyncIterator[EngineEvent],
         first_limit_ms: int,
     ) -> None:
-        heard = Heard(self._clock, first_limit_ms)
+        heard = SilenceTimer(self._clock, first_limit_ms)
         work = self._pump(number, replica, events, heard)
         if await was_silent(self._clock, work, heard):
             self._observe(StreamStep.SILENT)
@@ -169,7 +169,7 @@
         number: int,
         replica: str,
         events: AsyncIterator[EngineEvent],
-        heard: Heard,
+        heard: SilenceTimer,
     ) -> None:
         failed = True
         self._router.on_start(replica)
--- a/tests/connections/test_watch.py
+++ b/tests/connections/test_watch.py
@@ -2,13 +2,13 @@
 import unittest
 
 from fireflyward.clock import Clock, ManualClock
-from fireflyward.connections import Heard, ran_out, was_silent
+from fireflyward.connections import SilenceTimer, ran_out, was_silent
 
 
 class WatchTests(unittest.IsolatedAsyncioTestCase):
     async def test_work_that_is_heard_runs_to_its_end(self):
         clock = ManualClock()
-        heard = Heard(clock, 100)
+        heard = SilenceTimer(clock, 100)
 
         async def work():
             for _ in range(3):
@@ -29,7 +29,9 @@
             finally:
                 ended.append(clock.now_ms())
 
-        task = asyncio.ensure_future(was_silent(clock, work(), Heard(clock, 100)))
+        task = asyncio.ensure_future(
+            was_silent(clock, work(), SilenceTimer(clock, 100))
+        )
         await clock.advance_ms(99)
         self.assertEqual(ended, [])
         await clock.advance_ms(1)
@@ -41,7 +43,9 @@
         clock = ManualClock()
 
         async def go_on():
-            is_silent = await was_silent(clock, asyncio.Event().wait(), Heard(clock, 9))
+            is_silent = await was_silent(
+                clock, asyncio.Event().wait(), SilenceTimer(clock, 9)
+            )
             await clock.sleep_ms(50)
             return is_silent, clock.now_ms()
 
