--- a/fireflyward/connections/__init__.py
+++ b/fireflyward/connections/__init__.py
@@ -2,7 +2,7 @@
 
 from ._guard import GuardedBody, PermitExpired
 from ._sessions import Sessions, make_socket
-from ._watch import SilenceLimits, SilenceTimer, ran_out, was_silent, within
+from ._watch import SilenceLimits, SilenceTimer, timed_out, was_silent, within
 
 __all__ = [
     "GuardedBody",
@@ -11,7 +11,7 @@
     "Sessions",
     "SilenceLimits",
     "make_socket",
-    "ran_out",
+    "timed_out",
     "was_silent",
     "within",
 ]
--- a/fireflyward/connections/_watch.py
+++ b/fireflyward/connections/_watch.py
@@ -82,7 +82,7 @@
         self._timer.cancel()
 
 
-async def ran_out(
+async def timed_out(
     clock: Clock, left_ms: Callable[[], float], work: Awaitable[object]
 ) -> bool:
     """Await ``work`` here; cancel it and return true once ``left_ms()`` is 0.
@@ -108,7 +108,7 @@
 
 async def was_silent(clock: Clock, work: Awaitable[None], heard: SilenceTimer) -> bool:
     """Await ``work``; cancel it and return true if its connection is silent."""
-    return await ran_out(clock, heard.left_ms, work)
+    return await timed_out(clock, heard.left_ms, work)
 
 
 async def within(clock: Clock, limit_ms: float, work: Awaitable[T]) -> T:
--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from fireflyward.clock import Clock
-from fireflyward.connections import SilenceLimits, SilenceTimer, ran_out, was_silent
+from fireflyward.connections import SilenceLimits, SilenceTimer, timed_out, was_silent
 from fireflyward.observe import hop
 from fireflyward.outcomes import NotRun, Reason, Unknown
 from fireflyward.routing import Router, RunShape
@@ -126,7 +126,7 @@
         work = self._prepare(replica, self._call, self._shape)
         until_ms = self._clock.now_ms() + _PREPARE_LIMIT_MS
         with suppress(TimeoutError):
-            await ran_out(self._clock, lambda: until_ms - self._clock.now_ms(), work)
+            await timed_out(self._clock, lambda: until_ms - self._clock.now_ms(), work)
 
     async def _is_permitted(self, number: int, replica: str) -> bool:
         if self._permit is None:
--- a/tests/connections/test_watch.py
+++ b/tests/connections/test_watch.py
@@ -2,7 +2,7 @@
 import unittest
 
 from fireflyward.clock import Clock, ManualClock
-from fireflyward.connections import SilenceTimer, ran_out, was_silent
+from fireflyward.connections import SilenceTimer, timed_out, was_silent
 
 
 class WatchTests(unittest.IsolatedAsyncioTestCase):
@@ -67,7 +67,7 @@
             task.cancel()
             return 0
 
-        task = asyncio.ensure_future(ran_out(clock, left_ms, asyncio.Event().wait()))
+        task = asyncio.ensure_future(timed_out(clock, left_ms, asyncio.Event().wait()))
         await clock.advance_ms(100)
         with self.assertRaises(asyncio.CancelledError):
             await task
@@ -79,7 +79,7 @@
             raise ValueError("of the work")
 
         with self.assertRaisesRegex(ValueError, "of the work"):
-            await ran_out(clock, lambda: 100, work())
+            await timed_out(clock, lambda: 100, work())
 
 
 class TimerTests(unittest.IsolatedAsyncioTestCase):
