--- a/fireflyward/forwarding/_exchange.py
+++ b/fireflyward/forwarding/_exchange.py
@@ -150,7 +150,7 @@
 
     def _complete(self, *, failed: bool) -> None:
         """Record a complete response and return its connection to the pool."""
-        self._pool.give_back(self._connection)
+        self._pool.release(self._connection)
         self._replica.on_answer(failed=failed)
         self._replica.on_run_finished(self._clock.now_ms() - self._sent_ms)
 
@@ -164,7 +164,7 @@
             parts.append(event.data)
             size += len(event.data)
         if facts.was_not_run:
-            self._pool.give_back(self._connection)
+            self._pool.release(self._connection)
             return NotRunThere(facts)
         self._complete(failed=head.status >= 500)
         return WholeAnswer(head, b"".join(parts))
--- a/fireflyward/forwarding/_request_run.py
+++ b/fireflyward/forwarding/_request_run.py
@@ -170,7 +170,7 @@
                 return await self._send_over(connection, choice)
             # The replica's limit, backoff or leaving state changed while the connection
             # was opened, so the choice is no longer valid.
-            self._deps.pool.give_back(connection)
+            self._deps.pool.release(connection)
             self._stop_late_wait(None)
 
     def _no_replica(self) -> NoReplica:
--- a/fireflyward/http1/_pool.py
+++ b/fireflyward/http1/_pool.py
@@ -33,7 +33,7 @@
 
     connection = await pool.take("10.0.0.1:80", connect_ms=300)
     ...
-    pool.give_back(connection)
+    pool.release(connection)
     """
 
     __slots__ = ("_clock", "_idle_by_address", "opened")
@@ -54,7 +54,7 @@
         connection = None if fresh else self._take_idle(address)
         return connection or await self._open(address, connect_ms)
 
-    def give_back(self, connection: HttpConnection) -> None:
+    def release(self, connection: HttpConnection) -> None:
         """Keep a connection whose response is whole; close any other."""
         if not connection.is_usable:
             connection.close()
--- a/fireflyward/platform/_replica_api.py
+++ b/fireflyward/platform/_replica_api.py
@@ -218,7 +218,7 @@
         answer = await read_whole(connection, clock=self._clock, limit_ms=left_ms)
         if isinstance(answer, NoResponse):
             return self._no_answer(address, target, answer.detail)
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return answer
 
     def _no_answer(self, address: str, target: str, detail: str) -> None:
--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -241,7 +241,7 @@
         self._suspects_silence = isinstance(answer, NoResponse)
         if isinstance(answer, NoResponse):
             return Uncertain(answer.detail)
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return _Answer(answer.status, answer.body, self._era_of(answer))
 
     def _era_of(self, answer: WholeResponse) -> int:
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -217,7 +217,7 @@
         )
         self._checked.discard(replica.incarnation_id)
         if not isinstance(connection, NotConnected):
-            self._pool.give_back(connection)
+            self._pool.release(connection)
             return True
         if connection.is_refused:
             self.on_refused(replica)
--- a/fireflyward/reach/_task.py
+++ b/fireflyward/reach/_task.py
@@ -187,5 +187,5 @@
         if isinstance(connection, NotConnected):
             # The host of a refused connection has answered, so the domain is reachable.
             return connection.is_refused
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return True
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -47,7 +47,7 @@
         await self.may_open.wait()
         return self.taken[-1]
 
-    def give_back(self, connection):
+    def release(self, connection):
         self.given_back.append(connection)
 
 
--- a/tests/http1/test_connection.py
+++ b/tests/http1/test_connection.py
@@ -86,7 +86,7 @@
         events = []
         while not events or not isinstance(events[-1], End | Broken):
             events.append(await connection.next_event())
-        self.pool.give_back(connection)
+        self.pool.release(connection)
         return events
 
     async def serve(self, *answers, **options):
@@ -207,7 +207,7 @@
             connection.send("GET", "/", [("Host", "h")])
             while not isinstance(await connection.next_event(), End):
                 pass
-            pool.give_back(connection)
+            pool.release(connection)
         self.assertEqual(server.connections, 2)
         pool.close()
         await server.stop()
--- a/tests/quarantine/fakes.py
+++ b/tests/quarantine/fakes.py
@@ -77,5 +77,5 @@
             return NotConnected("no connection in 350 ms")
         return object()
 
-    def give_back(self, connection):
+    def release(self, connection):
         pass
--- a/tests/reach/test_task.py
+++ b/tests/reach/test_task.py
@@ -39,7 +39,7 @@
             return NotConnected("refused", is_refused=True)
         return Connection()
 
-    def give_back(self, connection):
+    def release(self, connection):
         pass
 
 
