--- a/fireflyward/deployment/_settings.py
+++ b/fireflyward/deployment/_settings.py
@@ -12,7 +12,7 @@
     grace_ms: int
     config_apply_ms: int
     revoke_ms: int
-    closes_without_contact: bool
+    fails_closed: bool
     retry_ratio: float
     retry_window_ms: int
     retry_extra: int
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -72,7 +72,7 @@
         self._weights = WeightVersions(version_ms=bounds.version_ms)
         self._routes = RouteTable(
             revoke_ms=bounds.revoke_ms,
-            closes_without_contact=bounds.closes_without_contact,
+            fails_closed=bounds.fails_closed,
         )
         self._budget = RetryBudget(
             ratio=bounds.retry_ratio,
@@ -224,7 +224,7 @@
         bounds = settings.bounds
         self._routes.set_bounds(
             revoke_ms=bounds.revoke_ms,
-            closes_without_contact=bounds.closes_without_contact,
+            fails_closed=bounds.fails_closed,
         )
         self._budget.set_bounds(
             ratio=bounds.retry_ratio,
--- a/fireflyward/platform/_settings.py
+++ b/fireflyward/platform/_settings.py
@@ -106,7 +106,7 @@
         grace_ms=whole(raw.grace_s * _MS_PER_S),
         config_apply_ms=whole(raw.config_apply_ms),
         revoke_ms=whole(raw.revoke_ms),
-        closes_without_contact=raw.fail_closed,
+        fails_closed=raw.fail_closed,
         retry_ratio=raw.retry_budget_ratio,
         retry_window_ms=whole(raw.budget_window_s * _MS_PER_S),
         retry_extra=whole(raw.budget_extra),
--- a/fireflyward/routes/_table.py
+++ b/fireflyward/routes/_table.py
@@ -44,7 +44,7 @@
 class RouteTable:
     """Holds the configuration in force and its age; no I/O.
 
-    >>> RouteTable(revoke_ms=5_000, closes_without_contact=True).version is None
+    >>> RouteTable(revoke_ms=5_000, fails_closed=True).version is None
     True
     """
 
@@ -57,18 +57,18 @@
         "_routes_by_host",
     )
 
-    def __init__(self, *, revoke_ms: int, closes_without_contact: bool) -> None:
+    def __init__(self, *, revoke_ms: int, fails_closed: bool) -> None:
         self._revoke_ms = revoke_ms
-        self._closes_without_contact = closes_without_contact
+        self._closes_without_contact = fails_closed
         self._configuration: Configuration | None = None
         self._as_of_ms = 0
         self._routes_by_host: dict[str, list[Route]] = {}
         self._account_by_key: dict[str, ClientAccount] = {}
 
-    def set_bounds(self, *, revoke_ms: int, closes_without_contact: bool) -> None:
+    def set_bounds(self, *, revoke_ms: int, fails_closed: bool) -> None:
         """Replace the bounds by those of new settings."""
         self._revoke_ms = revoke_ms
-        self._closes_without_contact = closes_without_contact
+        self._closes_without_contact = fails_closed
 
     @property
     def configuration(self) -> Configuration | None:
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -20,7 +20,7 @@
         self.clock = ManualClock(0)
         self.view = OperatorView(
             clock=self.clock,
-            routes=RouteTable(revoke_ms=5_000, closes_without_contact=True),
+            routes=RouteTable(revoke_ms=5_000, fails_closed=True),
             weights=WeightVersions(version_ms=12_000),
             directory=self.directory,
             failure_domains=("a", "b"),
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -142,7 +142,7 @@
         )
         clock = Clock()
         directory = ReplicaDirectory()
-        routes = RouteTable(revoke_ms=5_000, closes_without_contact=True)
+        routes = RouteTable(revoke_ms=5_000, fails_closed=True)
         ReplicaView(
             clock=clock,
             directory=directory,
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -35,7 +35,7 @@
 
 class RouteTableTests(unittest.TestCase):
     def setUp(self):
-        self.table = RouteTable(revoke_ms=5_000, closes_without_contact=True)
+        self.table = RouteTable(revoke_ms=5_000, fails_closed=True)
         self.table.apply(configuration())
         self.table.confirm(0)
 
@@ -50,7 +50,7 @@
         self.assertEqual(self.decide(path="/a/bc").service, "x")
 
     def test_before_the_first_configuration_no_rejection_is_final(self):
-        empty = RouteTable(revoke_ms=5_000, closes_without_contact=True)
+        empty = RouteTable(revoke_ms=5_000, fails_closed=True)
         rejected = empty.decide(0, host="h", path="/", key="k", request_id="r")
         self.assertEqual(rejected.reason, Reason.NO_BUNDLE)
         self.assertGreater(rejected.retry_after_ms, 0)
