--- a/fireflyward/deployment/_configuration.py
+++ b/fireflyward/deployment/_configuration.py
@@ -71,7 +71,7 @@
     kv_tokens: int
     link_mbps: float
     first_byte_ms: float = 0.0
-    drops_nothing: bool = False
+    never_evicts: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/fireflyward/prefixes/_planner.py
+++ b/fireflyward/prefixes/_planner.py
@@ -53,7 +53,7 @@
         # An empty index is falsy, so the mapping is checked for the address instead.
         previous = self._index_by_address
         self._capacity_by_address = {
-            store.address: store.kv_tokens for store in stores if store.drops_nothing
+            store.address: store.kv_tokens for store in stores if store.never_evicts
         }
         self._index_by_address = {
             address: (
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -73,7 +73,7 @@
         service = self.decode(services=[store]).service_by_name["kv"]
         self.assertEqual(service.kv_store.address, "10.0.0.9:80")
         self.assertEqual(service.kv_store.first_byte_ms, 0.5)
-        self.assertTrue(service.kv_store.drops_nothing)
+        self.assertTrue(service.kv_store.never_evicts)
 
     def test_every_figure_may_have_a_fraction(self):
         """Symptom: a configuration with a worked-out limit never came into force.
--- a/tests/prefixes/test_garbage.py
+++ b/tests/prefixes/test_garbage.py
@@ -89,7 +89,7 @@
         The events of the freed parts never arrived, so the parts stay in the index.
         """
         planner, freer, clock = PartPlanner(), _Freer(), ManualClock(0)
-        planner.set_stores([KvStore("kv:1", "a", 10_000, 1_000.0, drops_nothing=True)])
+        planner.set_stores([KvStore("kv:1", "a", 10_000, 1_000.0, never_evicts=True)])
         (index,) = planner.indexes()
         index.apply(KvUpdate(7, (KvEvent(OLD, 100),), 1))
         collector = GarbageCollector(
--- a/tests/prefixes/test_planner.py
+++ b/tests/prefixes/test_planner.py
@@ -17,7 +17,7 @@
 
 
 def store(address, tokens=100_000):
-    return KvStore(address, "a", tokens, 1_000.0, drops_nothing=True)
+    return KvStore(address, "a", tokens, 1_000.0, never_evicts=True)
 
 
 class PlannerTests(unittest.TestCase):
