--- a/fireflyward/forwarding/_prompt_requirements.py
+++ b/fireflyward/forwarding/_prompt_requirements.py
@@ -29,7 +29,7 @@
     @property
     def peak_tokens(self) -> int:
         """Return the tokens in a replica's KV memory at the end of the request."""
-        return self._caller.prompt_tokens + self._caller.most_output_tokens
+        return self._caller.prompt_tokens + self._caller.max_output_tokens
 
     def wanted(self, now_ms: int) -> Requirements:
         """Return the criteria by which a replica is chosen."""
--- a/fireflyward/platform/_requests.py
+++ b/fireflyward/platform/_requests.py
@@ -112,7 +112,7 @@
     key: str | None = None
     model: str = ""
     prompt_tokens: int = 0
-    most_output_tokens: int = 0
+    max_output_tokens: int = 0
     parts: tuple[PromptPart, ...] = ()
     last_event_id: str | None = None
 
@@ -185,7 +185,7 @@
             key=_key(by_name.get(_KEY)),
             model=by_name.get(_MODEL, ""),
             prompt_tokens=_tokens(by_name.get(_TOKENS), 0),
-            most_output_tokens=_tokens(by_name.get(_TOKENS), 1),
+            max_output_tokens=_tokens(by_name.get(_TOKENS), 1),
             parts=_parts(by_name.get(_PARTS)),
             last_event_id=by_name.get(_LAST_EVENT),
         )
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -40,7 +40,7 @@
         caller = decode()
         self.assertEqual((caller.host, caller.path), ("h.example", "/a/b"))
         self.assertEqual((caller.key, caller.deadline_ms), ("key-1", 1_500))
-        self.assertEqual((caller.prompt_tokens, caller.most_output_tokens), (1_460, 80))
+        self.assertEqual((caller.prompt_tokens, caller.max_output_tokens), (1_460, 80))
         self.assertEqual([part.part_id for part in caller.parts], ["5c", "91", "e4"])
 
     def test_bad_requests_are_refused_with_the_reason(self):
