--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -7,7 +7,7 @@
 
 from fireflyward.clock import Clock
 from fireflyward.peers import Address, PeerLink
-from fireflyward.platform import RateLimit, ResponseFacts, Unreadable
+from fireflyward.platform import InvalidHeader, RateLimit, ResponseFacts
 from fireflyward.replicas import ReplicaDirectory, ReplicaState
 
 from ._notices_structs import ReplicaNews
@@ -86,10 +86,10 @@
             self._send(chosen, [item for item in states if _is_announced(now_ms, item)])
 
     def _record_backoff(
-        self, replica: ReplicaState, backoff_ms: float | Unreadable
+        self, replica: ReplicaState, backoff_ms: float | InvalidHeader
     ) -> None:
         """Record the backoff in a rejection; it does not apply to other nodes."""
-        if isinstance(backoff_ms, Unreadable) or not backoff_ms:
+        if isinstance(backoff_ms, InvalidHeader) or not backoff_ms:
             return
         now_ms = self._clock.now_ms()
         if not replica.backpressure.backoff_ms(now_ms):
@@ -123,7 +123,7 @@
         log.info("notices: %s leaves, by %s", replica.entry.incarnation, source)
 
     def _warn_unreadable(
-        self, replica: ReplicaState, unreadable: tuple[Unreadable, ...]
+        self, replica: ReplicaState, unreadable: tuple[InvalidHeader, ...]
     ) -> None:
         """Log the first unreadable headers of a replica."""
         if not unreadable or replica.backpressure.has_unreadable_header:
--- a/fireflyward/platform/__init__.py
+++ b/fireflyward/platform/__init__.py
@@ -5,7 +5,7 @@
     decode_evacuation,
     decode_weight_target,
 )
-from ._notices import RateLimit, ReplicaNotices, Unreadable
+from ._notices import InvalidHeader, RateLimit, ReplicaNotices
 from ._replica_api import OrderResult, ReplicaApi, ReplicaReport
 from ._replica_list import decode_replica
 from ._requests import (
@@ -54,7 +54,7 @@
     "ReplicaReport",
     "ResponseFacts",
     "StoreClient",
-    "Unreadable",
+    "InvalidHeader",
     "answer_headers",
     "decode_configuration",
     "decode_evacuation",
--- a/fireflyward/platform/_notices.py
+++ b/fireflyward/platform/_notices.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class InvalidHeader:
     """A header whose value is none that it may have."""
 
     header: str
@@ -38,15 +38,15 @@
     ``backoff_ms`` for how long it wants nothing from the node that it answered.
     """
 
-    limit: RateLimit | Unreadable | None = None
-    leaving: bool | Unreadable = False
-    backoff_ms: float | Unreadable = 0.0
+    limit: RateLimit | InvalidHeader | None = None
+    leaving: bool | InvalidHeader = False
+    backoff_ms: float | InvalidHeader = 0.0
 
     @property
-    def unreadable(self) -> tuple[Unreadable, ...]:
+    def unreadable(self) -> tuple[InvalidHeader, ...]:
         """Return the headers that could not be read."""
         found = self.limit, self.leaving, self.backoff_ms
-        return tuple(item for item in found if isinstance(item, Unreadable))
+        return tuple(item for item in found if isinstance(item, InvalidHeader))
 
 
 def decode_notices(head: Head) -> ReplicaNotices:
@@ -62,25 +62,25 @@
     )
 
 
-def _limit(value: str | None) -> RateLimit | Unreadable | None:
+def _limit(value: str | None) -> RateLimit | InvalidHeader | None:
     if value is None:
         return None
     number = _decimal(value)
-    return Unreadable(_LIMIT, value) if number is None else RateLimit(number)
+    return InvalidHeader(_LIMIT, value) if number is None else RateLimit(number)
 
 
-def _leaving(value: str | None) -> bool | Unreadable:
+def _leaving(value: str | None) -> bool | InvalidHeader:
     if value is None:
         return False
-    return _FLAGS.get(value.strip(), Unreadable(_LEAVING, value))
+    return _FLAGS.get(value.strip(), InvalidHeader(_LEAVING, value))
 
 
-def _rest_ms(head: Head) -> float | Unreadable:
+def _rest_ms(head: Head) -> float | InvalidHeader:
     value = head.get(_REST)
     if value is None or head.status != _UNAVAILABLE:
         return 0.0
     seconds = _decimal(value)
-    return Unreadable(_REST, value) if seconds is None else 1_000 * seconds
+    return InvalidHeader(_REST, value) if seconds is None else 1_000 * seconds
 
 
 def _decimal(value: str) -> float | None:
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -6,10 +6,10 @@
 from fireflyward.outcomes import NotRun, Reason, Unknown
 from fireflyward.platform import (
     CallerRequest,
+    InvalidHeader,
     RateLimit,
     ReplicaHeaders,
     ReplicaLoad,
-    Unreadable,
     answer_headers,
     decode_request,
     decode_response,
@@ -117,7 +117,7 @@
         self.assertIsNone(self.facts(200).notices.limit)
         for bad in ("x", "", "nan", "inf", "-1", "1e3", "1_0", "4 a second"):
             notices = self.facts(200, ("server-limit", bad)).notices
-            self.assertEqual(notices.unreadable, (Unreadable("server-limit", bad),))
+            self.assertEqual(notices.unreadable, (InvalidHeader("server-limit", bad),))
 
     def test_answers_keep_their_headers_but_the_connections(self):
         head = Head(
