--- a/fireflyward/fleet/_callers.py
+++ b/fireflyward/fleet/_callers.py
@@ -16,9 +16,9 @@
 from fireflyward.outcomes import Answered, NotRun, Outcome, Reason, Unknown
 from fireflyward.platform import (
     CallerRequest,
-    answer_headers,
     decode_request,
     refusal_headers,
+    response_headers,
     status_of,
 )
 from fireflyward.routes import Allowed, RouteTable
@@ -56,7 +56,7 @@
         response = Response(
             status=head.status,
             reason=head.reason,
-            headers=CIMultiDict(answer_headers(head)),
+            headers=CIMultiDict(response_headers(head)),
             body=body,
         )
         self.response = response
@@ -66,7 +66,7 @@
         self.response = StreamResponse(
             status=head.status,
             reason=head.reason,
-            headers=CIMultiDict(answer_headers(head)),
+            headers=CIMultiDict(response_headers(head)),
         )
         self.response.enable_chunked_encoding()
         self._door.close_if_stopping(self.response)
--- a/fireflyward/platform/__init__.py
+++ b/fireflyward/platform/__init__.py
@@ -14,11 +14,11 @@
     ReplicaHeaders,
     ReplicaLoad,
     ResponseFacts,
-    answer_headers,
     decode_request,
     decode_response,
     encode_request,
     refusal_headers,
+    response_headers,
     status_of,
 )
 from ._settings import SETTINGS_VARIABLE, BadSettings, load_settings
@@ -55,7 +55,7 @@
     "ResponseFacts",
     "StoreClient",
     "InvalidHeader",
-    "answer_headers",
+    "response_headers",
     "decode_configuration",
     "decode_evacuation",
     "decode_replica",
--- a/fireflyward/platform/_requests.py
+++ b/fireflyward/platform/_requests.py
@@ -229,7 +229,7 @@
     )
 
 
-def answer_headers(head: Head) -> list[tuple[str, str]]:
+def response_headers(head: Head) -> list[tuple[str, str]]:
     """Return a replica's headers that go to the caller, all but the connection's."""
     return list(_forwarded(head.headers, head.get("connection") or "", ()))
 
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -10,11 +10,11 @@
     RateLimit,
     ReplicaHeaders,
     ReplicaLoad,
-    answer_headers,
     decode_request,
     decode_response,
     encode_request,
     refusal_headers,
+    response_headers,
     status_of,
 )
 
@@ -123,7 +123,7 @@
         head = Head(
             200, "", (("x-server-seal", "s"), ("connection", "x-a"), ("x-a", "1"))
         )
-        self.assertEqual(answer_headers(head), [("x-server-seal", "s")])
+        self.assertEqual(response_headers(head), [("x-server-seal", "s")])
 
 
 class OutcomeTests(unittest.TestCase):
