--- a/fireflyward/fleet/_callers.py
+++ b/fireflyward/fleet/_callers.py
@@ -17,7 +17,7 @@
 from fireflyward.platform import (
     CallerRequest,
     decode_request,
-    refusal_headers,
+    rejection_headers,
     response_headers,
     status_of,
 )
@@ -240,7 +240,7 @@
         request_id = caller.request_id if isinstance(caller, CallerRequest) else None
         response = Response(
             status=status_of(outcome),
-            headers=CIMultiDict(refusal_headers(request_id, outcome)),
+            headers=CIMultiDict(rejection_headers(request_id, outcome)),
             text=outcome.reason.value,
         )
         await self.send(request, response)
--- a/fireflyward/platform/__init__.py
+++ b/fireflyward/platform/__init__.py
@@ -17,7 +17,7 @@
     decode_request,
     decode_response,
     encode_request,
-    refusal_headers,
+    rejection_headers,
     response_headers,
     status_of,
 )
@@ -64,6 +64,6 @@
     "decode_weight_target",
     "encode_request",
     "load_settings",
-    "refusal_headers",
+    "rejection_headers",
     "status_of",
 ]
--- a/fireflyward/platform/_requests.py
+++ b/fireflyward/platform/_requests.py
@@ -257,7 +257,9 @@
     return 200
 
 
-def refusal_headers(request_id: str | None, outcome: Outcome) -> list[tuple[str, str]]:
+def rejection_headers(
+    request_id: str | None, outcome: Outcome
+) -> list[tuple[str, str]]:
     """Return the headers of an answer that is this system's own."""
     headers = [("X-Request-Id", request_id)] if request_id else []
     if isinstance(outcome, NotRun) and outcome.retry_after_ms:
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -13,7 +13,7 @@
     decode_request,
     decode_response,
     encode_request,
-    refusal_headers,
+    rejection_headers,
     response_headers,
     status_of,
 )
@@ -137,9 +137,9 @@
         self.assertEqual(status_of(NotRun(Reason.UNKNOWN_ROUTE)), 404)
 
     def test_callers_are_told_when_to_come_back(self):
-        headers = dict(refusal_headers("r1", NotRun(Reason.OVERLOADED, "", 250)))
+        headers = dict(rejection_headers("r1", NotRun(Reason.OVERLOADED, "", 250)))
         self.assertEqual(headers, {"X-Request-Id": "r1", "Retry-After": "0.25"})
-        self.assertNotIn("Retry-After", dict(refusal_headers("r", Unknown("x"))))
+        self.assertNotIn("Retry-After", dict(rejection_headers("r", Unknown("x"))))
 
     def test_types(self):
         self.assertIsInstance(decode(), CallerRequest)
