--- a/fireflyward/http1/__init__.py
+++ b/fireflyward/http1/__init__.py
@@ -15,7 +15,7 @@
     HttpConnection,
 )
 from ._pool import ConnectionPool, NotConnected
-from ._whole import NoResponse, WholeResponse, read_whole
+from ._whole import FullResponse, NoResponse, read_whole
 
 __all__ = [
     "BodyPart",
@@ -27,6 +27,6 @@
     "HttpConnection",
     "NoResponse",
     "NotConnected",
-    "WholeResponse",
+    "FullResponse",
     "read_whole",
 ]
--- a/fireflyward/http1/_whole.py
+++ b/fireflyward/http1/_whole.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeResponse:
+class FullResponse:
     """A response with its whole body; header names are in lower case."""
 
     status: int
@@ -25,7 +25,7 @@
 
 async def read_whole(
     connection: HttpConnection, *, clock: Clock, limit_ms: float
-) -> WholeResponse | NoResponse:
+) -> FullResponse | NoResponse:
     """Return the response to what was just sent, if it is whole in ``limit_ms``.
 
     Without one the connection is closed, since the response may still come.
@@ -39,7 +39,7 @@
         elif isinstance(event, BodyPart):
             parts.append(event.data)
         elif isinstance(event, End):
-            return WholeResponse(status, b"".join(parts), headers)
+            return FullResponse(status, b"".join(parts), headers)
         else:
             connection.close()
             is_broken = isinstance(event, Broken)
--- a/fireflyward/platform/_replica_api.py
+++ b/fireflyward/platform/_replica_api.py
@@ -9,9 +9,9 @@
 from fireflyward.clock import Clock
 from fireflyward.http1 import (
     ConnectionPool,
+    FullResponse,
     NoResponse,
     NotConnected,
-    WholeResponse,
     read_whole,
 )
 from fireflyward.prefixes import KvEvent, KvUpdate, PartKey
@@ -208,7 +208,7 @@
         headers: list[tuple[str, str]],
         body: bytes,
         limit_ms: float,
-    ) -> WholeResponse | None:
+    ) -> FullResponse | None:
         began_ms = self._clock.now_ms()
         connection = await self._pool.take(address, connect_ms=limit_ms)
         if isinstance(connection, NotConnected):
--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -20,9 +20,9 @@
 from fireflyward.feeds import Changes, HistoryLost, Snapshot, TableRow
 from fireflyward.http1 import (
     ConnectionPool,
+    FullResponse,
     NoResponse,
     NotConnected,
-    WholeResponse,
     read_whole,
 )
 
@@ -244,7 +244,7 @@
         self._pool.release(connection)
         return _Answer(answer.status, answer.body, self._era_of(answer))
 
-    def _era_of(self, answer: WholeResponse) -> int:
+    def _era_of(self, answer: FullResponse) -> int:
         told = next((text for name, text in answer.headers if name == _ERA), "")
         if told.isascii() and told.isdigit() and len(told) <= _ERA_DIGITS:
             self._unread_era = None
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -5,7 +5,7 @@
 
 from fireflyward.backing import Committed, Conflict, Unavailable, Uncertain
 from fireflyward.clock import Clock
-from fireflyward.http1 import WholeResponse
+from fireflyward.http1 import FullResponse
 from fireflyward.platform import StoreClient
 from tests.platform_standins import StoreStandIn
 from tests.positions import at
@@ -126,7 +126,7 @@
         """Guards against a header that Python counts as digits and cannot read."""
         await self.position()
         for text in ("\xb2", "\u0663", "9" * 5_000):
-            answer = WholeResponse(200, b"", (("store-era", text),))
+            answer = FullResponse(200, b"", (("store-era", text),))
             with self.assertLogs("fireflyward.platform", "WARNING"):
                 self.assertEqual(self.client._era_of(answer), 1)
 
