--- a/fireflyward/http1/__init__.py
+++ b/fireflyward/http1/__init__.py
@@ -15,7 +15,7 @@
     HttpConnection,
 )
 from ._pool import ConnectionPool, NotConnected
-from ._whole import FullResponse, NoResponse, read_whole
+from ._whole import FullResponse, NoResponse, read_full_response
 
 __all__ = [
     "BodyPart",
@@ -28,5 +28,5 @@
     "NoResponse",
     "NotConnected",
     "FullResponse",
-    "read_whole",
+    "read_full_response",
 ]
--- a/fireflyward/http1/_whole.py
+++ b/fireflyward/http1/_whole.py
@@ -23,7 +23,7 @@
     detail: str
 
 
-async def read_whole(
+async def read_full_response(
     connection: HttpConnection, *, clock: Clock, limit_ms: float
 ) -> FullResponse | NoResponse:
     """Return the response to what was just sent, if it is whole in ``limit_ms``.
--- a/fireflyward/platform/_replica_api.py
+++ b/fireflyward/platform/_replica_api.py
@@ -12,7 +12,7 @@
     FullResponse,
     NoResponse,
     NotConnected,
-    read_whole,
+    read_full_response,
 )
 from fireflyward.prefixes import KvEvent, KvUpdate, PartKey
 
@@ -215,7 +215,9 @@
             return self._no_answer(address, target, connection.detail)
         connection.send(method, target, headers, body)
         left_ms = limit_ms - (self._clock.now_ms() - began_ms)
-        answer = await read_whole(connection, clock=self._clock, limit_ms=left_ms)
+        answer = await read_full_response(
+            connection, clock=self._clock, limit_ms=left_ms
+        )
         if isinstance(answer, NoResponse):
             return self._no_answer(address, target, answer.detail)
         self._pool.release(connection)
--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -23,7 +23,7 @@
     FullResponse,
     NoResponse,
     NotConnected,
-    read_whole,
+    read_full_response,
 )
 
 from ._decoding import decoded
@@ -237,7 +237,9 @@
         if body:
             headers.append(("Content-Type", "application/json"))
         connection.send(method, target, headers, body)
-        answer = await read_whole(connection, clock=self._clock, limit_ms=limit_ms)
+        answer = await read_full_response(
+            connection, clock=self._clock, limit_ms=limit_ms
+        )
         self._suspects_silence = isinstance(answer, NoResponse)
         if isinstance(answer, NoResponse):
             return Uncertain(answer.detail)
