--- a/fireflyward/deployment/_settings.py
+++ b/fireflyward/deployment/_settings.py
@@ -38,7 +38,7 @@
     """Everything that a process learns before it has spoken to anyone.
 
     Addresses are ``IP:PORT``. ``memory_mb`` is the limit past which the process is
-    killed, ``link_mbps`` what the VM's link carries; ``listing_period_ms`` is how
+    killed, ``link_mbps`` what the VM's link carries; ``heartbeat_ms`` is how
     often a replica renews its entry.
     """
 
@@ -51,6 +51,6 @@
     peer_ports: tuple[int, int]
     memory_mb: int
     link_mbps: float
-    listing_period_ms: int
+    heartbeat_ms: int
     bounds: Bounds
     store: StoreLimits
--- a/fireflyward/platform/_settings.py
+++ b/fireflyward/platform/_settings.py
@@ -88,7 +88,7 @@
         peer_ports=(whole(first_port), whole(last_port)),
         memory_mb=whole(raw.limits.memory_mb),
         link_mbps=raw.limits.link_mbps,
-        listing_period_ms=whole(raw.heartbeat_ms),
+        heartbeat_ms=whole(raw.heartbeat_ms),
         bounds=_bounds(raw.bounds),
         store=StoreLimits(
             address=raw.platform.address,
