--- a/fireflyward/deployment/_replicas.py
+++ b/fireflyward/deployment/_replicas.py
@@ -34,7 +34,7 @@
     started_ms: int = 0
 
     @property
-    def number(self) -> int:
+    def incarnation_id(self) -> int:
         """Return what nodes call this start of the replica in news of its load.
 
         It is worked out from the name and so needs no agreement. Two of a thousand
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -179,7 +179,7 @@
 
     def _unsays_leaving(self, entry: ReplicaEntry) -> bool:
         """Tell whether an entry is from before its start was known to leave."""
-        state = self._directory.find_incarnation(entry.number)
+        state = self._directory.find_incarnation(entry.incarnation_id)
         return state is not None and state.is_leaving and not entry.is_leaving
 
 
--- a/fireflyward/replicas/_directory.py
+++ b/fireflyward/replicas/_directory.py
@@ -213,9 +213,9 @@
         for name, entry in restored_by_name.items():
             known = self._state_by_name.get(name)
             if known is not None:
-                if known.incarnation_id == entry.number and entry.is_leaving:
+                if known.incarnation_id == entry.incarnation_id and entry.is_leaving:
                     new.append(entry)
-            elif entry.number in self._backpressure_by_incarnation_id:
+            elif entry.incarnation_id in self._backpressure_by_incarnation_id:
                 unconfirmed = self._unconfirmed_by_name.get(name)
                 if unconfirmed is None:
                     log.info("replicas: %s went, and an older copy lists it", name)
@@ -242,7 +242,9 @@
                 replaced.append(self._drop(entry.incarnation, "it restarted"))
                 known = None
             if known is None:
-                kept = self._backpressure_by_incarnation_id.pop(entry.number, None)
+                kept = self._backpressure_by_incarnation_id.pop(
+                    entry.incarnation_id, None
+                )
                 state = ReplicaState(entry, kept)
                 state.on_cold(now_ms, entry.cold_ms)
                 self._state_by_name[entry.incarnation] = state
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -67,7 +67,7 @@
     ) -> None:
         self.backpressure = backpressure or Backpressure()
         self.entry = entry
-        self.incarnation_id = entry.number
+        self.incarnation_id = entry.incarnation_id
         # Late requests that wait at the replica behind all other requests are not
         # counted as in flight.
         self.in_flight = 0
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -116,7 +116,7 @@
         self.assertEqual(entry.started_ms, 1_764_700_000_000)
 
     def test_another_start_has_another_number(self):
-        numbers = {self.decode(born=born).number for born in (1, 2, 3)}
+        numbers = {self.decode(born=born).incarnation_id for born in (1, 2, 3)}
         self.assertEqual(len(numbers), 3)
 
     def test_an_entry_of_another_writer_names_no_replica(self):
--- a/tests/reach/test_task.py
+++ b/tests/reach/test_task.py
@@ -215,7 +215,7 @@
         self.silence(*(f"b{n}" for n in range(6)))
         self.on_silent("b0")
         await self.clock.advance_ms(151)
-        without = frozenset(entry(f"a{n}", zone="a").number for n in range(6))
+        without = frozenset(entry(f"a{n}", zone="a").incarnation_id for n in range(6))
         self.assertIsNotNone(self.chooser.choose(0, Requirements("s"), without=without))
 
     async def test_a_domain_without_listed_replicas_is_not_unreachable(self):
--- a/tests/replicas/test_chooser.py
+++ b/tests/replicas/test_chooser.py
@@ -16,7 +16,7 @@
 
 def load_at(name, load):
     """Return a node's load report for one replica."""
-    return {entry(name).number: load}
+    return {entry(name).incarnation_id: load}
 
 
 class ChooserCase(unittest.TestCase):
@@ -63,7 +63,9 @@
         self.make(entry("r1"), entry("r2"))
         self.state("r1").on_send_failure(0)
         self.assertEqual({self.chosen() for _ in range(50)}, {"r2"})
-        self.assertEqual(self.chosen(without=frozenset({entry("r2").number})), "r1")
+        self.assertEqual(
+            self.chosen(without=frozenset({entry("r2").incarnation_id})), "r1"
+        )
 
     def test_suspicion_time_doubles_and_an_answer_ends_it(self):
         self.make(entry("r1"))
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -160,7 +160,7 @@
         self.directory.set_services({"s": Service("s")})
         names = [state.entry.incarnation for state in self.directory.all()]
         self.assertEqual(names, ["r1", "r2"])
-        self.assertIsNone(self.directory.find_incarnation(entry("x").number))
+        self.assertIsNone(self.directory.find_incarnation(entry("x").incarnation_id))
 
     def test_a_service_that_is_added_later_has_its_replicas(self):
         self.directory.set_services({"s": Service("s")})
--- a/tests/replicas/test_load_reports.py
+++ b/tests/replicas/test_load_reports.py
@@ -117,7 +117,9 @@
 
     def received(self, name, replica):
         node = self.node_by_name[name]
-        return node.peers.at(self.clock.now_ms(), entry(replica).number).requests
+        return node.peers.at(
+            self.clock.now_ms(), entry(replica).incarnation_id
+        ).requests
 
 
 class LoadReportTests(unittest.TestCase):
@@ -295,7 +297,7 @@
         network.step(1)
         peers = network.node_by_name["c2"].peers
         self.assertEqual(
-            peers.at(network.clock.now_ms(), entry("r0").number),
+            peers.at(network.clock.now_ms(), entry("r0").incarnation_id),
             InFlightLoad(0, 900, 0),
         )
 
--- a/tests/weights/test_announcer.py
+++ b/tests/weights/test_announcer.py
@@ -23,7 +23,7 @@
 class LoadAnnouncerTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.names = [f"i-{number:010x}" for number in range(300)]
-        self.numbers = [entry(name).number for name in self.names]
+        self.numbers = [entry(name).incarnation_id for name in self.names]
         self.directory = ReplicaDirectory()
         entries = [entry(name, version=1) for name in self.names]
         self.directory.on_full_read(0, entries, after_outage=False)
@@ -74,5 +74,5 @@
         self.assertEqual(self.are_loading(), [])
         await self.announcer.announce_loaded(self.numbers[0], "m", 2)
         self.assertEqual(self.directory.find(name).version_by_model, {"m": 1})
-        await self.announcer.announce_loading([again.number], "m", 2, 5_000)
+        await self.announcer.announce_loading([again.incarnation_id], "m", 2, 5_000)
         self.assertEqual(self.are_loading(), [name])
--- a/tests/weights/test_incarnations.py
+++ b/tests/weights/test_incarnations.py
@@ -37,7 +37,7 @@
         self.directory = ReplicaDirectory()
         row = entry("r1", version=1, started_ms=1_000)
         self.directory.on_full_read(0, [row], after_outage=False)
-        self.order = Order("r1", row.number, "r1:80", "m", 2)
+        self.order = Order("r1", row.incarnation_id, "r1:80", "m", 2)
         self.task = WeightTask(
             clock=ManualClock(),
             lease=_Lease(),
