--- a/fireflyward/forwarding/_request_run.py
+++ b/fireflyward/forwarding/_request_run.py
@@ -180,7 +180,7 @@
     async def _connect(
         self, replica: ReplicaState, left_ms: float
     ) -> HttpConnection | NotConnected:
-        return await self._deps.pool.take(
+        return await self._deps.pool.acquire(
             replica.entry.address,
             connect_ms=min(_CONNECT_TIMEOUT_MS, left_ms),
             fresh=replica.is_suspect(self._clock.now_ms()),
--- a/fireflyward/http1/_pool.py
+++ b/fireflyward/http1/_pool.py
@@ -31,7 +31,7 @@
 class ConnectionPool:
     """Lends connections; the freshest idle one first.
 
-    connection = await pool.take("10.0.0.1:80", connect_ms=300)
+    connection = await pool.acquire("10.0.0.1:80", connect_ms=300)
     ...
     pool.release(connection)
     """
@@ -43,7 +43,7 @@
         self._idle_by_address: dict[str, deque[HttpConnection]] = {}
         self.opened = 0
 
-    async def take(
+    async def acquire(
         self, address: str, *, connect_ms: float, fresh: bool = False
     ) -> HttpConnection | NotConnected:
         """Return an idle connection or open one within ``connect_ms``.
--- a/fireflyward/platform/_replica_api.py
+++ b/fireflyward/platform/_replica_api.py
@@ -210,7 +210,7 @@
         limit_ms: float,
     ) -> FullResponse | None:
         began_ms = self._clock.now_ms()
-        connection = await self._pool.take(address, connect_ms=limit_ms)
+        connection = await self._pool.acquire(address, connect_ms=limit_ms)
         if isinstance(connection, NotConnected):
             return self._no_answer(address, target, connection.detail)
         connection.send(method, target, headers, body)
--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -228,7 +228,7 @@
         self, method: str, target: str, body: bytes, limit_ms: float
     ) -> _Answer | Unavailable | Uncertain:
         self.calls += 1
-        connection = await self._pool.take(
+        connection = await self._pool.acquire(
             self._address, connect_ms=_CONNECT_MS, fresh=self._suspects_silence
         )
         if isinstance(connection, NotConnected):
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -212,7 +212,7 @@
 
     async def _check(self, replica: ReplicaState) -> bool:
         """Check now whether a replica listens, before its entry expires."""
-        connection = await self._pool.take(
+        connection = await self._pool.acquire(
             replica.entry.address, connect_ms=_CONNECT_MS, fresh=True
         )
         self._checked.discard(replica.incarnation_id)
--- a/fireflyward/reach/_task.py
+++ b/fireflyward/reach/_task.py
@@ -181,7 +181,7 @@
                 connection.close()
 
     async def _can_connect(self, replica: ReplicaState) -> bool:
-        connection = await self._pool.take(
+        connection = await self._pool.acquire(
             replica.entry.address, connect_ms=_CONNECT_MS, fresh=True
         )
         if isinstance(connection, NotConnected):
--- a/tests/forwarding/test_unresponsive_replicas.py
+++ b/tests/forwarding/test_unresponsive_replicas.py
@@ -50,7 +50,7 @@
     def __init__(self, connection):
         self._connection = connection
 
-    async def take(self, address, *, connect_ms, fresh=False):
+    async def acquire(self, address, *, connect_ms, fresh=False):
         return self._connection
 
 
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -42,7 +42,7 @@
         self.taken = []
         self.given_back = []
 
-    async def take(self, address, *, connect_ms, fresh=False):
+    async def acquire(self, address, *, connect_ms, fresh=False):
         self.taken.append(SilentConnection(address))
         await self.may_open.wait()
         return self.taken[-1]
--- a/tests/http1/test_connection.py
+++ b/tests/http1/test_connection.py
@@ -81,7 +81,7 @@
         await self.server.stop()
 
     async def exchange(self, address):
-        connection = await self.pool.take(address, connect_ms=1_000)
+        connection = await self.pool.acquire(address, connect_ms=1_000)
         connection.send("GET", "/x", [("Host", "h")])
         events = []
         while not events or not isinstance(events[-1], End | Broken):
@@ -186,7 +186,7 @@
         server.close()
         await server.wait_closed()
         pool = ConnectionPool(Clock())
-        result = await pool.take(address, connect_ms=500)
+        result = await pool.acquire(address, connect_ms=500)
         self.assertIsInstance(result, NotConnected)
 
     async def test_connection_older_than_its_keep_alive_is_not_used(self):
@@ -203,7 +203,7 @@
         pool = ConnectionPool(clock)
         for advance_ms in (0, 700):
             clock.ms += advance_ms
-            connection = await pool.take(address, connect_ms=500)
+            connection = await pool.acquire(address, connect_ms=500)
             connection.send("GET", "/", [("Host", "h")])
             while not isinstance(await connection.next_event(), End):
                 pass
--- a/tests/reach/test_task.py
+++ b/tests/reach/test_task.py
@@ -29,7 +29,7 @@
         self.refusing = set()
         self.probed = []
 
-    async def take(self, address, *, connect_ms, fresh):
+    async def acquire(self, address, *, connect_ms, fresh):
         name = address.partition(":")[0]
         self.probed.append(name)
         if name in self.silent:
