--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -174,7 +174,7 @@
         gone += self._directory.drop(found.foreign)
         self.is_known = True
         for state in [*gone, *self._directory.expire(now_ms)]:
-            self._pool.forget(state.entry.address)
+            self._pool.close_idle(state.entry.address)
             self._on_gone(state)
 
     def _unsays_leaving(self, entry: ReplicaEntry) -> bool:
--- a/fireflyward/http1/_pool.py
+++ b/fireflyward/http1/_pool.py
@@ -65,7 +65,7 @@
         while idle and self._is_stale(idle[0]):
             idle.popleft().close()
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address whose replica is gone."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.close()
@@ -73,7 +73,7 @@
     def close(self) -> None:
         """Close every idle connection."""
         for address in list(self._idle_by_address):
-            self.forget(address)
+            self.close_idle(address)
 
     def _take_idle(self, address: str) -> HttpConnection | None:
         idle = self._idle_by_address.get(address)
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -144,7 +144,7 @@
         self.view = ReplicaView(
             clock=self.clock,
             directory=self.directory,
-            pool=types.SimpleNamespace(forget=lambda address: None),
+            pool=types.SimpleNamespace(close_idle=lambda address: None),
             on_gone=self.gone.append,
         )
 
