--- a/fireflyward/deployment/_configuration.py
+++ b/fireflyward/deployment/_configuration.py
@@ -39,7 +39,7 @@
     priority: int
     max_attempts: int
     shares: tuple[ServiceShare, ...]
-    is_open: bool = False
+    allows_anonymous: bool = False
     has_prefixes: bool = False
     is_resumable: bool = False
     pause_ms: int = 0
--- a/fireflyward/platform/_configuration.py
+++ b/fireflyward/platform/_configuration.py
@@ -176,7 +176,7 @@
         priority=whole(raw.priority),
         max_attempts=whole(raw.max_attempts),
         shares=tuple(shares),
-        is_open=raw.allow_anonymous,
+        allows_anonymous=raw.allow_anonymous,
         has_prefixes=raw.sticky,
         is_resumable=raw.resumable,
         pause_ms=whole(raw.gap_target_ms),
--- a/fireflyward/routes/_table.py
+++ b/fireflyward/routes/_table.py
@@ -124,7 +124,7 @@
         if route is None:
             return self._reject_missing(now_ms, Reason.UNKNOWN_ROUTE, "no such route")
         account = self._account_by_key.get(key) if key else None
-        if self._configuration.accounts is not None and not route.is_open:
+        if self._configuration.accounts is not None and not route.allows_anonymous:
             if not self.may_accept_keys(now_ms):
                 return NotRun(Reason.PLATFORM_AWAY, "keys are too old", _RETRY_AFTER_MS)
             if account is None:
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -79,7 +79,7 @@
         self.assertIsInstance(self.decide(4_700), Allowed)
 
     def test_open_routes_require_neither_a_key_nor_the_store(self):
-        self.table.apply(configuration(2, (route("/a/", is_open=True),)))
+        self.table.apply(configuration(2, (route("/a/", allows_anonymous=True),)))
         allowed = self.decide(60_000, key=None)
         self.assertIsNone(allowed.account)
 
