--- a/fireflyward/http1/__init__.py
+++ b/fireflyward/http1/__init__.py
@@ -14,8 +14,8 @@
     Head,
     HttpConnection,
 )
+from ._full_response import FullResponse, NoResponse, read_full_response
 from ._pool import ConnectionPool, NotConnected
-from ._whole import FullResponse, NoResponse, read_full_response
 
 __all__ = [
     "BodyPart",
--- a/fireflyward/platform/_configuration.py
+++ b/fireflyward/platform/_configuration.py
@@ -19,7 +19,7 @@
 )
 
 from ._decoding import decoded
-from ._figures import Figure, whole
+from ._numbers import Figure, whole
 
 log = logging.getLogger("fireflyward.platform")
 
--- a/fireflyward/platform/_replica_list.py
+++ b/fireflyward/platform/_replica_list.py
@@ -7,7 +7,7 @@
 from fireflyward.deployment import ModelWeights, ReplicaEntry
 
 from ._decoding import decoded
-from ._figures import Figure, whole
+from ._numbers import Figure, whole
 
 
 class _State(enum.Enum):
--- a/fireflyward/platform/_settings.py
+++ b/fireflyward/platform/_settings.py
@@ -6,7 +6,7 @@
 
 from fireflyward.deployment import Bounds, FleetSettings, StoreLimits
 
-from ._figures import Figure, whole
+from ._numbers import Figure, whole
 
 SETTINGS_VARIABLE = "FIREFLYWARD_BOOT"
 _MS_PER_S = 1_000
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -9,7 +9,7 @@
     decode_replica,
     decode_weight_target,
 )
-from tests.platform.figures import changed, figures
+from tests.platform.json_numbers import changed, figures
 from tests.platform_standins import CONFIGURATION
 
 ENTRY = {
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from fireflyward.platform import BadSettings, load_settings
-from tests.platform.figures import changed, figures
+from tests.platform.json_numbers import changed, figures
 from tests.platform_standins import settings_text
 
 BOUNDS = (
