--- a/fireflyward/notices/_task.py
+++ b/fireflyward/notices/_task.py
@@ -66,7 +66,7 @@
         is_same = facts.incarnation == replica.entry.incarnation
         if facts.is_other_replica and not is_same:
             return
-        self._warn_unreadable(replica, facts.notices.unreadable)
+        self._warn_unreadable(replica, facts.notices.invalid_headers)
         self._record_backoff(replica, facts.notices.backoff_ms)
         if facts.notices.leaving is True and not replica.backpressure.is_leaving:
             self._record_leaving(replica, "its answer")
--- a/fireflyward/platform/_notices.py
+++ b/fireflyward/platform/_notices.py
@@ -43,7 +43,7 @@
     backoff_ms: float | InvalidHeader = 0.0
 
     @property
-    def unreadable(self) -> tuple[InvalidHeader, ...]:
+    def invalid_headers(self) -> tuple[InvalidHeader, ...]:
         """Return the headers that could not be read."""
         found = self.limit, self.leaving, self.backoff_ms
         return tuple(item for item in found if isinstance(item, InvalidHeader))
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -117,7 +117,7 @@
         self.assertIsNone(self.facts(200).notices.limit)
         for bad in ("x", "", "nan", "inf", "-1", "1e3", "1_0", "4 a second"):
             notices = self.facts(200, ("server-limit", bad)).notices
-            self.assertEqual(notices.unreadable, (InvalidHeader("server-limit", bad),))
+            self.assertEqual(notices.invalid_headers, (InvalidHeader("server-limit", bad),))
 
     def test_answers_keep_their_headers_but_the_connections(self):
         head = Head(
