--- a/fireflyward/platform/__init__.py
+++ b/fireflyward/platform/__init__.py
@@ -1,4 +1,7 @@
-"""The users' platform: its names, formats and calls; nothing here decides."""
+"""Adapter for the users' platform: its wire names, its formats and its calls.
+
+This package only encodes and decodes; it takes no decisions.
+"""
 
 from ._configuration import (
     decode_configuration,
--- a/fireflyward/platform/_decoding.py
+++ b/fireflyward/platform/_decoding.py
@@ -1,4 +1,4 @@
-"""Reading what others wrote: a value of the wanted type, or nothing."""
+"""Decodes JSON from other writers, without raising on malformed input."""
 
 from typing import TypeVar
 
@@ -7,14 +7,14 @@
 T = TypeVar("T")
 
 
-def decoded(value: bytes, kind: type[T]) -> T | None:
-    """Decode JSON into ``kind``; None for bytes that are nothing of that kind.
+def decode_json(value: bytes, kind: type[T]) -> T | None:
+    """Decode JSON into ``kind``; return None if the bytes don't match that type.
 
-    Rows and answers may come from writers that this system does not know. An error
-    that got past the adapter would end the process in which it is read, and with it
-    every process, since all read the same.
+    Rows and responses may come from writers outside this system. An exception that
+    got past the adapter would crash the process that reads them, and so every
+    process, since all processes read the same rows.
 
-    >>> decoded(b'[1, 2]', list[int]), decoded(b'{"a"', list[int])
+    >>> decode_json(b'[1, 2]', list[int]), decode_json(b'{"a"', list[int])
     ([1, 2], None)
     """
     try:
--- a/fireflyward/platform/_notices.py
+++ b/fireflyward/platform/_notices.py
@@ -1,14 +1,14 @@
-"""What replicas ask of their callers in the headers of their responses."""
+"""Response headers with which replicas limit or stop the requests they get."""
 
 import re
 from dataclasses import dataclass
 
 from fireflyward.http1 import Head
 
-# Requests a second, from all nodes together.
+# Requests per second, from all nodes together.
 _LIMIT = "server-limit"
-# With 503: seconds in which the replica wants nothing from the node that it refused.
-_REST = "retry-after"
+# With status 503: for how many seconds the rejected node is to send no requests.
+_RETRY_AFTER = "retry-after"
 _UNAVAILABLE = 503
 _LEAVING = "server-leaving"
 _FLAGS = {"1": True, "0": False}
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """How many requests a second a replica takes from all nodes together."""
+    """How many requests per second a replica accepts from all nodes together."""
 
     per_second: float
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidHeader:
-    """A header whose value is none that it may have."""
+    """A header whose value cannot be decoded."""
 
     header: str
     value: str
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaNotices:
-    """What a response asks for; ``limit`` is None where it names none.
+    """What a response requests of the nodes; ``limit`` is None if it names none.
 
-    ``leaving`` tells that the replica leaves and is to get nothing more, and
-    ``backoff_ms`` for how long it wants nothing from the node that it answered.
+    ``leaving`` means that the replica is leaving and is to get no more requests.
+    ``backoff_ms`` is how long the node that got the response is to send none.
     """
 
     limit: RateLimit | InvalidHeader | None = None
@@ -44,13 +44,13 @@
 
     @property
     def invalid_headers(self) -> tuple[InvalidHeader, ...]:
-        """Return the headers that could not be read."""
+        """Return the headers that could not be decoded."""
         found = self.limit, self.leaving, self.backoff_ms
         return tuple(item for item in found if isinstance(item, InvalidHeader))
 
 
 def decode_notices(head: Head) -> ReplicaNotices:
-    """Return what a response asks of this system's nodes.
+    """Return what a response requests of this system's nodes.
 
     >>> decode_notices(Head(200, "", (("server-limit", "3.5"),))).limit
     RateLimit(per_second=3.5)
@@ -58,7 +58,7 @@
     return ReplicaNotices(
         limit=_limit(head.get(_LIMIT)),
         leaving=_leaving(head.get(_LEAVING)),
-        backoff_ms=_rest_ms(head),
+        backoff_ms=_backoff_ms(head),
     )
 
 
@@ -75,16 +75,16 @@
     return _FLAGS.get(value.strip(), InvalidHeader(_LEAVING, value))
 
 
-def _rest_ms(head: Head) -> float | InvalidHeader:
-    value = head.get(_REST)
+def _backoff_ms(head: Head) -> float | InvalidHeader:
+    value = head.get(_RETRY_AFTER)
     if value is None or head.status != _UNAVAILABLE:
         return 0.0
     seconds = _decimal(value)
-    return InvalidHeader(_REST, value) if seconds is None else 1_000 * seconds
+    return InvalidHeader(_RETRY_AFTER, value) if seconds is None else 1_000 * seconds
 
 
 def _decimal(value: str) -> float | None:
-    """Return a decimal number without a sign, None for anything else.
+    """Return the value of an unsigned decimal number, None for anything else.
 
     >>> _decimal(" 4.5 "), _decimal("nan"), _decimal("-1")
     (4.5, None, None)
--- a/fireflyward/platform/_numbers.py
+++ b/fireflyward/platform/_numbers.py
@@ -1,19 +1,19 @@
-"""Numbers on the wire: bounds, limits, rates and sizes, whole or not."""
+"""Numbers on the wire: bounds, limits, rates and sizes, with or without a fraction."""
 
 from typing import Annotated
 
 import msgspec
 
-# A figure that is worked out from a ratio comes as 35.8 where another deployment has
-# 430. A field that took whole numbers only would keep every process of such a
-# deployment from starting. Text and negative numbers still are errors.
-Figure = Annotated[float, msgspec.Meta(ge=0)]
+# Some deployments calculate a setting from a ratio and write 35.8 where others write
+# 430. A field that accepted only integers would keep every process of such a
+# deployment from starting. Text and negative numbers are still errors.
+NonNegativeNumber = Annotated[float, msgspec.Meta(ge=0)]
 
 
-def whole(figure: float) -> int:
-    """Return a figure without its fraction; limits so err to the strict side.
+def to_int(number: float) -> int:
+    """Return a number without its fraction, so that limits are rounded to be stricter.
 
-    >>> whole(2400.5), whole(430.0)
+    >>> to_int(2400.5), to_int(430.0)
     (2400, 430)
     """
-    return int(figure)
+    return int(number)
--- a/fireflyward/platform/_replica_api.py
+++ b/fireflyward/platform/_replica_api.py
@@ -1,4 +1,4 @@
-"""Calls to a replica beside requests: its report, and orders to load weights."""
+"""Calls to a replica other than requests: its report, and orders to load weights."""
 
 import logging
 from dataclasses import dataclass
@@ -16,26 +16,27 @@
 )
 from fireflyward.prefixes import KvEvent, KvUpdate, PartKey
 
-from ._decoding import decoded
+from ._decoding import decode_json
 
 log = logging.getLogger("fireflyward.platform")
 
-_REPORT = "/-/report"
-_ORDER = "/-/order"
-_KV_EVENTS = "/-/kv-events"
-_KV_LIST = "/-/kv-list"
-_KV_FREE = "/-/kv-free"
+_REPORT_PATH = "/-/report"
+_ORDER_PATH = "/-/order"
+_KV_EVENTS_PATH = "/-/kv-events"
+_KV_LIST_PATH = "/-/kv-list"
+_KV_FREE_PATH = "/-/kv-free"
 T = TypeVar("T")
 _ACCEPTED = 202
-_ALREADY = 200
+_ALREADY_DONE = 200
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaReport:
-    """A replica's own word, some hundred ms old.
+    """The state that a replica reports; it is a few hundred ms old.
 
-    ``orders`` counts the orders that it has accepted since its start, which was at
-    ``started_ms`` by its wall clock, 0 if it does not say.
+    ``orders`` counts the orders that the replica has accepted since it started.
+    ``started_ms`` is the time of that start by the replica's wall clock, 0 if the
+    report doesn't contain it.
     """
 
     is_loading: bool
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderResult:
-    """What became of an order: ``is_known`` is false when no answer came."""
+    """The result of an order; ``is_known`` is false if the replica did not respond."""
 
     is_accepted: bool
     is_known: bool
@@ -66,12 +67,15 @@
     queued: int = 0
     active: int = 0
     models: list[_Model] = []
-    # The wall clock at the start of the replica, in ms.
+    # Start of the replica by its wall clock, in ms.
     born: int = 0
 
 
 class _KvEvents(msgspec.Struct, rename="kebab"):
-    """Each event: number, + or -, salt, part, tokens stored now, model."""
+    """Changes of a KV cache store.
+
+    Each event consists of number, + or -, salt, part, tokens stored now, model.
+    """
 
     boot_epoch: int
     next: int
@@ -80,7 +84,7 @@
 
 
 class _KvList(msgspec.Struct, rename="kebab"):
-    """Each entry: salt, part, tokens, model."""
+    """All entries of a KV cache store; each consists of salt, part, tokens, model."""
 
     boot_epoch: int
     next: int
@@ -88,7 +92,7 @@
 
 
 class ReplicaApi:
-    """Speaks to replicas; nothing is sent a second time by itself."""
+    """Sends calls to replicas and KV cache stores; it never retries a call."""
 
     __slots__ = ("_clock", "_pool")
 
@@ -99,12 +103,14 @@
     async def report(
         self, address: str, incarnation: str, *, limit_ms: float
     ) -> ReplicaReport | None:
-        """Return a replica's report, None if none came in time."""
+        """Return a replica's report, None if none arrived in time."""
         headers = [("Host", address), ("X-Expect-Instance", incarnation)]
-        answer = await self._call(address, "GET", _REPORT, headers, b"", limit_ms)
-        if answer is None or answer.status != 200:
+        response = await self._call(
+            address, "GET", _REPORT_PATH, headers, b"", limit_ms
+        )
+        if response is None or response.status != 200:
             return None
-        raw = _readable(answer.body, _Report, address)
+        raw = _decode_response(response.body, _Report, address)
         if raw is None:
             return None
         versions = {item.name: item.version for item in raw.models}
@@ -127,8 +133,9 @@
     ) -> OrderResult:
         """Order a replica to load weights.
 
-        ``orders_seen`` keeps an order that arrives late from being carried out
-        after newer ones, the incarnation from reaching a restarted replica.
+        ``orders_seen`` keeps a replica from carrying out an order that arrives
+        after newer ones; the incarnation keeps the order from reaching a replica
+        that has restarted.
         """
         body = {
             "operation": "version",
@@ -144,26 +151,26 @@
             ("Content-Type", "application/json"),
             ("X-Expect-Instance", incarnation),
         ]
-        answer = await self._call(
-            address, "POST", _ORDER, headers, msgspec.json.encode(body), limit_ms
+        response = await self._call(
+            address, "POST", _ORDER_PATH, headers, msgspec.json.encode(body), limit_ms
         )
-        if answer is None:
-            return OrderResult(False, False, "no answer")
-        accepted = answer.status in (_ACCEPTED, _ALREADY)
-        text = answer.body[:60].decode("latin-1")
-        return OrderResult(accepted, True, f"{answer.status} {text}")
+        if response is None:
+            return OrderResult(False, False, "no response")
+        accepted = response.status in (_ACCEPTED, _ALREADY_DONE)
+        text = response.body[:60].decode("latin-1")
+        return OrderResult(accepted, True, f"{response.status} {text}")
 
     async def kv_events(
         self, address: str, *, since: int, wait_ms: int, limit_ms: float
     ) -> KvUpdate | None:
-        """Wait for what changed at a store, None if it did not answer."""
+        """Wait for changes of a KV cache store; return None if it did not respond."""
         headers = [("Host", address), ("Wait-Ms", str(wait_ms))]
-        target = f"{_KV_EVENTS}?since={since}"
+        target = f"{_KV_EVENTS_PATH}?since={since}"
         limit_ms += wait_ms
-        answer = await self._call(address, "GET", target, headers, b"", limit_ms)
-        if answer is None or answer.status != 200:
+        response = await self._call(address, "GET", target, headers, b"", limit_ms)
+        if response is None or response.status != 200:
             return None
-        raw = _readable(answer.body, _KvEvents, address)
+        raw = _decode_response(response.body, _KvEvents, address)
         if raw is None:
             return None
         events = tuple(
@@ -173,12 +180,14 @@
         return KvUpdate(raw.boot_epoch, events, raw.next, since=since, has_gap=raw.lost)
 
     async def kv_list(self, address: str, *, limit_ms: float) -> KvUpdate | None:
-        """Return all that a store holds whole, None if it did not answer."""
+        """Return the full content of a KV cache store, None if it did not respond."""
         headers = [("Host", address)]
-        answer = await self._call(address, "GET", _KV_LIST, headers, b"", limit_ms)
-        if answer is None or answer.status != 200:
+        response = await self._call(
+            address, "GET", _KV_LIST_PATH, headers, b"", limit_ms
+        )
+        if response is None or response.status != 200:
             return None
-        raw = _readable(answer.body, _KvList, address)
+        raw = _decode_response(response.body, _KvList, address)
         if raw is None:
             return None
         events = tuple(
@@ -189,16 +198,16 @@
     async def kv_free(
         self, address: str, *, epoch: int, keys: list[PartKey], limit_ms: float
     ) -> bool:
-        """Have a store free parts at once; return whether it did."""
+        """Have a KV cache store free parts at once; return whether it did so."""
         body = {
             "parts": [[key.salt, key.part_id] for key in keys],
             "boot-epoch": epoch,
         }
         headers = [("Host", address), ("Content-Type", "application/json")]
-        answer = await self._call(
-            address, "POST", _KV_FREE, headers, msgspec.json.encode(body), limit_ms
+        response = await self._call(
+            address, "POST", _KV_FREE_PATH, headers, msgspec.json.encode(body), limit_ms
         )
-        return answer is not None and answer.status == 200
+        return response is not None and response.status == 200
 
     async def _call(
         self,
@@ -209,27 +218,27 @@
         body: bytes,
         limit_ms: float,
     ) -> FullResponse | None:
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         connection = await self._pool.acquire(address, connect_ms=limit_ms)
         if isinstance(connection, NotConnected):
-            return self._no_answer(address, target, connection.detail)
+            return self._log_no_response(address, target, connection.detail)
         connection.send(method, target, headers, body)
-        left_ms = limit_ms - (self._clock.now_ms() - began_ms)
-        answer = await read_full_response(
-            connection, clock=self._clock, limit_ms=left_ms
+        remaining_ms = limit_ms - (self._clock.now_ms() - started_ms)
+        response = await read_full_response(
+            connection, clock=self._clock, limit_ms=remaining_ms
         )
-        if isinstance(answer, NoResponse):
-            return self._no_answer(address, target, answer.detail)
+        if isinstance(response, NoResponse):
+            return self._log_no_response(address, target, response.detail)
         self._pool.release(connection)
-        return answer
+        return response
 
-    def _no_answer(self, address: str, target: str, detail: str) -> None:
+    def _log_no_response(self, address: str, target: str, detail: str) -> None:
         log.debug("platform: %s of %s: %s", target, address, detail)
 
 
-def _readable(body: bytes, kind: type[T], address: str) -> T | None:
-    """Decode an answer; one that cannot be read is as good as none."""
-    found = decoded(body, kind)
+def _decode_response(body: bytes, kind: type[T], address: str) -> T | None:
+    """Decode a response; return None if it is malformed, as if there were none."""
+    found = decode_json(body, kind)
     if found is None:
-        log.warning("platform: an answer of %s is unreadable", address)
+        log.warning("platform: response of %s cannot be decoded", address)
     return found
--- a/fireflyward/platform/_replica_list.py
+++ b/fireflyward/platform/_replica_list.py
@@ -1,4 +1,4 @@
-"""The rows that replicas keep of themselves."""
+"""Decodes the rows in which replicas register themselves."""
 
 import enum
 
@@ -6,8 +6,8 @@
 
 from fireflyward.deployment import ModelWeights, ReplicaEntry
 
-from ._decoding import decoded
-from ._numbers import Figure, whole
+from ._decoding import decode_json
+from ._numbers import NonNegativeNumber, to_int
 
 
 class _State(enum.Enum):
@@ -21,29 +21,29 @@
 
 
 class _Entry(msgspec.Struct, rename="kebab"):
-    """What is told without a default stands in every entry of a replica's own."""
+    """A replica's entry; replicas always write the fields that have no default."""
 
     service: str
     address: str
     zone: str
-    # Of the replica's software; its weights have versions of their own.
+    # Version of the replica's software; its weights have their own versions.
     version: str
-    slots: Figure
+    slots: NonNegativeNumber
     state: _State
-    # Nothing to do with feeds: the renewals that this start has made.
+    # How often this incarnation has renewed its entry; unrelated to feed versions.
     sequence: int
-    cold_remaining_ms: Figure
-    # The wall clock at its start, in ms. Not every platform tells it.
+    cold_remaining_ms: NonNegativeNumber
+    # Start of the replica by its wall clock, in ms. Some platforms don't report it.
     born: int = 0
     models: list[_Model] = []
 
 
 def decode_replica(name: str, value: bytes) -> ReplicaEntry | None:
-    """Decode one row; None where another writer left one that names no replica.
+    """Decode one row; return None if another writer wrote a malformed entry.
 
-    The row's key names a replica, and ``started_ms`` tells its starts apart.
+    The row's key names a replica; ``started_ms`` distinguishes its incarnations.
     """
-    raw = decoded(value, _Entry)
+    raw = decode_json(value, _Entry)
     if raw is None or not _is_address(raw.address) or not raw.service:
         return None
     return ReplicaEntry(
@@ -51,16 +51,16 @@
         service=raw.service,
         address=raw.address,
         failure_domain=raw.zone,
-        slots=max(1, whole(raw.slots)),
+        slots=max(1, to_int(raw.slots)),
         is_leaving=raw.state is _State.LEAVING,
-        cold_ms=whole(raw.cold_remaining_ms),
+        cold_ms=to_int(raw.cold_remaining_ms),
         weights=tuple(ModelWeights(item.name, item.version) for item in raw.models),
         started_ms=raw.born,
     )
 
 
 def _is_address(text: str) -> bool:
-    """Tell whether a text is ``IP:PORT``.
+    """Return whether a text is ``IP:PORT``.
 
     >>> _is_address("10.2.64.17:8729"), _is_address("10.2.64.17"), _is_address(":1")
     (True, False, False)
--- a/fireflyward/platform/_requests.py
+++ b/fireflyward/platform/_requests.py
@@ -1,4 +1,4 @@
-"""Headers: what callers send, what replicas get, what comes back."""
+"""Headers of callers' requests, of requests to replicas, and of responses."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 _KEY = "authorization"
 _KEY_SCHEME = "bearer "
 _MODEL = "x-model"
-# Two numbers, and only the second is a limit: prompt tokens, most output tokens.
+# Two numbers: the prompt tokens, and the limit of the output tokens.
 _TOKENS = "x-token-usage"
 _PARTS = "x-prompt-prefix"
 _LAST_EVENT = "last-event-id"
 _LENGTH_HINT = "x-length-hint"
 _SIGNATURE = "x-server-seal"
 _NOT_EXECUTED = "x-not-executed"
-# Running, waiting, slots.
+# Running requests, waiting requests, slots.
 _LOAD = "x-server-load"
 _WEIGHTS = "x-weight-versions"
 _ENCODING = "content-encoding"
@@ -35,9 +35,9 @@
 _KV_SOURCE = "X-Kv-Fetch"
 _KV_SAVE = "X-Kv-Save"
 
-# Headers that only this system may set: a caller that sends one would choose
-# another account's cache or hold capacity that it was not given.
-_SYSTEM_SETS = frozenset(
+# Headers that only this system may set: with one of them a caller could read another
+# account's cache or reserve capacity that it was not granted.
+_SYSTEM_HEADERS = frozenset(
     (
         _DEADLINE,
         _KEY,
@@ -56,7 +56,7 @@
         _LAST_EVENT,
     )
 )
-_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -82,14 +82,17 @@
     Reason.HEADERS_TOO_LARGE: 431,
     Reason.OVER_LIMIT: 429,
 }
-_NOT_RUN = 503
+_SERVICE_UNAVAILABLE = 503
 _GATEWAY_TIMEOUT = 504
 _BAD_GATEWAY = 502
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt; equal ids are equal text, so its KV can be reused."""
+    """One part of a prompt.
+
+    Parts with equal ids have equal text, so their KV can be reused.
+    """
 
     part_id: str
     tokens: int
@@ -97,10 +100,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A request as the caller sent it; ``target`` is path and query, untouched.
+    """A request as the caller sent it; ``target`` is the unchanged path and query.
 
-    ``deadline_ms`` is how long the caller will wait, None if it did not say.
-    ``headers`` are those that go on to the replica as they came.
+    ``deadline_ms`` is how long the caller waits, None if it sent no deadline.
+    ``headers`` are those that are forwarded to the replica unchanged.
     """
 
     request_id: str
@@ -124,9 +127,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaHeaders:
-    """What this system tells a replica beside the caller's own headers.
+    """Headers that this system sends to a replica beside those of the caller.
 
-    ``stored_tokens`` of the prompt come from a store; that goes into no header.
+    ``stored_tokens`` is how many tokens of the prompt come from a KV cache store;
+    no header contains it.
     """
 
     incarnation: str
@@ -143,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLoad:
-    """Requests that run and wait at a replica, and how many it runs at once."""
+    """Numbers of running and of waiting requests of a replica, and of its slots."""
 
     running: int
     waiting: int
@@ -152,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseFacts:
-    """What a replica's response says of itself."""
+    """Facts about a response and its replica, taken from the response headers."""
 
     request_id: str | None
     is_signed: bool
@@ -168,7 +172,7 @@
 def decode_request(
     method: str, target: str, headers: Iterable[tuple[str, str]]
 ) -> CallerRequest | NotRun:
-    """Decode a caller's request; a malformed one is refused with the reason."""
+    """Decode a caller's request; return the reason if it is malformed."""
     headers = tuple(headers)
     by_name = {name.lower(): value for name, value in reversed(headers)}
     request_id, host = by_name.get(_REQUEST_ID), by_name.get("host")
@@ -180,12 +184,12 @@
             method=method,
             host=host.partition(":")[0].lower(),
             target=target,
-            headers=_forwarded(headers, by_name.get("connection", "")),
-            deadline_ms=_number(by_name.get(_DEADLINE)),
-            key=_key(by_name.get(_KEY)),
+            headers=_forwarded_headers(headers, by_name.get("connection", "")),
+            deadline_ms=_deadline_ms(by_name.get(_DEADLINE)),
+            key=_bearer_key(by_name.get(_KEY)),
             model=by_name.get(_MODEL, ""),
-            prompt_tokens=_tokens(by_name.get(_TOKENS), 0),
-            max_output_tokens=_tokens(by_name.get(_TOKENS), 1),
+            prompt_tokens=_token_count(by_name.get(_TOKENS), 0),
+            max_output_tokens=_token_count(by_name.get(_TOKENS), 1),
             parts=_parts(by_name.get(_PARTS)),
             last_event_id=by_name.get(_LAST_EVENT),
         )
@@ -214,7 +218,7 @@
 
 
 def decode_response(head: Head) -> ResponseFacts:
-    """Return what a response says of the replica and of the request."""
+    """Return the facts that a response's headers contain."""
     weights = head.get(_WEIGHTS)
     return ResponseFacts(
         request_id=head.get(_REQUEST_ID),
@@ -230,19 +234,19 @@
 
 
 def response_headers(head: Head) -> list[tuple[str, str]]:
-    """Return a replica's headers that go to the caller, all but the connection's."""
-    return list(_forwarded(head.headers, head.get("connection") or "", ()))
+    """Return a replica's headers for the caller, without hop-by-hop headers."""
+    return list(_forwarded_headers(head.headers, head.get("connection") or "", ()))
 
 
 @singledispatch
 def status_of(outcome: Outcome) -> int:
-    """Return the status for an outcome that is no replica's answer."""
-    raise TypeError(f"no status for {outcome!r}")
+    """Return the HTTP status for an outcome other than a replica's response."""
+    raise TypeError(f"no HTTP status is defined for {outcome!r}")
 
 
 @status_of.register
 def _(outcome: NotRun) -> int:
-    return _STATUS_BY_REASON.get(outcome.reason, _NOT_RUN)
+    return _STATUS_BY_REASON.get(outcome.reason, _SERVICE_UNAVAILABLE)
 
 
 @status_of.register
@@ -260,26 +264,26 @@
 def rejection_headers(
     request_id: str | None, outcome: Outcome
 ) -> list[tuple[str, str]]:
-    """Return the headers of an answer that is this system's own."""
+    """Return the headers of a response that this system creates itself."""
     headers = [("X-Request-Id", request_id)] if request_id else []
     if isinstance(outcome, NotRun) and outcome.retry_after_ms:
         headers.append(("Retry-After", f"{outcome.retry_after_ms / 1_000:.2f}"))
     return headers
 
 
-def _forwarded(
+def _forwarded_headers(
     headers: Iterable[tuple[str, str]],
     connection: str,
-    withheld: Iterable[str] = _SYSTEM_SETS,
+    withheld: Iterable[str] = _SYSTEM_HEADERS,
 ) -> tuple[tuple[str, str], ...]:
-    """Leave out what concerns one connection and what is not the sender's to set."""
+    """Return the headers to forward, without hop-by-hop and ``withheld`` ones."""
     named = {item.strip().lower() for item in connection.split(",")}
-    hidden = _ONE_CONNECTION | named | frozenset(withheld)
+    hidden = _HOP_BY_HOP_HEADERS | named | frozenset(withheld)
     return tuple((name, value) for name, value in headers if name.lower() not in hidden)
 
 
 def _addresses(by_part: tuple[str | None, ...]) -> str | None:
-    """Encode one address for each part, a dash for none.
+    """Encode one address for each part; a dash stands for a part without one.
 
     >>> _addresses(("10.0.0.1:80", None)), _addresses((None,))
     ('10.0.0.1:80,-', None)
@@ -289,22 +293,22 @@
     return ",".join(address or "-" for address in by_part)
 
 
-def _number(value: str | None) -> float | None:
+def _deadline_ms(value: str | None) -> float | None:
     if value is None:
         return None
     number = float(value)
     if not 0 <= number < float("inf"):
-        raise ValueError(f"deadline {value!r} is no time in ms")
+        raise ValueError(f"deadline {value!r} is not a valid time in ms")
     return number
 
 
-def _key(value: str | None) -> str | None:
+def _bearer_key(value: str | None) -> str | None:
     if value is None or not value.lower().startswith(_KEY_SCHEME):
         return None
     return value[len(_KEY_SCHEME) :].strip()
 
 
-def _tokens(value: str | None, index: int) -> int:
+def _token_count(value: str | None, index: int) -> int:
     if not value:
         return 0
     numbers = value.split(",")
@@ -312,7 +316,7 @@
 
 
 def _parts(value: str | None) -> tuple[PromptPart, ...]:
-    """Decode ID:TOKENS entries.
+    """Decode a list of ``ID:TOKENS`` entries.
 
     >>> _parts("5c:800,91:410")
     (PromptPart(part_id='5c', tokens=800), PromptPart(part_id='91', tokens=410))
--- a/fireflyward/platform/_settings.py
+++ b/fireflyward/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process, as the deploy template lays it out (JSON)."""
+"""Decodes the settings file of a process; the deploy template defines its JSON."""
 
 from pathlib import Path
 
@@ -6,71 +6,74 @@
 
 from fireflyward.deployment import Bounds, FleetSettings, StoreLimits
 
-from ._numbers import Figure, whole
+from ._numbers import NonNegativeNumber, to_int
 
 SETTINGS_VARIABLE = "FIREFLYWARD_BOOT"
 _MS_PER_S = 1_000
 
 
 class BadSettings(Exception):
-    """The settings file is missing or has a wrong or missing field."""
+    """The settings file is missing, or a field is missing or wrong."""
 
 
-class _Dashed(msgspec.Struct, rename="kebab"):
-    """Field names on the wire have dashes; unknown fields are ignored."""
+class _KebabStruct(msgspec.Struct, rename="kebab"):
+    """A struct whose field names on the wire are in kebab case.
 
+    Unknown fields are ignored.
+    """
 
-class _Listen(_Dashed):
+
+class _Listen(_KebabStruct):
     front: str
     readiness: str
 
 
-class _MachineLimits(_Dashed):
-    memory_mb: Figure
-    link_mbps: Figure
+class _MachineLimits(_KebabStruct):
+    memory_mb: NonNegativeNumber
+    link_mbps: NonNegativeNumber
 
 
-class _Bounds(_Dashed):
-    # Rules whose contract is not in force have no figure; these fall back to the
-    # figures of the smallest deployments.
-    contact_ms: Figure = 3_000
-    drain_ms: Figure = 2_000
-    grace_s: Figure = 8
-    config_apply_ms: Figure = 2_000
-    revoke_ms: Figure = 5_000
+class _Bounds(_KebabStruct):
+    # Deployments omit the bounds of rules that don't apply to them; the defaults are
+    # the values of the smallest deployments.
+    contact_ms: NonNegativeNumber = 3_000
+    drain_ms: NonNegativeNumber = 2_000
+    grace_s: NonNegativeNumber = 8
+    config_apply_ms: NonNegativeNumber = 2_000
+    revoke_ms: NonNegativeNumber = 5_000
     fail_closed: bool = True
-    retry_budget_ratio: Figure = 0.2
-    budget_window_s: Figure = 10
-    budget_extra: Figure = 50
-    lease_ms: Figure = 3_000
-    thaw_slack_ms: Figure = 300
-    version_ms: Figure = 12_000
-    reuse_window_s: Figure = 20
+    retry_budget_ratio: NonNegativeNumber = 0.2
+    budget_window_s: NonNegativeNumber = 10
+    budget_extra: NonNegativeNumber = 50
+    lease_ms: NonNegativeNumber = 3_000
+    thaw_slack_ms: NonNegativeNumber = 300
+    version_ms: NonNegativeNumber = 12_000
+    reuse_window_s: NonNegativeNumber = 20
     require_fencing: bool = False
 
 
-class _Platform(_Dashed):
+class _Platform(_KebabStruct):
     address: str
-    writes_per_s: Figure
-    reads_per_s: Figure
-    history_s: Figure
+    writes_per_s: NonNegativeNumber
+    reads_per_s: NonNegativeNumber
+    history_s: NonNegativeNumber
 
 
-class _Settings(_Dashed):
+class _Settings(_KebabStruct):
     node_name: str
     ip: str
     zone: str
     zones: dict[str, str]
     listen: _Listen
-    internal_ports: tuple[Figure, Figure]
+    internal_ports: tuple[NonNegativeNumber, NonNegativeNumber]
     limits: _MachineLimits
-    heartbeat_ms: Figure
+    heartbeat_ms: NonNegativeNumber
     bounds: _Bounds
     platform: _Platform
 
 
 def load_settings(path: str) -> FleetSettings:
-    """Read and check the settings file; raise ``BadSettings`` with the reason."""
+    """Read and validate the settings file; raise ``BadSettings`` with the reason."""
     try:
         raw = msgspec.json.decode(Path(path).read_bytes(), type=_Settings)
     except OSError as error:
@@ -85,34 +88,34 @@
         failure_domains=tuple(sorted(raw.zones)),
         callers_address=raw.listen.front,
         readiness_address=raw.listen.readiness,
-        peer_ports=(whole(first_port), whole(last_port)),
-        memory_mb=whole(raw.limits.memory_mb),
+        peer_ports=(to_int(first_port), to_int(last_port)),
+        memory_mb=to_int(raw.limits.memory_mb),
         link_mbps=raw.limits.link_mbps,
-        heartbeat_ms=whole(raw.heartbeat_ms),
+        heartbeat_ms=to_int(raw.heartbeat_ms),
         bounds=_bounds(raw.bounds),
         store=StoreLimits(
             address=raw.platform.address,
             writes_per_second=raw.platform.writes_per_s,
             reads_per_second=raw.platform.reads_per_s,
-            history_ms=whole(raw.platform.history_s * _MS_PER_S),
+            history_ms=to_int(raw.platform.history_s * _MS_PER_S),
         ),
     )
 
 
 def _bounds(raw: _Bounds) -> Bounds:
     return Bounds(
-        contact_ms=whole(raw.contact_ms),
-        drain_ms=whole(raw.drain_ms),
-        grace_ms=whole(raw.grace_s * _MS_PER_S),
-        config_apply_ms=whole(raw.config_apply_ms),
-        revoke_ms=whole(raw.revoke_ms),
+        contact_ms=to_int(raw.contact_ms),
+        drain_ms=to_int(raw.drain_ms),
+        grace_ms=to_int(raw.grace_s * _MS_PER_S),
+        config_apply_ms=to_int(raw.config_apply_ms),
+        revoke_ms=to_int(raw.revoke_ms),
         fails_closed=raw.fail_closed,
         retry_ratio=raw.retry_budget_ratio,
-        retry_window_ms=whole(raw.budget_window_s * _MS_PER_S),
-        retry_extra=whole(raw.budget_extra),
-        lease_ms=whole(raw.lease_ms),
-        thaw_slack_ms=whole(raw.thaw_slack_ms),
-        version_ms=whole(raw.version_ms),
-        reuse_window_ms=whole(raw.reuse_window_s * _MS_PER_S),
+        retry_window_ms=to_int(raw.budget_window_s * _MS_PER_S),
+        retry_extra=to_int(raw.budget_extra),
+        lease_ms=to_int(raw.lease_ms),
+        thaw_slack_ms=to_int(raw.thaw_slack_ms),
+        version_ms=to_int(raw.version_ms),
+        reuse_window_ms=to_int(raw.reuse_window_s * _MS_PER_S),
         checks_fencing=raw.require_fencing,
     )
--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store: rows, conditional writes, the feed."""
+"""Client of the platform's store: reads, conditional writes and change feeds."""
 
 import base64
 import logging
@@ -26,7 +26,7 @@
     read_full_response,
 )
 
-from ._decoding import decoded
+from ._decoding import decode_json
 
 log = logging.getLogger("fireflyward.platform")
 
@@ -37,15 +37,15 @@
 REPLICA_TABLE = "servers"
 READINESS_PATH = "/-/readyz"
 
-_GET = "/-/rows-get"
-_FEED = "/-/rows-feed"
-_WRITE = "/-/rows-tx"
+_READ_PATH = "/-/rows-get"
+_FEED_PATH = "/-/rows-feed"
+_WRITE_PATH = "/-/rows-tx"
 _GONE = 410
 _CONDITION_FAILED = 412
 _CONNECT_MS = 500
-_ERA = "store-era"
-_ERA_DIGITS = 9
-_EARLIER_ERA = "an answer of an earlier era"
+_ERA_HEADER = "store-era"
+_MAX_ERA_DIGITS = 9
+_EARLIER_ERA_DETAIL = "response of an earlier era"
 
 
 class _Row(msgspec.Struct, rename="kebab"):
@@ -76,8 +76,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Answer:
-    """A response of the store, with the era in which it was given."""
+class _Response:
+    """A response of the store, with the era in which the store sent it."""
 
     status: int
     body: bytes
@@ -85,21 +85,21 @@
 
 
 class StoreClient:
-    """One client for all calls; each has its own connection while it lasts.
+    """Client for all calls to the store; each call in flight has its own connection.
 
-    Every answer other than the wanted one is a value: ``Unavailable`` means that
-    nothing was done, ``Uncertain`` that a write may have taken effect, also later.
+    Failures are returned as values: ``Unavailable`` means that nothing was done,
+    ``Uncertain`` that a write may have taken effect or may still do so.
 
-    ``eras`` hears of the era of each answer; a late one is ``Unavailable`` or
-    ``Uncertain``.
+    The client records the era of each response in ``eras``. For a late response of
+    an earlier era it returns ``Unavailable`` or ``Uncertain``.
     """
 
     __slots__ = (
         "_address",
         "_clock",
         "_pool",
-        "_suspects_silence",
-        "_unread_era",
+        "_needs_new_connection",
+        "_invalid_era_text",
         "calls",
         "eras",
     )
@@ -108,8 +108,8 @@
         self._address = address
         self._clock = clock
         self._pool = ConnectionPool(clock)
-        self._suspects_silence = False
-        self._unread_era: str | None = ""
+        self._needs_new_connection = False
+        self._invalid_era_text: str | None = ""
         self.calls = 0
         self.eras = Eras()
 
@@ -120,7 +120,7 @@
     async def rows(
         self, table: str, *, part: str = "", limit_ms: float = 1_000
     ) -> Snapshot | Unavailable:
-        """Read a whole table's part, page after page."""
+        """Read one part of a table completely, page by page."""
         rows: list[TableRow] = []
         first = None
         start = ""
@@ -128,20 +128,20 @@
             query = {"table": table, "part": part}
             if start:
                 query["from"] = start
-            page = await self._read(_GET, query, limit_ms)
+            page = await self._read(_READ_PATH, query, limit_ms)
             if isinstance(page, Unavailable):
                 return page
             if isinstance(page, HistoryLost):
-                return Unavailable("no history, though rows were asked for")
+                return Unavailable("lost history reported for a read of rows")
             first = first or page
             if page.era != first.era:
                 return Unavailable("the era changed between two pages")
             rows += page.rows
             if not page.has_more or not page.rows:
                 break
-            # The next page starts behind the last key: the least text above it.
+            # The next page starts at the smallest key after the last one.
             start = page.rows[-1].key + "\0"
-        # Later pages may be newer; the feed is read on from the first one's version.
+        # Later pages may be newer, so the feed continues from the first page's version.
         return Snapshot(tuple(rows), first.position)
 
     async def changes(
@@ -149,10 +149,10 @@
     ) -> Changes | HistoryLost | Unavailable:
         """Wait up to ``wait_ms`` for rows that changed after a position.
 
-        In another era than that of ``after`` the rows are not all that changed.
+        If the result is of another era than ``after``, it may lack changed rows.
         """
         query = {"table": table, "after": str(after.version), "wait-ms": str(wait_ms)}
-        page = await self._read(_FEED, query, wait_ms + limit_ms)
+        page = await self._read(_FEED_PATH, query, wait_ms + limit_ms)
         if isinstance(page, Unavailable | HistoryLost):
             return page
         return Changes(page.rows, page.position)
@@ -167,11 +167,11 @@
         deletes: Iterable[str] = (),
         limit_ms: float = 1_000,
     ) -> Committed | Conflict | Unavailable | Uncertain:
-        """Write all or nothing, if each key of ``expected`` stands as it was read.
+        """Write atomically if each key of ``expected`` still has the version read.
 
-        Version 0 is that of a row which is not there. A condition of an earlier era
-        may hold by chance, since versions are given out again: it is not sent, and a
-        write that met another era than its conditions is ``Uncertain``.
+        A missing row has version 0. Each era assigns the same version numbers again,
+        so a condition of an earlier era may hold by chance: such a write is not sent,
+        and a write that met another era than that of its conditions is ``Uncertain``.
         """
         if self.eras.may_hold_by_chance(expected.values()):
             return Conflict()
@@ -187,49 +187,53 @@
             ],
             "remove": [{**where, "key": key} for key in deletes],
         }
-        answer = await self._call("POST", _WRITE, msgspec.json.encode(body), limit_ms)
-        if isinstance(answer, Unavailable | Uncertain):
-            return answer
-        if answer.status not in (200, _CONDITION_FAILED):
-            return _refused(answer)
-        if any(answer.era != read.era for read in expected.values()):
-            return Uncertain(f"conditions were met in another era, {answer.era}")
-        if self.eras.is_late(answer.era):
-            return Uncertain(_EARLIER_ERA)
-        page = decoded(answer.body, _Rows)
+        response = await self._call(
+            "POST", _WRITE_PATH, msgspec.json.encode(body), limit_ms
+        )
+        if isinstance(response, Unavailable | Uncertain):
+            return response
+        if response.status not in (200, _CONDITION_FAILED):
+            return _rejected(response)
+        if any(response.era != read.era for read in expected.values()):
+            return Uncertain(
+                f"the store checked the conditions in another era, {response.era}"
+            )
+        if self.eras.is_late(response.era):
+            return Uncertain(_EARLIER_ERA_DETAIL)
+        page = decode_json(response.body, _Rows)
         if page is None:
-            return Uncertain("unreadable answer")
-        if answer.status == _CONDITION_FAILED:
+            return Uncertain("malformed response")
+        if response.status == _CONDITION_FAILED:
             return Conflict({row.key: row.ver for row in page.rows})
-        return Committed(dict.fromkeys(puts, page.ver), answer.era)
+        return Committed(dict.fromkeys(puts, page.ver), response.era)
 
     async def _read(
         self, path: str, query: Mapping[str, str], limit_ms: float
     ) -> _Page | HistoryLost | Unavailable:
         target = f"{path}?{urlencode(query)}"
-        answer = await self._call("GET", target, b"", limit_ms)
-        if isinstance(answer, Uncertain):
-            return Unavailable(answer.detail)
-        if isinstance(answer, Unavailable):
-            return answer
-        if self.eras.is_late(answer.era):
-            return Unavailable(_EARLIER_ERA)
-        if answer.status == _GONE:
+        response = await self._call("GET", target, b"", limit_ms)
+        if isinstance(response, Uncertain):
+            return Unavailable(response.detail)
+        if isinstance(response, Unavailable):
+            return response
+        if self.eras.is_late(response.era):
+            return Unavailable(_EARLIER_ERA_DETAIL)
+        if response.status == _GONE:
             return HistoryLost()
-        if answer.status != 200:
-            return _refused(answer)
-        page = decoded(answer.body, _Rows)
+        if response.status != 200:
+            return _rejected(response)
+        page = decode_json(response.body, _Rows)
         if page is None:
-            return Unavailable("unreadable answer")
-        rows = tuple(_table_row(row, answer.era) for row in page.rows)
-        return _Page(rows, Position(answer.era, page.ver), page.has_more)
+            return Unavailable("malformed response")
+        rows = tuple(_decode_row(row, response.era) for row in page.rows)
+        return _Page(rows, Position(response.era, page.ver), page.has_more)
 
     async def _call(
         self, method: str, target: str, body: bytes, limit_ms: float
-    ) -> _Answer | Unavailable | Uncertain:
+    ) -> _Response | Unavailable | Uncertain:
         self.calls += 1
         connection = await self._pool.acquire(
-            self._address, connect_ms=_CONNECT_MS, fresh=self._suspects_silence
+            self._address, connect_ms=_CONNECT_MS, fresh=self._needs_new_connection
         )
         if isinstance(connection, NotConnected):
             return Unavailable(connection.detail)
@@ -237,37 +241,40 @@
         if body:
             headers.append(("Content-Type", "application/json"))
         connection.send(method, target, headers, body)
-        answer = await read_full_response(
+        response = await read_full_response(
             connection, clock=self._clock, limit_ms=limit_ms
         )
-        self._suspects_silence = isinstance(answer, NoResponse)
-        if isinstance(answer, NoResponse):
-            return Uncertain(answer.detail)
+        self._needs_new_connection = isinstance(response, NoResponse)
+        if isinstance(response, NoResponse):
+            return Uncertain(response.detail)
         self._pool.release(connection)
-        return _Answer(answer.status, answer.body, self._era_of(answer))
-
-    def _era_of(self, answer: FullResponse) -> int:
-        told = next((text for name, text in answer.headers if name == _ERA), "")
-        if told.isascii() and told.isdigit() and len(told) <= _ERA_DIGITS:
-            self._unread_era = None
-            return self.eras.of_answer(int(told))
-        if told != self._unread_era:
-            # Once for each change, and not at all where no answer ever told one.
-            self._unread_era = told
-            log.warning("platform: an answer tells no era: %r", told[:80])
+        return _Response(response.status, response.body, self._era_of(response))
+
+    def _era_of(self, response: FullResponse) -> int:
+        header = next(
+            (text for name, text in response.headers if name == _ERA_HEADER), ""
+        )
+        if header.isascii() and header.isdigit() and len(header) <= _MAX_ERA_DIGITS:
+            self._invalid_era_text = None
+            return self.eras.of_answer(int(header))
+        if header != self._invalid_era_text:
+            # Logged once for each change, and never if no response had the header.
+            self._invalid_era_text = header
+            log.warning("platform: response has no valid era: %r", header[:80])
         return self.eras.of_answer(None)
 
 
-def _refused(answer: _Answer) -> Unavailable:
-    text = answer.body[:80].decode("utf-8", "replace")
-    return Unavailable(f"status {answer.status}: {text}")
+def _rejected(response: _Response) -> Unavailable:
+    text = response.body[:80].decode("utf-8", "replace")
+    return Unavailable(f"status {response.status}: {text}")
 
 
-def _table_row(row: _Row, era: int) -> TableRow:
+def _decode_row(row: _Row, era: int) -> TableRow:
     try:
         value = base64.b64decode(row.value)
     except ValueError:
-        # No bytes at all are no row of any table; the rows beside it hold.
-        log.warning("platform: row %s of %s is unreadable", row.key, row.table)
+        # An empty value is not valid in any table, so readers ignore this row and
+        # still use the other rows of the page.
+        log.warning("platform: row %s of %s cannot be decoded", row.key, row.table)
         value = b""
     return TableRow(row.key, value, Position(era, row.ver), row.deleted)
--- a/fireflyward/platform/_table.py
+++ b/fireflyward/platform/_table.py
@@ -1,4 +1,4 @@
-"""The table service that leases need, on rows of the platform's store."""
+"""The table that leases use, in rows of the platform's store."""
 
 from collections.abc import Mapping
 
@@ -19,7 +19,7 @@
 
 
 class LeaseTable:
-    """Rows of one table of ours; a part for each key spreads the writes."""
+    """This system's own table; each key has its own part, which spreads the writes."""
 
     __slots__ = ("_store",)
 
@@ -37,7 +37,7 @@
         return Missing(key, found.position.era)
 
     async def scan(self, prefix: str) -> tuple[Row, ...] | Unavailable:
-        """Return the rows of the part that is named like the prefix."""
+        """Return the rows of the part whose name is the prefix."""
         found = await self._store.rows(_TABLE, part=prefix)
         if isinstance(found, Unavailable):
             return found
@@ -51,7 +51,7 @@
         deletes: tuple[str, ...] = (),
         era: int = 0,
     ) -> Committed | Conflict | Unavailable | Uncertain:
-        """Write all or nothing, if each key of ``expected`` has that version."""
+        """Write atomically if each key of ``expected`` has the given version."""
         part = next(iter(puts or expected))
         return await self._store.write(
             table=_TABLE,
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Rows of the operator and of replicas, decoded into facts."""
+"""Decodes the rows that operators and replicas write."""
 
 import json
 import unittest
@@ -9,7 +9,7 @@
     decode_replica,
     decode_weight_target,
 )
-from tests.platform.json_numbers import changed, figures
+from tests.platform.json_numbers import number_paths, with_changed_number
 from tests.platform_standins import CONFIGURATION
 
 ENTRY = {
@@ -23,7 +23,7 @@
     "cold-remaining-ms": 0,
     "models": [{"name": "m", "version": 3, "adapters": []}],
 }
-FOREIGN = (
+MALFORMED = (
     b"",
     b"null",
     b"7",
@@ -40,7 +40,7 @@
     def decode(self, **changes):
         return decode_configuration(json.dumps({**CONFIGURATION, **changes}).encode())
 
-    def test_routes_services_and_accounts(self):
+    def test_routes_services_and_accounts_are_decoded(self):
         configuration = self.decode()
         stream, safe, unsafe = configuration.routes
         self.assertIs(stream.kind, RouteKind.STREAM)
@@ -51,17 +51,17 @@
         self.assertEqual(configuration.service_by_name["engines"].engine.slots, 4)
         self.assertEqual(configuration.accounts[0].keys, ("key-1", "key-2"))
 
-    def test_a_stream_that_may_not_be_resumed_may_not_be_repeated(self):
+    def test_a_stream_that_is_not_resumable_is_not_repeated(self):
         route = {**CONFIGURATION["routes"][0], "resumable": False}
         self.assertFalse(self.decode(routes=[route]).routes[0].may_repeat)
 
-    def test_an_unknown_kind_runs_once_at_most(self):
+    def test_requests_of_an_unknown_kind_of_route_run_at_most_once(self):
         route = {**CONFIGURATION["routes"][1], "kind": "novel"}
         with self.assertLogs("fireflyward.platform", "WARNING"):
             configuration = self.decode(routes=[route])
         self.assertFalse(configuration.routes[0].may_repeat)
 
-    def test_a_store_of_kv_cache_is_no_service_with_replicas(self):
+    def test_a_kv_cache_store_is_decoded(self):
         store = {
             "name": "kv",
             "kv-store-addr": "10.0.0.9:80",
@@ -75,21 +75,22 @@
         self.assertEqual(service.kv_store.first_byte_ms, 0.5)
         self.assertTrue(service.kv_store.never_evicts)
 
-    def test_every_figure_may_have_a_fraction(self):
-        """Symptom: a configuration with a worked-out limit never came into force.
+    def test_every_number_may_have_a_fraction(self):
+        """Symptom: a configuration with a calculated limit was never applied.
 
-        Cause: fields that took whole numbers only. Versions are names and stay whole.
+        Cause: some fields accepted only integers. Versions are identifiers and stay
+        integers.
         """
         raw = json.loads(json.dumps(CONFIGURATION))
-        for where in figures(raw):
+        for where in number_paths(raw):
             if where[-1] == "version":
                 continue
             with self.subTest(where=where):
-                text = json.dumps(changed(raw, where, lambda n: n + 0.5))
+                text = json.dumps(with_changed_number(raw, where, lambda n: n + 0.5))
                 self.assertIsNotNone(decode_configuration(text.encode()))
 
-    def test_shares_below_one_are_not_lost(self):
-        """Symptom: a route split in halves sent all its requests to one service."""
+    def test_shares_below_one_are_not_rounded_to_zero(self):
+        """Symptom: a route split 0.5 to 0.5 sent all its requests to one service."""
         shares = [{"service": "a", "weight": 0.5}, {"service": "b", "weight": 0.5}]
         route = {**CONFIGURATION["routes"][1], "traffic-split": shares}
         found = self.decode(routes=[route]).routes[0].shares
@@ -98,8 +99,8 @@
     def test_without_accounts_no_key_is_needed(self):
         self.assertIsNone(self.decode(tenants=None).accounts)
 
-    def test_what_is_no_configuration_is_refused(self):
-        for value in FOREIGN:
+    def test_malformed_configurations_are_rejected(self):
+        for value in MALFORMED:
             with self.subTest(value=value):
                 self.assertIsNone(decode_configuration(value))
 
@@ -108,21 +109,22 @@
     def decode(self, **changes):
         return decode_replica("i-1", json.dumps({**ENTRY, **changes}).encode())
 
-    def test_replica(self):
+    def test_a_replica_entry_is_decoded(self):
         entry = self.decode(state="draining", born=1_764_700_000_000)
         self.assertTrue(entry.is_leaving)
         self.assertEqual(entry.version_of("m"), 3)
         self.assertIsNone(entry.version_of("other"))
         self.assertEqual(entry.started_ms, 1_764_700_000_000)
 
-    def test_another_start_has_another_number(self):
-        numbers = {self.decode(born=born).incarnation_id for born in (1, 2, 3)}
-        self.assertEqual(len(numbers), 3)
+    def test_each_incarnation_has_its_own_id(self):
+        incarnation_ids = {self.decode(born=born).incarnation_id for born in (1, 2, 3)}
+        self.assertEqual(len(incarnation_ids), 3)
 
-    def test_an_entry_of_another_writer_names_no_replica(self):
+    def test_entries_with_invalid_fields_are_rejected(self):
         """Symptom: requests go to an address that no replica ever had.
 
-        An entry without a state, or with one that nobody named, counted as ready.
+        Cause: a malformed entry of another writer, without a state or with an unknown
+        one, counted as a ready replica.
         """
         wrong = [
             {"state": "waking"},
@@ -148,18 +150,18 @@
             with self.subTest(changes=changes):
                 self.assertIsNone(self.decode(**changes))
 
-    def test_an_entry_with_a_field_missing_names_no_replica(self):
+    def test_entries_with_a_missing_field_are_rejected(self):
         for field in ENTRY.keys() - {"models"}:
             with self.subTest(field=field):
                 value = {key: item for key, item in ENTRY.items() if key != field}
                 self.assertIsNone(decode_replica("i-1", json.dumps(value).encode()))
 
-    def test_bytes_that_cannot_be_read_name_nothing(self):
-        for value in FOREIGN:
+    def test_malformed_rows_are_rejected(self):
+        for value in MALFORMED:
             with self.subTest(value=value):
                 self.assertIsNone(decode_replica("i-1", value))
                 self.assertIsNone(decode_weight_target(value))
 
-    def test_weights(self):
+    def test_a_weight_target_is_decoded(self):
         target = decode_weight_target(b'{"model": "m", "version": 2}')
         self.assertEqual((target.model, target.version), ("m", 2))
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in their folder, and nothing in it decides."""
+"""Only the platform package uses the platform's wire names, and it decides nothing."""
 
 import ast
 import re
@@ -7,8 +7,8 @@
 
 _PACKAGE = Path(__file__).parents[2] / "fireflyward"
 _FOLDER = _PACKAGE / "platform"
-# Headers, calls and fields that nobody but this platform uses. Names that the
-# product's own interface has too (X-Request-Id, X-Deadline-Ms) are not among them.
+# Headers, calls and fields that only this platform uses. Names that this system's own
+# interface has too, such as X-Request-Id and X-Deadline-Ms, are not included.
 _WIRE_NAMES = re.compile(
     r"X-Server-Seal|X-Server-Load|X-Expect-|X-Instance-Id|X-Not-Executed"
     r"|X-Tenant|X-Kv-|X-Prompt-Prefix|X-Token-Usage|X-Cache-Salt|X-Weight-Versions"
@@ -17,7 +17,7 @@
     r"|/-/order|/-/report|/-/readyz|FIREFLYWARD_BOOT",
     re.IGNORECASE,
 )
-_DECIDING = (
+_DECIDING_PACKAGES = (
     "admin",
     "bundles",
     "feeds._follower",
@@ -37,8 +37,8 @@
 )
 
 
-class NamesTests(unittest.TestCase):
-    def test_no_wire_name_stands_outside_the_folder(self):
+class WireNameTests(unittest.TestCase):
+    def test_no_other_package_contains_a_wire_name(self):
         found = []
         for path in _PACKAGE.rglob("*.py"):
             if _FOLDER in path.parents:
@@ -48,12 +48,12 @@
                     found.append(f"{path.relative_to(_PACKAGE)}:{number}: {line}")
         self.assertEqual(found, [])
 
-    def test_the_folder_imports_no_slice_that_decides(self):
+    def test_the_platform_package_imports_no_deciding_package(self):
         found = []
         for path in _FOLDER.rglob("*.py"):
             for node in ast.walk(ast.parse(path.read_text())):
                 if isinstance(node, ast.ImportFrom) and node.module:
-                    slice_name = node.module.removeprefix("fireflyward.")
-                    if slice_name.startswith(_DECIDING):
+                    package_name = node.module.removeprefix("fireflyward.")
+                    if package_name.startswith(_DECIDING_PACKAGES):
                         found.append(f"{path.name}: {node.module}")
         self.assertEqual(found, [])
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,4 +1,4 @@
-"""Headers of callers and replicas, in both directions."""
+"""Decodes and encodes the headers of callers and replicas."""
 
 import unittest
 
@@ -36,27 +36,27 @@
 
 
 class CallerTests(unittest.TestCase):
-    def test_fields(self):
+    def test_request_fields_are_decoded(self):
         caller = decode()
         self.assertEqual((caller.host, caller.path), ("h.example", "/a/b"))
         self.assertEqual((caller.key, caller.deadline_ms), ("key-1", 1_500))
         self.assertEqual((caller.prompt_tokens, caller.max_output_tokens), (1_460, 80))
         self.assertEqual([part.part_id for part in caller.parts], ["5c", "91", "e4"])
 
-    def test_bad_requests_are_refused_with_the_reason(self):
+    def test_bad_requests_are_rejected_with_the_reason(self):
         for headers in ({"without": ("Host",)}, {"without": ("X-Request-Id",)}):
             self.assertEqual(decode(**headers).reason, Reason.BAD_REQUEST)
         for bad in ("x", "nan", "-1"):
-            refused = decode(("X-Deadline-Ms", bad), without=("X-Deadline-Ms",))
-            self.assertIsInstance(refused, NotRun, bad)
-        refused = decode(("X-Prompt-Prefix", "a:b"), without=("X-Prompt-Prefix",))
-        self.assertIsInstance(refused, NotRun)
+            rejected = decode(("X-Deadline-Ms", bad), without=("X-Deadline-Ms",))
+            self.assertIsInstance(rejected, NotRun, bad)
+        rejected = decode(("X-Prompt-Prefix", "a:b"), without=("X-Prompt-Prefix",))
+        self.assertIsInstance(rejected, NotRun)
 
-    def test_what_the_system_sets_never_passes_from_a_caller(self):
-        """Symptom: one account reads another's KV cache, or runs as another.
+    def test_a_caller_cannot_set_the_headers_of_the_system(self):
+        """Symptom: a caller reads another account's KV cache or acts as that account.
 
-        A caller sends a header that only this system may set, and the replica
-        obeys it.
+        Cause: the caller sends a header that only this system may set, and the
+        replica obeys it.
         """
         names = (
             "X-Tenant",
@@ -76,7 +76,7 @@
         sent = encode_request(caller, ReplicaHeaders("i-1", 900))
         self.assertNotIn("forged", [value for _, value in sent])
 
-    def test_the_key_is_not_passed_on(self):
+    def test_the_key_is_not_forwarded(self):
         sent = dict(encode_request(decode(), ReplicaHeaders("i-1", 900, account="a")))
         self.assertNotIn("Authorization", sent)
         self.assertEqual(sent["X-Tenant"], "a")
@@ -84,12 +84,12 @@
         self.assertEqual(sent["X-Other"], "kept")
         self.assertEqual(sent["X-Prompt-Prefix"], "5c:800,91:410,e4:250")
 
-    def test_headers_of_one_connection_end_here(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         caller = decode(("Connection", "x-hop"), ("X-Hop", "1"), ("TE", "trailers"))
         names = {name.lower() for name, _ in caller.headers}
         self.assertFalse(names & {"connection", "x-hop", "te"})
 
-    def test_kv_addresses_stand_for_the_parts_in_order(self):
+    def test_kv_addresses_follow_the_order_of_the_parts(self):
         system = ReplicaHeaders("i", 9, kv_sources=("a:1", None), kv_saves=(None, None))
         sent = dict(encode_request(decode(), system))
         self.assertEqual(sent["X-Kv-Fetch"], "a:1,-")
@@ -100,26 +100,28 @@
     def facts(self, status, *headers):
         return decode_response(Head(status, "", headers))
 
-    def test_not_run_is_what_the_replica_says_and_421(self):
+    def test_a_not_executed_header_or_421_means_not_run(self):
         self.assertTrue(self.facts(503, ("x-not-executed", "1")).was_not_run)
         self.assertTrue(self.facts(421).was_not_run)
         self.assertFalse(self.facts(503).was_not_run)
 
-    def test_load(self):
+    def test_the_load_header_is_decoded(self):
         self.assertEqual(
             self.facts(200, ("x-server-load", "3,1,8")).load, ReplicaLoad(3, 1, 8)
         )
         self.assertIsNone(self.facts(200, ("x-server-load", "busy")).load)
 
-    def test_a_rate_limit(self):
+    def test_the_rate_limit_header_is_decoded(self):
         notices = self.facts(200, ("server-limit", "3.5")).notices
         self.assertEqual(notices.limit, RateLimit(3.5))
         self.assertIsNone(self.facts(200).notices.limit)
         for bad in ("x", "", "nan", "inf", "-1", "1e3", "1_0", "4 a second"):
             notices = self.facts(200, ("server-limit", bad)).notices
-            self.assertEqual(notices.invalid_headers, (InvalidHeader("server-limit", bad),))
+            self.assertEqual(
+                notices.invalid_headers, (InvalidHeader("server-limit", bad),)
+            )
 
-    def test_answers_keep_their_headers_but_the_connections(self):
+    def test_responses_keep_all_but_hop_by_hop_headers(self):
         head = Head(
             200, "", (("x-server-seal", "s"), ("connection", "x-a"), ("x-a", "1"))
         )
@@ -127,19 +129,19 @@
 
 
 class OutcomeTests(unittest.TestCase):
-    def test_only_what_did_not_run_gets_a_status_that_says_so(self):
-        says_not_run = {408, 421, 429, 503}
+    def test_only_outcomes_not_run_get_a_status_that_means_so(self):
+        means_not_run = {408, 421, 429, 503}
         for reason in Reason:
-            self.assertNotIn(status_of(Unknown(reason)), says_not_run)
+            self.assertNotIn(status_of(Unknown(reason)), means_not_run)
         self.assertEqual(status_of(NotRun(Reason.OVERLOADED)), 503)
         self.assertEqual(status_of(Unknown(Reason.DEADLINE)), 504)
         self.assertEqual(status_of(NotRun(Reason.WRONG_KEY)), 401)
         self.assertEqual(status_of(NotRun(Reason.UNKNOWN_ROUTE)), 404)
 
-    def test_callers_are_told_when_to_come_back(self):
+    def test_callers_get_a_retry_after_header(self):
         headers = dict(rejection_headers("r1", NotRun(Reason.OVERLOADED, "", 250)))
         self.assertEqual(headers, {"X-Request-Id": "r1", "Retry-After": "0.25"})
         self.assertNotIn("Retry-After", dict(rejection_headers("r", Unknown("x"))))
 
-    def test_types(self):
+    def test_a_request_is_decoded_into_a_caller_request(self):
         self.assertIsInstance(decode(), CallerRequest)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what is read, what is refused, what is ignored."""
+"""The settings file: decoded, rejected and ignored fields."""
 
 import json
 import tempfile
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from fireflyward.platform import BadSettings, load_settings
-from tests.platform.json_numbers import changed, figures
+from tests.platform.json_numbers import number_paths, with_changed_number
 from tests.platform_standins import settings_text
 
 BOUNDS = (
@@ -43,46 +43,50 @@
         text = settings_text("10.0.0.1:80", (1, 2, 3), novelty={"a": 1})
         self.assertEqual(self.load(text).failure_domain, "a")
 
-    def test_a_missing_field_is_named(self):
+    def test_the_error_names_a_missing_field(self):
         raw = json.loads(settings_text("10.0.0.1:80", (1, 2, 3)))
         del raw["zone"]
         with self.assertRaisesRegex(BadSettings, "zone"):
             self.load(json.dumps(raw))
 
-    def test_a_wrong_type_is_named(self):
+    def test_the_error_names_a_field_of_a_wrong_type(self):
         text = settings_text("10.0.0.1:80", (1, 2, 3), **{"heartbeat-ms": "often"})
         with self.assertRaisesRegex(BadSettings, "heartbeat-ms"):
             self.load(text)
 
-    def test_every_figure_may_have_a_fraction(self):
+    def test_every_number_may_have_a_fraction(self):
         """Symptom: no process of a deployment started.
 
-        Its sheet is worked out from ratios, so a bound that is whole elsewhere came
-        as 35.8. Cause: each field had its own type, and some took whole numbers only.
+        Its bounds are calculated from ratios, so a bound that is an integer in other
+        deployments was 35.8. Cause: some fields accepted only integers.
         """
         raw = json.loads(settings_text("10.0.0.1:80", (1, 2, 3)))
         raw["bounds"] |= dict.fromkeys(BOUNDS, 1)
-        for where in figures(raw):
+        for where in number_paths(raw):
             with self.subTest(where=where):
-                self.load(json.dumps(changed(raw, where, lambda n: n + 0.5)))
+                self.load(
+                    json.dumps(with_changed_number(raw, where, lambda n: n + 0.5))
+                )
 
-    def test_no_figure_may_be_text_or_below_nought(self):
+    def test_no_number_may_be_text_or_negative(self):
         raw = json.loads(settings_text("10.0.0.1:80", (1, 2, 3)))
         raw["bounds"] |= dict.fromkeys(BOUNDS, 1)
-        for where in figures(raw):
+        for where in number_paths(raw):
             for wrong in ("many", -1, None):
                 with self.subTest(where=where, wrong=wrong):
-                    text = json.dumps(changed(raw, where, lambda n, to=wrong: to))
+                    text = json.dumps(
+                        with_changed_number(raw, where, lambda n, to=wrong: to)
+                    )
                     with self.assertRaisesRegex(BadSettings, str(where[0])):
                         self.load(text)
 
-    def test_fractions_of_ms_and_counts_are_left_out(self):
+    def test_fractions_of_ms_and_counts_are_dropped(self):
         bounds = {"lease-ms": 2400.5, "budget-extra": 35.8, "grace-s": 2.5}
         found = self.load(settings_text("10.0.0.1:80", (1, 2, 3), bounds=bounds)).bounds
         self.assertEqual(
             (found.lease_ms, found.retry_extra, found.grace_ms), (2_400, 35, 2_500)
         )
 
-    def test_a_missing_file_is_named(self):
+    def test_the_error_names_a_missing_file(self):
         with self.assertRaisesRegex(BadSettings, "nowhere"):
             load_settings("/nowhere/settings")
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client: each way in which a call can end has its own value."""
+"""The store's client returns a distinct value for each result of a call."""
 
 import asyncio
 import unittest
@@ -38,7 +38,7 @@
             [row.value for row in found.rows], [b"0", b"1", b"2", b"3", b"4"]
         )
 
-    async def test_feed_gives_changes_and_removals(self):
+    async def test_the_feed_returns_changes_and_removals(self):
         self.store.put("t", "a", b"1")
         self.store.remove("t", "a")
         changes = await self.client.changes(
@@ -47,7 +47,7 @@
         self.assertEqual([row.is_deleted for row in changes.rows], [False, True])
         self.assertEqual(changes.position, at(2, 1))
 
-    async def test_lost_history(self):
+    async def test_lost_history_is_reported(self):
         self.store.manner = StoreManner.FORGETS
         result = await self.client.changes("t", after=at(0, 1), wait_ms=0, limit_ms=500)
         self.assertEqual(result, HistoryLost())
@@ -56,23 +56,24 @@
         self.assertEqual(await self.write(), Committed({"k": 1}, 1))
         self.assertEqual(await self.write(), Conflict({"k": 1}))
 
-    async def test_refusals_did_nothing(self):
+    async def test_a_rejected_call_has_no_effect(self):
         for manner in (StoreManner.BUSY, StoreManner.TOO_MANY):
             self.store.manner = manner
             self.assertIsInstance(await self.write(), Unavailable)
             self.assertIsInstance(await self.client.rows("t"), Unavailable)
         self.assertIsNone(self.store.value("t", "k"))
 
-    async def test_a_lost_answer_leaves_a_write_uncertain(self):
+    async def test_a_write_without_a_response_is_uncertain(self):
         self.store.manner = StoreManner.LOSES_ANSWERS
         self.assertIsInstance(await self.write(), Uncertain)
         self.assertEqual(self.store.value("t", "k"), b"v")
 
-    async def test_silence_ends_and_the_next_call_has_a_new_connection(self):
-        """Symptom: a node believes an old configuration although the store is well.
+    async def test_a_call_times_out_and_the_next_opens_a_new_connection(self):
+        """Symptom: a node keeps an old configuration although the store is available.
 
-        A connection went silent for good. Calls that go on using it, or others
-        that lie idle since then, hang until their limit one after the other.
+        Cause: a connection went silent permanently. Calls that continue to use it,
+        or other connections that were idle at that time, hang one after the other
+        until they time out.
         """
         await asyncio.gather(*(self.client.rows("t") for _ in range(3)))
         self.store.manner = StoreManner.SILENT
@@ -83,11 +84,11 @@
         await self.client.rows("t", limit_ms=500)
         self.assertEqual(self.store.connections, before + 1)
 
-    async def test_nobody_listens(self):
+    async def test_a_store_that_does_not_listen_is_unavailable(self):
         await self.store.stop()
         self.assertIsInstance(await self.client.rows("t"), Unavailable)
 
-    async def test_rows_of_leases(self):
+    async def test_the_lease_table_reads_and_commits_rows(self):
         table = LeaseTable(self.client)
         self.assertEqual(await table.get("lease/x"), Missing("lease/x", 1))
         result = await table.commit(
