--- a/fireflyward/connections/_watch.py
+++ b/fireflyward/connections/_watch.py
@@ -29,7 +29,7 @@
 class SilenceTimer:
     """When something last came over a connection.
 
-    Between ``pause`` and ``hear`` nothing is asked of the connection, as when the
+    Between ``pause`` and ``restart`` nothing is asked of the connection, as when the
     caller reads slowly, and its silence means nothing.
     """
 
@@ -41,7 +41,7 @@
         self._limit_ms = limit_ms
         self._since_ms = clock.now_ms()
 
-    def hear(self, limit_ms: int) -> None:
+    def restart(self, limit_ms: int) -> None:
         """Something came; the next has to come within ``limit_ms``."""
         self._is_paused = False
         self._since_ms = self._clock.now_ms()
--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -182,7 +182,7 @@
                     self._observe(PromptStep.ACCEPTED)
                 heard.pause()
                 await self._inbox.put(AttemptEvent(number, event))
-                heard.hear(self._limits.silence_ms)
+                heard.restart(self._limits.silence_ms)
         except asyncio.CancelledError:
             failed = heard.left_ms() <= 0
             raise
--- a/tests/connections/test_watch.py
+++ b/tests/connections/test_watch.py
@@ -13,7 +13,7 @@
         async def work():
             for _ in range(3):
                 await clock.sleep_ms(80)
-                heard.hear(100)
+                heard.restart(100)
 
         task = asyncio.ensure_future(was_silent(clock, work(), heard))
         await clock.advance_ms(240)
