--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -158,9 +158,9 @@
         events: AsyncIterator[EngineEvent],
         first_limit_ms: int,
     ) -> None:
-        heard = SilenceTimer(self._clock, first_limit_ms)
-        work = self._pump(number, replica, events, heard)
-        if await was_silent(self._clock, work, heard):
+        silence_timer = SilenceTimer(self._clock, first_limit_ms)
+        work = self._pump(number, replica, events, silence_timer)
+        if await was_silent(self._clock, work, silence_timer):
             self._observe(StreamStep.SILENT)
             await self._inbox.put(AttemptEvent(number, Broken(True, "silent")))
 
@@ -169,7 +169,7 @@
         number: int,
         replica: str,
         events: AsyncIterator[EngineEvent],
-        heard: SilenceTimer,
+        silence_timer: SilenceTimer,
     ) -> None:
         failed = True
         self._router.on_start(replica)
@@ -180,11 +180,11 @@
                 failed = not isinstance(event, Finished | Refused)
                 if isinstance(event, Accepted):
                     self._observe(PromptStep.ACCEPTED)
-                heard.pause()
+                silence_timer.pause()
                 await self._inbox.put(AttemptEvent(number, event))
-                heard.restart(self._limits.silence_ms)
+                silence_timer.restart(self._limits.silence_ms)
         except asyncio.CancelledError:
-            failed = heard.left_ms() <= 0
+            failed = silence_timer.left_ms() <= 0
             raise
         finally:
             self._router.on_end(self._clock.now_ms(), replica, failed=failed)
