--- a/fireflyward/connections/__init__.py
+++ b/fireflyward/connections/__init__.py
@@ -1,4 +1,4 @@
-"""When a connection is doubted, and on which connections requests go."""
+"""HTTP sessions, detection of silent connections, and guarded request bodies."""
 
 from ._guard import GuardedBody, PermitExpired
 from ._sessions import Sessions, make_socket
--- a/fireflyward/connections/_guard.py
+++ b/fireflyward/connections/_guard.py
@@ -1,19 +1,19 @@
-"""A request body that leaves only while it may."""
+"""A request body that is sent only while a permit is valid."""
 
 from collections.abc import AsyncIterator, Callable
 
 
 class PermitExpired(Exception):
-    """The body was withheld: its permit ran out before it could leave."""
+    """The body was not sent because its permit expired first."""
 
 
 class GuardedBody:
-    """Asks ``may_send`` at the last moment before the body is written.
+    """Calls ``may_send`` immediately before the body is written.
 
-    Between the check that a task makes and the first byte on the wire lie the
-    opening of a connection and any pause of the process. The other end acts on a
-    request only when its body is whole, so a body that stays back keeps it from
-    running; ``was_withheld`` then proves that it did not.
+    Between the check that a task makes and the first byte on the wire, the process
+    opens a connection and may be paused. The other end runs a request only when it
+    has received the complete body, so a request whose body is withheld does not
+    run; ``was_withheld`` then proves it.
     """
 
     __slots__ = ("_body", "_may_send", "was_withheld")
@@ -24,7 +24,7 @@
         self.was_withheld = False
 
     def headers(self) -> dict[str, str]:
-        """Return the headers that announce the body's length."""
+        """Return the header with the length of the body."""
         return {"Content-Length": str(len(self._body))}
 
     async def chunks(self) -> AsyncIterator[bytes]:
--- a/fireflyward/connections/_sessions.py
+++ b/fireflyward/connections/_sessions.py
@@ -1,13 +1,14 @@
-"""HTTP sessions: one that pools its connections, one that never does."""
+"""HTTP sessions: one reuses connections, the other opens one for each request."""
 
 import socket
 
 import aiohttp
 
-_CONNECTIONS = 2_000
-# Something between two ends may forget a connection. An idle one that is older
-# than this is closed and not used, so that few requests are written into the void.
-_POOLED_LIMIT_S = 4.0
+_MAX_CONNECTIONS = 2_000
+# A network device between two hosts may drop the state of an idle connection without
+# notice. A connection that was idle for longer than this is closed instead of reused,
+# so that few requests are lost on such connections.
+_MAX_IDLE_S = 4.0
 _KEEP_ALIVE_IDLE_S = 1
 _KEEP_ALIVE_INTERVAL_S = 1
 _KEEP_ALIVE_PROBES = 2
@@ -17,10 +18,10 @@
 class Sessions:
     """Owns both sessions of a process.
 
-    ``pooled`` is for what may be repeated: a connection that was forgotten costs
-    it one silence and a retry. ``fresh`` opens a new connection for each request:
-    for what may not be repeated, and for every question whether something that
-    fell silent still lives, which a pooled connection could not answer.
+    ``pooled`` is for idempotent requests: if the network dropped the connection, such
+    a request waits for one silence limit and is retried. ``fresh`` opens a new
+    connection for each request. It is for non-idempotent requests, and for probes
+    whether a silent peer still runs, which a pooled connection couldn't decide.
     """
 
     __slots__ = ("fresh", "pooled")
@@ -28,14 +29,14 @@
     def __init__(self) -> None:
         self.pooled = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
-                limit=_CONNECTIONS,
-                keepalive_timeout=_POOLED_LIMIT_S,
+                limit=_MAX_CONNECTIONS,
+                keepalive_timeout=_MAX_IDLE_S,
                 socket_factory=make_socket,
             )
         )
         self.fresh = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
-                limit=_CONNECTIONS, force_close=True, socket_factory=make_socket
+                limit=_MAX_CONNECTIONS, force_close=True, socket_factory=make_socket
             )
         )
 
@@ -46,12 +47,12 @@
 
 
 def make_socket(address: tuple) -> socket.socket:
-    """Return a socket whose kernel finds out within about 3 s that it is forgotten.
+    """Return a socket that detects a lost connection within about 3 s.
 
-    The kernel's probes are answered by the other kernel however slow the process
-    behind it is, so they tell a lost path from slow work. What they cannot see is
-    a relay that answers them and passes nothing on; the limits of ``SilenceLimits``
-    and of each call are for that.
+    The peer's kernel answers keepalive probes however slow its process is, so the
+    probes distinguish a lost path from slow work. They can't detect a relay that
+    answers them but forwards nothing; ``SilenceLimits`` and the time limit of each
+    call cover that case.
     """
     family, kind, protocol, _, _ = address
     sock = socket.socket(family, kind, protocol)
--- a/fireflyward/connections/_watch.py
+++ b/fireflyward/connections/_watch.py
@@ -1,4 +1,4 @@
-"""Bounds on waiting, kept by the project's clock."""
+"""Time limits on waiting, measured by the project's clock."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SilenceLimits:
-    """How long a connection in use may say nothing before it is doubted.
+    """How long a connection in use may be silent before it counts as lost.
 
-    ``silence_ms`` holds for a stream that is known to work; ``probe_ms`` for the
-    first answer on a new connection, which a live upstream gives at once. What is
-    between the ends can forget a connection without either noticing, so the sum
-    of the two is the longest that any request waits on one that was forgotten.
+    ``silence_ms`` applies to a stream that has already delivered data. ``probe_ms``
+    applies to the first response on a new connection, which a working upstream sends
+    at once. The network can drop a connection without either end noticing, so the
+    sum of both is the longest that a request waits on a dropped connection.
     """
 
     silence_ms: int = _SILENCE_MS
@@ -27,55 +27,55 @@
 
 
 class SilenceTimer:
-    """When something last came over a connection.
+    """Measures how long nothing has arrived over a connection.
 
-    Between ``pause`` and ``restart`` nothing is asked of the connection, as when the
-    caller reads slowly, and its silence means nothing.
+    Between ``pause`` and ``restart`` nothing is read from the connection, for example
+    because the caller reads slowly, so its silence doesn't count.
     """
 
-    __slots__ = ("_clock", "_is_paused", "_limit_ms", "_since_ms")
+    __slots__ = ("_clock", "_is_paused", "_limit_ms", "_last_received_ms")
 
     def __init__(self, clock: Clock, limit_ms: int) -> None:
         self._clock = clock
         self._is_paused = False
         self._limit_ms = limit_ms
-        self._since_ms = clock.now_ms()
+        self._last_received_ms = clock.now_ms()
 
     def restart(self, limit_ms: int) -> None:
-        """Something came; the next has to come within ``limit_ms``."""
+        """Record that data arrived; the next must arrive within ``limit_ms``."""
         self._is_paused = False
-        self._since_ms = self._clock.now_ms()
+        self._last_received_ms = self._clock.now_ms()
         self._limit_ms = limit_ms
 
     def pause(self) -> None:
-        """Nothing is read for now."""
+        """Record that nothing is read until ``restart``."""
         self._is_paused = True
 
     def left_ms(self) -> int:
-        """Return how much longer the connection may stay silent."""
+        """Return for how much longer the connection may stay silent."""
         if self._is_paused:
             return self._limit_ms
-        return self._since_ms + self._limit_ms - self._clock.now_ms()
+        return self._last_received_ms + self._limit_ms - self._clock.now_ms()
 
 
-class _Alarm:
-    """Cancels the task that made it once ``left_ms`` returns nothing more."""
+class _TimeoutTimer:
+    """Cancels the task that created it once ``left_ms`` returns 0 or less."""
 
-    __slots__ = ("_clock", "_left_ms", "_task", "_timer", "has_rung")
+    __slots__ = ("_clock", "_left_ms", "_task", "_timer", "has_fired")
 
     def __init__(self, clock: Clock, left_ms: Callable[[], float]) -> None:
         self._clock = clock
         self._left_ms = left_ms
         self._task = asyncio.current_task()
-        self.has_rung = False
-        self._timer = clock.call_later_ms(left_ms(), self._ring)
+        self.has_fired = False
+        self._timer = clock.call_later_ms(left_ms(), self._on_timer)
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         left_ms = self._left_ms()
         if left_ms > 0:
-            self._timer = self._clock.call_later_ms(left_ms, self._ring)
+            self._timer = self._clock.call_later_ms(left_ms, self._on_timer)
             return
-        self.has_rung = True
+        self.has_fired = True
         self._task.cancel()
 
     def cancel(self) -> None:
@@ -85,30 +85,32 @@
 async def timed_out(
     clock: Clock, left_ms: Callable[[], float], work: Awaitable[object]
 ) -> bool:
-    """Await ``work`` here; cancel it and return true once ``left_ms()`` is 0.
+    """Await ``work``; cancel it and return true once ``left_ms()`` is 0 or less.
 
-    One timer serves all of it: it is set again only when it runs out, so a stream
-    of many tokens costs no timer for each, and no task beside its own.
+    A single timer is restarted only when it fires, so a stream of many tokens needs
+    neither a timer for each token nor an additional task.
     """
     task = asyncio.current_task()
-    cancels_before = task.cancelling()
-    alarm = _Alarm(clock, left_ms)
+    cancel_requests_before = task.cancelling()
+    timeout_timer = _TimeoutTimer(clock, left_ms)
     try:
         await work
     except asyncio.CancelledError:
-        # Whoever else cancelled this task meanwhile must not be taken for the
-        # alarm: a run that was stopped would go on, reading for nobody.
-        if not alarm.has_rung or task.uncancel() > cancels_before:
+        # A cancellation by other code must not count as a timeout, even if both
+        # happen at the same time: a stopped run would continue without a reader.
+        if not timeout_timer.has_fired or task.uncancel() > cancel_requests_before:
             raise
         return True
     finally:
-        alarm.cancel()
+        timeout_timer.cancel()
     return False
 
 
-async def was_silent(clock: Clock, work: Awaitable[None], heard: SilenceTimer) -> bool:
-    """Await ``work``; cancel it and return true if its connection is silent."""
-    return await timed_out(clock, heard.left_ms, work)
+async def was_silent(
+    clock: Clock, work: Awaitable[None], silence_timer: SilenceTimer
+) -> bool:
+    """Await ``work``; cancel it and return true if its connection falls silent."""
+    return await timed_out(clock, silence_timer.left_ms, work)
 
 
 async def within(clock: Clock, limit_ms: float, work: Awaitable[T]) -> T:
@@ -118,15 +120,15 @@
     try:
         await asyncio.wait({task, timer}, return_when=asyncio.FIRST_COMPLETED)
         if not task.done():
-            raise TimeoutError(f"nothing within {limit_ms:g} ms")
+            raise TimeoutError(f"no result within {limit_ms:g} ms")
         return task.result()
     finally:
         timer.cancel()
         if not task.done():
-            await _cancel(task)
+            await _cancel_and_wait(task)
 
 
-async def _cancel(task: "asyncio.Future[object]") -> None:
-    """Cancel a task and wait until it is over, whatever it ends with."""
+async def _cancel_and_wait(task: "asyncio.Future[object]") -> None:
+    """Cancel a task and wait until it is done, whatever its result."""
     task.cancel()
     await asyncio.wait({task})
--- a/tests/connections/test_watch.py
+++ b/tests/connections/test_watch.py
@@ -6,58 +6,58 @@
 
 
 class WatchTests(unittest.IsolatedAsyncioTestCase):
-    async def test_work_that_is_heard_runs_to_its_end(self):
+    async def test_work_on_an_active_connection_is_not_cancelled(self):
         clock = ManualClock()
-        heard = SilenceTimer(clock, 100)
+        silence_timer = SilenceTimer(clock, 100)
 
         async def work():
             for _ in range(3):
                 await clock.sleep_ms(80)
-                heard.restart(100)
+                silence_timer.restart(100)
 
-        task = asyncio.ensure_future(was_silent(clock, work(), heard))
+        task = asyncio.ensure_future(was_silent(clock, work(), silence_timer))
         await clock.advance_ms(240)
         self.assertIs(await task, False)
 
-    async def test_silent_work_is_cancelled_when_its_limit_is_over(self):
+    async def test_work_on_a_silent_connection_is_cancelled_after_the_limit(self):
         clock = ManualClock()
-        ended = []
+        cancelled_at_ms = []
 
         async def work():
             try:
                 await clock.sleep_ms(1_000)
             finally:
-                ended.append(clock.now_ms())
+                cancelled_at_ms.append(clock.now_ms())
 
         task = asyncio.ensure_future(
             was_silent(clock, work(), SilenceTimer(clock, 100))
         )
         await clock.advance_ms(99)
-        self.assertEqual(ended, [])
+        self.assertEqual(cancelled_at_ms, [])
         await clock.advance_ms(1)
-        self.assertEqual(ended, [100])
+        self.assertEqual(cancelled_at_ms, [100])
         self.assertIs(await task, True)
         self.assertEqual(task.cancelling(), 0)
 
-    async def test_the_task_goes_on_after_its_silent_work(self):
+    async def test_the_task_continues_after_its_work_was_cancelled(self):
         clock = ManualClock()
 
-        async def go_on():
+        async def continue_after_silence():
             is_silent = await was_silent(
                 clock, asyncio.Event().wait(), SilenceTimer(clock, 9)
             )
             await clock.sleep_ms(50)
             return is_silent, clock.now_ms()
 
-        task = asyncio.ensure_future(go_on())
+        task = asyncio.ensure_future(continue_after_silence())
         await clock.advance_ms(59)
         self.assertEqual(await task, (True, 59))
 
-    async def test_a_stopped_task_is_not_taken_for_a_silent_one(self):
-        """A run that was stopped went on, reading for nobody.
+    async def test_a_cancelled_task_does_not_count_as_timed_out(self):
+        """Symptom: a run that was stopped continued without a reader.
 
-        Its connection fell silent in the moment in which the run ended, and the
-        cancelling of its task was taken for that of the alarm.
+        Cause: its connection reached the silence limit when its task was cancelled,
+        and the cancellation counted as the one by the timeout.
         """
         clock = ManualClock()
 
@@ -72,7 +72,7 @@
         with self.assertRaises(asyncio.CancelledError):
             await task
 
-    async def test_an_error_of_the_work_is_passed_on(self):
+    async def test_an_error_of_the_work_is_raised(self):
         clock = ManualClock()
 
         async def work():
@@ -83,7 +83,7 @@
 
 
 class TimerTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_manual_clock_calls_at_the_time(self):
+    async def test_a_manual_clock_calls_at_the_given_time(self):
         clock, calls = ManualClock(), []
         clock.call_later_ms(50, lambda: calls.append(clock.now_ms()))
         await clock.advance_ms(49)
@@ -91,13 +91,13 @@
         await clock.advance_ms(1)
         self.assertEqual(calls, [50])
 
-    async def test_a_cancelled_timer_does_not_call(self):
+    async def test_a_cancelled_timer_makes_no_call(self):
         clock, calls = ManualClock(), []
         clock.call_later_ms(50, lambda: calls.append("late")).cancel()
         await clock.advance_ms(100)
         self.assertEqual(calls, [])
 
-    async def test_the_machines_clock_makes_no_task_for_a_timer(self):
+    async def test_the_system_clock_creates_no_task_for_a_timer(self):
         tasks_before = len(asyncio.all_tasks())
         called = asyncio.Event()
         Clock().call_later_ms(0, called.set)
