--- a/fireflyward/http1/__init__.py
+++ b/fireflyward/http1/__init__.py
@@ -1,9 +1,10 @@
-"""HTTP/1.1 connections to replicas and stores, with nothing sent twice.
+"""HTTP/1.1 connections to replicas and stores, without automatic retries.
 
-An HTTP client that sends a request again by itself, or that takes whatever bytes
-lie on an idle connection for the next answer, breaks the promise that a request
-runs once and that each caller gets its own answer. Here each request is written
-to one connection once, and the caller learns how far it came.
+Two guarantees of this system are that a request runs once and that each caller gets
+the response to its own request. An HTTP client breaks them if it retries a request
+automatically, or if it treats stray bytes on an idle connection as the next response.
+This client writes each request once, to one connection, and reports to the caller how
+far the request got.
 """
 
 from ._connection import (
--- a/fireflyward/http1/_connection.py
+++ b/fireflyward/http1/_connection.py
@@ -1,4 +1,4 @@
-"""One connection, one request at a time."""
+"""An HTTP/1.1 client connection that handles one request at a time."""
 
 import asyncio
 import enum
@@ -9,19 +9,22 @@
 
 import httptools
 
-# Unread bytes of one response past which the peer is made to wait; an answer of
-# these deployments is a few kilobytes, so only a caller that stopped reading
-# brings it about.
-_MOST_UNREAD_BYTES = 262_144
-# How long sent bytes may stay unacknowledged, and how soon a silent peer is
-# probed. Links here take a few ms; a second covers a lost packet or two.
-_UNACKNOWLEDGED_MS = 1_000
-_PROBE_AFTER_S = 1
-_PROBES = 2
+# The connection stops reading from the peer when a response has more unread bytes.
+# Responses in these deployments have a few kilobytes, so only a caller that stopped
+# reading causes this.
+_MAX_UNREAD_BYTES = 262_144
+# How long sent bytes may stay unacknowledged, and after which time a silent peer is
+# probed. The links have a latency of a few ms; 1 s covers one or two lost packets.
+_MAX_UNACKNOWLEDGED_MS = 1_000
+_PROBE_INTERVAL_S = 1
+_MAX_UNANSWERED_PROBES = 2
 
 
 class BrokenAt(enum.Enum):
-    """How far a request had come when its connection broke."""
+    """How far a request got before its connection broke.
+
+    ``SENT`` means that no response header arrived, ``HEAD`` that it did arrive.
+    """
 
     SENT = "sent"
     HEAD = "head"
@@ -45,19 +48,19 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyPart:
-    """Some bytes of the body."""
+    """A part of the response body."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The response is whole."""
+    """The response is complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """The response did not come or is not whole; nothing more will come."""
+    """The response is missing or incomplete; no more events follow."""
 
     at: BrokenAt
     detail: str
@@ -67,10 +70,10 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """Sends a request and gives out what comes back, event by event.
+    """Sends a request and returns the response as a sequence of events.
 
-    Any byte that arrives while no request waits makes the connection unusable:
-    it belongs to no request, and whoever came next would get it as an answer.
+    Any byte that arrives while no request is in flight makes the connection unusable:
+    it belongs to no request, and the next request would get it as its response.
 
         connection.send(b"GET", b"/path", headers, b"")
         while not isinstance(event := await connection.next_event(), (End, Broken)):
@@ -79,7 +82,7 @@
 
     __slots__ = (
         "_events",
-        "_framed",
+        "_has_framing",
         "_head_done",
         "_headers",
         "_is_busy",
@@ -89,25 +92,25 @@
         "_parser",
         "_reason",
         "_transport",
-        "_unread",
+        "_unread_bytes",
         "_waiter",
         "address",
         "idle_since_ms",
-        "is_dirty",
+        "must_close",
         "served",
     )
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.idle_since_ms = 0
-        self.is_dirty = False
+        self.must_close = False
         self.served = 0
         self._transport: asyncio.Transport | None = None
         self._events: deque[Event] = deque()
         self._waiter: asyncio.Future[None] | None = None
         self._is_busy = False
         self._is_paused = False
-        self._unread = 0
+        self._unread_bytes = 0
         self._method = "GET"
         self._keep_alive_s: float | None = None
         self._reset_parser()
@@ -117,17 +120,17 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         return (
             self._transport is not None
             and not self._transport.is_closing()
-            and not self.is_dirty
+            and not self.must_close
             and not self._is_busy
         )
 
     @property
     def keep_alive_ms(self) -> float | None:
-        """Return for how long the peer keeps an idle connection, if it said so."""
+        """Return for how long the peer keeps an idle connection, None if unknown."""
         return None if self._keep_alive_s is None else self._keep_alive_s * 1_000
 
     def send(
@@ -137,7 +140,7 @@
         headers: Iterable[tuple[str, str]],
         body: bytes = b"",
     ) -> None:
-        """Write one request; the body goes with a length."""
+        """Write one request; a body is sent with a ``Content-Length`` header."""
         self._reset_parser()
         self._is_busy = True
         self._method = method
@@ -150,7 +153,7 @@
         self._transport.write(data + body)
 
     async def next_event(self) -> Event:
-        """Return the next part of the response; ``End`` or ``Broken`` is the last."""
+        """Return the next event of the response; ``End`` or ``Broken`` is the last."""
         while not self._events:
             self._waiter = asyncio.get_running_loop().create_future()
             try:
@@ -159,14 +162,14 @@
                 self._waiter = None
         event = self._events.popleft()
         if isinstance(event, BodyPart):
-            self._unread -= len(event.data)
-            if self._is_paused and self._unread < _MOST_UNREAD_BYTES:
+            self._unread_bytes -= len(event.data)
+            if self._is_paused and self._unread_bytes < _MAX_UNREAD_BYTES:
                 self._is_paused = False
                 self._transport.resume_reading()
         return event
 
     async def next_event_within(self, limit_ms: float) -> Event | None:
-        """Return the next part, or None if it does not come within ``limit_ms``."""
+        """Return the next event, or None if there is none within ``limit_ms``."""
         if self._events:
             return await self.next_event()
         try:
@@ -176,8 +179,8 @@
             return None
 
     def close(self) -> None:
-        """Close at once; what the peer still does for this request is in vain."""
-        self.is_dirty = True
+        """Close the connection at once; a response still to come is discarded."""
+        self.must_close = True
         if self._transport is not None:
             self._transport.abort()
 
@@ -185,7 +188,7 @@
         self._transport = transport
         raw = transport.get_extra_info("socket")
         if raw is not None and raw.family == socket.AF_INET:
-            _notice_silence(raw)
+            _enable_dead_peer_detection(raw)
 
     def data_received(self, data: bytes) -> None:
         if not self._is_busy:
@@ -194,24 +197,24 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._break(f"not HTTP: {error}")
+            self._fail(f"not HTTP: {error}")
 
     def eof_received(self) -> bool:
-        if self._is_busy and self._head_done and not self._framed:
-            self._finish(reusable=False)
+        if self._is_busy and self._head_done and not self._has_framing:
+            self._complete(reusable=False)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.is_dirty = True
+        self.must_close = True
         if self._is_busy:
-            self._break(f"connection lost: {error}" if error else "connection closed")
+            self._fail(f"connection lost: {error}" if error else "connection closed")
         self._transport = None
 
-    # What httptools calls.
+    # Callbacks of the httptools parser.
 
     def on_message_begin(self) -> None:
         if not self._is_busy:
-            self.is_dirty = True
+            self.must_close = True
 
     def on_status(self, status: bytes) -> None:
         self._reason += status.decode("latin-1")
@@ -221,7 +224,7 @@
 
     def on_headers_complete(self) -> None:
         if not self._is_busy or self._head_done:
-            self.is_dirty = True
+            self.must_close = True
             return
         status = self._parser.get_status_code()
         if 100 <= status < 200:
@@ -230,44 +233,44 @@
         head = Head(status, self._reason, tuple(self._headers))
         self._head_done = True
         coding = (head.get("transfer-encoding") or "").lower()
-        self._framed = (
+        self._has_framing = (
             head.get("content-length") is not None
             or coding.endswith("chunked")
             or status in (204, 304)
             or self._method == "HEAD"
         )
         self._keep_alive_s = _keep_alive_s(head.get("keep-alive"))
-        self._put(head)
+        self._add_event(head)
 
     def on_body(self, data: bytes) -> None:
         if not self._is_busy:
-            self.is_dirty = True
+            self.must_close = True
             return
-        self._unread += len(data)
-        self._put(BodyPart(data))
-        if self._unread > _MOST_UNREAD_BYTES and not self._is_paused:
+        self._unread_bytes += len(data)
+        self._add_event(BodyPart(data))
+        if self._unread_bytes > _MAX_UNREAD_BYTES and not self._is_paused:
             self._is_paused = True
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
         if not self._is_busy or not self._head_done:
             return
-        self._finish(reusable=self._framed and self._parser.should_keep_alive())
+        self._complete(reusable=self._has_framing and self._parser.should_keep_alive())
 
-    def _finish(self, *, reusable: bool) -> None:
+    def _complete(self, *, reusable: bool) -> None:
         self._is_busy = False
         self.served += 1
         if not reusable:
-            self.is_dirty = True
-        self._put(End())
+            self.must_close = True
+        self._add_event(End())
 
-    def _break(self, detail: str) -> None:
+    def _fail(self, detail: str) -> None:
         at = BrokenAt.HEAD if self._head_done else BrokenAt.SENT
         self._is_busy = False
-        self._put(Broken(at, detail))
+        self._add_event(Broken(at, detail))
         self.close()
 
-    def _put(self, event: Event) -> None:
+    def _add_event(self, event: Event) -> None:
         self._events.append(event)
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
@@ -277,26 +280,26 @@
         self._headers: list[tuple[str, str]] = []
         self._reason = ""
         self._head_done = False
-        self._framed = False
+        self._has_framing = False
 
 
-def _notice_silence(raw: socket.socket) -> None:
-    """Have the kernel end a connection whose peer went silent.
+def _enable_dead_peer_detection(raw: socket.socket) -> None:
+    """Let the kernel close a connection whose peer has become unreachable.
 
-    A VM without power or behind a partition answers nothing, and a connection to
-    it would hang until its caller's deadline. Bytes that nobody acknowledges for
-    a second, or two keep-alive probes without an answer, end it.
+    A VM without power or behind a network partition sends nothing, and a request to
+    it would hang until the caller's deadline. The kernel closes the connection when
+    sent bytes are not acknowledged for 1 s or two keepalive probes get no response.
     """
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _MAX_UNACKNOWLEDGED_MS)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_AFTER_S)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_AFTER_S)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_INTERVAL_S)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_INTERVAL_S)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _MAX_UNANSWERED_PROBES)
 
 
 def _keep_alive_s(value: str | None) -> float | None:
-    """Return the timeout of a ``Keep-Alive`` header in seconds.
+    """Return the timeout in a ``Keep-Alive`` header, in seconds.
 
     >>> _keep_alive_s("timeout=5, max=100")
     5.0
--- a/fireflyward/http1/_full_response.py
+++ b/fireflyward/http1/_full_response.py
@@ -1,4 +1,4 @@
-"""One whole response, for callers that pass nothing on before its end."""
+"""Reads a complete response, for callers that don't stream it."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FullResponse:
-    """A response with its whole body; header names are in lower case."""
+    """A response with its complete body; header names are in lower case."""
 
     status: int
     body: bytes
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoResponse:
-    """No whole response came; the request may have been carried out."""
+    """No complete response arrived; the request may have been executed."""
 
     detail: str
 
@@ -26,14 +26,14 @@
 async def read_full_response(
     connection: HttpConnection, *, clock: Clock, limit_ms: float
 ) -> FullResponse | NoResponse:
-    """Return the response to what was just sent, if it is whole in ``limit_ms``.
+    """Return the response to the request just sent, if complete within ``limit_ms``.
 
-    Without one the connection is closed, since the response may still come.
+    Otherwise the connection is closed, because the response may still arrive.
     """
-    due_ms = clock.now_ms() + limit_ms
+    deadline_ms = clock.now_ms() + limit_ms
     status, headers, parts = 0, (), []
     while True:
-        event = await connection.next_event_within(due_ms - clock.now_ms())
+        event = await connection.next_event_within(deadline_ms - clock.now_ms())
         if isinstance(event, Head):
             status, headers = event.status, event.headers
         elif isinstance(event, BodyPart):
@@ -44,5 +44,5 @@
             connection.close()
             is_broken = isinstance(event, Broken)
             return NoResponse(
-                event.detail if is_broken else f"no answer in {limit_ms:.0f} ms"
+                event.detail if is_broken else f"no response in {limit_ms:.0f} ms"
             )
--- a/fireflyward/http1/_pool.py
+++ b/fireflyward/http1/_pool.py
@@ -1,4 +1,4 @@
-"""Connections that are kept open between requests, by address."""
+"""A pool of connections that stay open between requests, by address."""
 
 import asyncio
 from collections import deque
@@ -8,20 +8,20 @@
 
 from ._connection import HttpConnection
 
-# A connection that was idle for longer than this is not used again where the peer
-# does not say how long it keeps one; one that the peer closes just as a request
-# goes out costs a request that may not be repeated.
-_IDLE_MS = 4_000
-# The part of the peer's own idle timeout that is used: the rest covers the way
-# there and a timer that fires late.
-_IDLE_SHARE = 0.6
+# A connection that was idle for longer is not reused. A non-idempotent request fails if
+# the peer closes the connection just as the request is sent. A peer may announce a
+# shorter time, see ``_KEEP_ALIVE_FRACTION``.
+_MAX_IDLE_MS = 4_000
+# The usable fraction of the idle timeout that the peer announces; the rest covers the
+# network latency and a timer that fires late.
+_KEEP_ALIVE_FRACTION = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class NotConnected:
-    """There is no connection, so nothing was sent.
+    """No connection could be opened, so nothing was sent.
 
-    ``is_refused`` says that the host answered and nothing listens there.
+    ``is_refused`` means that the host is reachable but nothing listens on the port.
     """
 
     detail: str
@@ -29,7 +29,7 @@
 
 
 class ConnectionPool:
-    """Lends connections; the freshest idle one first.
+    """Reuses idle connections, the one that was used last first.
 
     connection = await pool.acquire("10.0.0.1:80", connect_ms=300)
     ...
@@ -48,14 +48,14 @@
     ) -> HttpConnection | NotConnected:
         """Return an idle connection or open one within ``connect_ms``.
 
-        With ``fresh`` the idle ones are left alone: after one of them went silent
-        the others to that address may have too.
+        With ``fresh`` it always opens one: after one connection to an address has
+        become silent, the idle ones may be silent too.
         """
-        connection = None if fresh else self._take_idle(address)
+        connection = None if fresh else self._pop_idle(address)
         return connection or await self._open(address, connect_ms)
 
     def release(self, connection: HttpConnection) -> None:
-        """Keep a connection whose response is whole; close any other."""
+        """Keep a connection whose response is complete; close any other."""
         if not connection.is_usable:
             connection.close()
             return
@@ -66,7 +66,7 @@
             idle.popleft().close()
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to an address whose replica is gone."""
+        """Close the idle connections to an address, after its replica is gone."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.close()
 
@@ -75,7 +75,7 @@
         for address in list(self._idle_by_address):
             self.close_idle(address)
 
-    def _take_idle(self, address: str) -> HttpConnection | None:
+    def _pop_idle(self, address: str) -> HttpConnection | None:
         idle = self._idle_by_address.get(address)
         while idle:
             connection = idle.pop()
@@ -85,9 +85,9 @@
         return None
 
     def _is_stale(self, connection: HttpConnection) -> bool:
-        limit_ms = _IDLE_MS
+        limit_ms = _MAX_IDLE_MS
         if connection.keep_alive_ms is not None:
-            limit_ms = min(limit_ms, connection.keep_alive_ms * _IDLE_SHARE)
+            limit_ms = min(limit_ms, connection.keep_alive_ms * _KEEP_ALIVE_FRACTION)
         return self._clock.now_ms() - connection.idle_since_ms > limit_ms
 
     async def _open(
--- a/tests/http1/test_connection.py
+++ b/tests/http1/test_connection.py
@@ -1,4 +1,4 @@
-"""What a connection makes of whole, cut, crossed and foreign bytes."""
+"""Connections with complete, truncated, surplus and malformed responses."""
 
 import asyncio
 import socket
@@ -24,11 +24,11 @@
     return f"{host}:{port}"
 
 
-class Bytes:
-    """A server that writes given bytes for each request it reads."""
+class ScriptedServer:
+    """A server that writes the next of the given byte strings for each request."""
 
-    def __init__(self, *answers, reset=False, late=b"", keep=True):
-        self.answers = list(answers)
+    def __init__(self, *responses, reset=False, late=b"", keep=True):
+        self.responses = list(responses)
         self.reset = reset
         self.late = late
         self.keep = keep
@@ -44,16 +44,16 @@
         self.connections += 1
         self.tasks.append(asyncio.current_task())
         try:
-            await self._answer(reader, writer)
+            await self._respond(reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             writer.transport.abort()
         finally:
             writer.close()
 
-    async def _answer(self, reader, writer):
-        while self.answers:
+    async def _respond(self, reader, writer):
+        while self.responses:
             self.read.append(await reader.readuntil(b"\r\n\r\n"))
-            writer.write(self.answers.pop(0))
+            writer.write(self.responses.pop(0))
             await writer.drain()
             if self.late:
                 await asyncio.sleep(0.02)
@@ -89,25 +89,25 @@
         self.pool.release(connection)
         return events
 
-    async def serve(self, *answers, **options):
-        self.server = Bytes(*answers, **options)
+    async def serve(self, *responses, **options):
+        self.server = ScriptedServer(*responses, **options)
         return await self.server.start()
 
-    async def test_whole_answer_with_length(self):
+    async def test_a_response_with_a_length_is_complete(self):
         address = await self.serve(b"HTTP/1.1 200 Fine\r\nContent-Length: 2\r\n\r\nab")
         head, body, end = await self.exchange(address)
         self.assertEqual((head.status, head.reason), (200, "Fine"))
         self.assertEqual(body, BodyPart(b"ab"))
         self.assertEqual(end, End())
 
-    async def test_second_request_takes_the_same_connection(self):
-        answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-        address = await self.serve(answer, answer)
+    async def test_the_second_request_reuses_the_connection(self):
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+        address = await self.serve(response, response)
         await self.exchange(address)
         await self.exchange(address)
         self.assertEqual(self.server.connections, 1)
 
-    async def test_chunked_answer_that_is_cut_is_broken(self):
+    async def test_a_truncated_chunked_response_is_broken(self):
         address = await self.serve(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
             keep=False,
@@ -116,16 +116,16 @@
         self.assertIsInstance(events[0], Head)
         self.assertEqual(events[-1].at, BrokenAt.HEAD)
 
-    async def test_unframed_answer_ends_with_a_clean_close(self):
+    async def test_a_clean_close_completes_a_response_without_a_length(self):
         address = await self.serve(b"HTTP/1.1 200 OK\r\n\r\nabc", keep=False)
         events = await self.exchange(address)
         self.assertEqual(events[1:], [BodyPart(b"abc"), End()])
 
-    async def test_unframed_answer_that_is_reset_is_broken(self):
-        """Symptom: a caller gets half of an answer as a whole one.
+    async def test_a_reset_breaks_a_response_without_a_length(self):
+        """Symptom: a caller gets half of a response as a complete one.
 
-        A replica without a length in its answer crashes midway; a reset must not
-        pass for the end that a clean close marks.
+        A replica that sends no length crashes during its response. Only a clean close
+        marks the end of such a response, a reset does not.
         """
         address = await self.serve(
             b"HTTP/1.1 200 OK\r\n\r\nabc", keep=False, reset=True
@@ -133,45 +133,47 @@
         events = await self.exchange(address)
         self.assertIsInstance(events[-1], Broken)
 
-    async def test_no_answer_is_broken_as_sent(self):
+    async def test_a_missing_response_is_broken_at_sent(self):
         address = await self.serve(b"", keep=False)
         (event,) = await self.exchange(address)
         self.assertEqual(event.at, BrokenAt.SENT)
 
-    async def test_bytes_that_are_no_http_are_broken(self):
+    async def test_a_response_that_is_not_http_is_broken(self):
         address = await self.serve(b"\x00\x01garbage\r\n\r\n")
         events = await self.exchange(address)
         self.assertIsInstance(events[-1], Broken)
 
-    async def test_second_answer_to_one_request_reaches_nobody(self):
-        """Symptom: a caller gets an answer to a request that was never its own.
+    async def test_a_late_second_response_is_not_delivered(self):
+        """Symptom: a caller gets the response to another request.
 
-        A replica sends another answer after a whole one, onto a connection that
-        lies idle by then. The next request on it would take those bytes.
+        A replica sends a second response after a complete one, when the connection is
+        already idle. The next request on it would get those bytes as its response.
         """
-        answer = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
-        address = await self.serve(answer + b"a", answer + b"b", late=answer + b"x")
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
+        address = await self.serve(
+            response + b"a", response + b"b", late=response + b"x"
+        )
         await self.exchange(address)
         await asyncio.sleep(0.1)
         _, body, _ = await self.exchange(address)
         self.assertEqual(body, BodyPart(b"b"))
         self.assertEqual(self.server.connections, 2)
 
-    async def test_answer_in_one_piece_with_another_reaches_nobody(self):
-        answer = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
-        address = await self.serve(answer + b"a" + answer + b"x", answer + b"b")
+    async def test_a_second_response_in_the_same_segment_is_not_delivered(self):
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
+        address = await self.serve(response + b"a" + response + b"x", response + b"b")
         await self.exchange(address)
         _, body, _ = await self.exchange(address)
         self.assertEqual(body, BodyPart(b"b"))
 
-    async def test_connection_close_is_obeyed(self):
-        answer = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-        address = await self.serve(answer, answer)
+    async def test_a_connection_close_header_prevents_reuse(self):
+        response = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+        address = await self.serve(response, response)
         await self.exchange(address)
         await self.exchange(address)
         self.assertEqual(self.server.connections, 2)
 
-    async def test_interim_answer_is_passed_over(self):
+    async def test_an_interim_response_is_skipped(self):
         address = await self.serve(
             b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
         )
@@ -180,7 +182,7 @@
 
 
 class PoolTests(unittest.IsolatedAsyncioTestCase):
-    async def test_nobody_listens(self):
+    async def test_an_address_without_a_listener_is_not_connected(self):
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         address = address_of(server)
         server.close()
@@ -189,17 +191,17 @@
         result = await pool.acquire(address, connect_ms=500)
         self.assertIsInstance(result, NotConnected)
 
-    async def test_connection_older_than_its_keep_alive_is_not_used(self):
-        """Symptom: a request that may run once fails although replicas are well.
+    async def test_a_connection_idle_beyond_its_keep_alive_is_not_reused(self):
+        """Symptom: a non-idempotent request fails although the replica works.
 
-        The replica closes an idle connection just as a request goes out on it.
+        The replica closes an idle connection just as the request is sent on it.
         """
-        answer = (
+        response = (
             b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 0\r\n\r\n"
         )
-        server = Bytes(answer, answer)
+        server = ScriptedServer(response, response)
         address = await server.start()
-        clock = _Steps()
+        clock = _SettableClock()
         pool = ConnectionPool(clock)
         for advance_ms in (0, 700):
             clock.ms += advance_ms
@@ -213,7 +215,7 @@
         await server.stop()
 
 
-class _Steps(Clock):
+class _SettableClock(Clock):
     ms = 0
 
     def now_ms(self):
