--- a/fireflyward/deployment/__init__.py
+++ b/fireflyward/deployment/__init__.py
@@ -1,4 +1,4 @@
-"""Facts about a deployment, as typed values; nothing here decides."""
+"""Typed values that describe a deployment; this package takes no decisions."""
 
 from ._configuration import (
     ClientAccount,
--- a/fireflyward/deployment/_configuration.py
+++ b/fireflyward/deployment/_configuration.py
@@ -1,11 +1,11 @@
-"""What operators have put in force: routes, services, client accounts, limits."""
+"""The operators' configuration: routes, services, client accounts and limits."""
 
 import enum
 from dataclasses import dataclass, field
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a request on a route."""
+    """Which requests of a route may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service that takes ``weight`` parts of a route's requests."""
+    """A service that gets a share of a route's requests in proportion to ``weight``."""
 
     service: str
     weight: float
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and what they may cost.
+    """Services, time limits and priority of the requests of a host and path prefix.
 
-    ``timeout_ms`` is the longest time that a caller is kept waiting,
-    ``objective_ms`` the latency in which an answer has its full worth,
-    ``pause_ms`` the longest pause between two events of a stream that is on time.
-    ``priority`` 0 is the most urgent; ``max_attempts`` counts replicas.
+    ``timeout_ms`` is the longest time that a caller waits. ``objective_ms`` is the
+    target latency: a later response has less value. ``pause_ms`` is the target for
+    the longest pause between two events of a stream. Priority 0 is the most urgent.
+    ``max_attempts`` limits the number of replicas that are tried.
     """
 
     name: str
@@ -40,13 +40,13 @@
     max_attempts: int
     shares: tuple[ServiceShare, ...]
     allows_anonymous: bool = False
-    has_prefixes: bool = False
+    has_prompt_parts: bool = False
     is_resumable: bool = False
     pause_ms: int = 0
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a request may run on a second replica after the first."""
+        """Return whether a request may run on a second replica after the first."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineShape:
-    """What the replicas of a model service hold: all sizes are for one replica."""
+    """Capacity and models of a model service's replicas; sizes are for one replica."""
 
     slots: int
     kv_tokens: int
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KvStore:
-    """A store of KV cache: ``kv_tokens`` is its room, ``link_mbps`` its link."""
+    """A KV cache store with its capacity ``kv_tokens`` and its link's bandwidth."""
 
     address: str
     failure_domain: str
@@ -76,11 +76,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A pool of replicas, or with ``kv_store`` one store of KV cache.
+    """A pool of replicas, or a single KV cache store if ``kv_store`` is set.
 
-    A replica is cold for ``cold_start_ms`` after its start and whenever it says so;
-    it then bears ``cold_per_second`` requests and may crash under more. With 0 there
-    is no such limit.
+    A replica is cold for ``cold_start_ms`` after its start and whenever it reports
+    so. A cold replica sustains ``cold_per_second`` requests per second and may crash
+    under more; 0 means that there is no such limit.
     """
 
     name: str
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a caller may send, and how long its connection may take or idle."""
+    """Limits on the size of callers' requests and on the time of their connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """A client account; an isolated one shares no KV cache with any other."""
+    """A client account; an isolated one shares no KV cache with other accounts."""
 
     name: str
     keys: tuple[str, ...]
@@ -113,10 +113,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole version of the configuration.
+    """A complete version of the configuration.
 
-    ``accounts`` is None where the deployment knows no client accounts; requests
-    then need no key.
+    ``accounts`` is None if the deployment has no client accounts; requests then need
+    no key.
     """
 
     version: int
--- a/fireflyward/deployment/_replicas.py
+++ b/fireflyward/deployment/_replicas.py
@@ -1,9 +1,9 @@
-"""What the platform lists of replicas and of the weights they should have."""
+"""Replicas that the platform lists, and the weights that they should have."""
 
 import hashlib
 from dataclasses import dataclass
 
-_NUMBER_BYTES = 4
+_INCARNATION_ID_BYTES = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaEntry:
-    """One start of a replica.
+    """One incarnation of a replica: the replica from one start to the next.
 
-    ``started_ms`` is the wall clock at its start by its own word, 0 if it gives none:
-    a replica may start again under the name in ``incarnation``. ``cold_ms`` is how
-    much longer it stays slow after its start.
+    ``incarnation`` is the replica's name; it may stay the same after a restart.
+    ``started_ms`` is the time of the start by the replica's wall clock, 0 if it
+    reports none. ``cold_ms`` is for how much longer the replica stays cold.
     """
 
     incarnation: str
@@ -35,18 +35,18 @@
 
     @property
     def incarnation_id(self) -> int:
-        """Return what nodes call this start of the replica in news of its load.
+        """Return the id of this incarnation in messages between nodes.
 
-        It is worked out from the name and so needs no agreement. Two of a thousand
-        replicas share a number once in ten thousand fleets, and then seem to have
-        each other's load.
+        Nodes calculate it from the name and start time, without coordination. In one
+        of ten thousand fleets of a thousand replicas, two replicas get the same id;
+        each then appears to have the other's load.
         """
         name = f"{self.incarnation}/{self.started_ms}".encode()
-        digest = hashlib.blake2b(name, digest_size=_NUMBER_BYTES).digest()
+        digest = hashlib.blake2b(name, digest_size=_INCARNATION_ID_BYTES).digest()
         return int.from_bytes(digest, "big", signed=True)
 
     def version_of(self, model: str) -> int | None:
-        """Return the version of a model's weights, None if it has none."""
+        """Return the version of a model's weights, None if the replica has none."""
         for loaded in self.weights:
             if loaded.model == model:
                 return loaded.version
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """The replicas of a failure domain are to get no new requests."""
+    """An order to send no new requests to the replicas of a failure domain."""
 
     failure_domain: str
 
 
 @dataclass(frozen=True, slots=True)
 class WeightTarget:
-    """The version of a model's weights that all its replicas should have."""
+    """The version of a model's weights that all its replicas should load."""
 
     model: str
     version: int
--- a/fireflyward/deployment/_settings.py
+++ b/fireflyward/deployment/_settings.py
@@ -1,11 +1,11 @@
-"""What a process of a fleet is told at its start."""
+"""The settings that a process of a fleet reads at its start."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times and ratios that the deployment promises to its users."""
+    """Time limits and ratios that the deployment guarantees to its users."""
 
     contact_ms: int
     drain_ms: int
@@ -20,12 +20,12 @@
     thaw_slack_ms: int
     version_ms: int
     reuse_window_ms: int
-    checks_fencing: bool
+    requires_fencing: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """Where the platform's store is and how many calls all nodes may make."""
+    """Address of the platform's store, and limits on the calls of all nodes."""
 
     address: str
     writes_per_second: float
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """Everything that a process learns before it has spoken to anyone.
+    """The settings of a process, from its settings file.
 
-    Addresses are ``IP:PORT``. ``memory_mb`` is the limit past which the process is
-    killed, ``link_mbps`` what the VM's link carries; ``heartbeat_ms`` is how
-    often a replica renews its entry.
+    Addresses are ``IP:PORT``. The process is killed if it uses more than
+    ``memory_mb``. ``link_mbps`` is the bandwidth of the VM's link. ``heartbeat_ms`` is
+    the interval at which a replica renews its entry.
     """
 
     node: str
--- a/fireflyward/platform/_configuration.py
+++ b/fireflyward/platform/_configuration.py
@@ -181,7 +181,7 @@
         max_attempts=to_int(raw.max_attempts),
         shares=tuple(shares),
         allows_anonymous=raw.allow_anonymous,
-        has_prefixes=raw.sticky,
+        has_prompt_parts=raw.sticky,
         is_resumable=raw.resumable,
         pause_ms=to_int(raw.gap_target_ms),
     )
--- a/fireflyward/platform/_settings.py
+++ b/fireflyward/platform/_settings.py
@@ -117,5 +117,5 @@
         thaw_slack_ms=to_int(raw.thaw_slack_ms),
         version_ms=to_int(raw.version_ms),
         reuse_window_ms=to_int(raw.reuse_window_s * _MS_PER_S),
-        checks_fencing=raw.require_fencing,
+        requires_fencing=raw.require_fencing,
     )
