--- a/fireflyward/admin/__init__.py
+++ b/fireflyward/admin/__init__.py
@@ -1,9 +1,9 @@
-"""The administration API: it submits, checks, shows and signs, nothing else."""
+"""The administration API: operators check, sign, submit and view bundles."""
 
 from ._app import build_admin_app
-from ._auth import RequestJudge, sign_request
+from ._auth import RequestAuthenticator, sign_request
+from ._bundle_admin import BundleAdmin, ServingNode
 from ._client import AdminClient, AdminFailed
-from ._desk import BundleDesk, ServingNode
 from ._messages import (
     About,
     CheckReply,
@@ -17,22 +17,22 @@
     SubmitOutcome,
     SubmitReply,
 )
-from ._proposals import ProposalBook
+from ._proposals import ProposalStore
 
 __all__ = [
     "About",
     "AdminClient",
     "AdminFailed",
-    "BundleDesk",
+    "BundleAdmin",
     "CheckReply",
     "ErrorReply",
     "HistoryReply",
     "PlanReply",
     "Problem",
     "Proposal",
-    "ProposalBook",
+    "ProposalStore",
     "ProposalsReply",
-    "RequestJudge",
+    "RequestAuthenticator",
     "ServingNode",
     "StatusReply",
     "SubmitOutcome",
--- a/fireflyward/daemon/_admin_duty.py
+++ b/fireflyward/daemon/_admin_duty.py
@@ -4,7 +4,12 @@
 
 from aiohttp import web
 
-from fireflyward.admin import BundleDesk, ProposalBook, RequestJudge, build_admin_app
+from fireflyward.admin import (
+    BundleAdmin,
+    ProposalStore,
+    RequestAuthenticator,
+    build_admin_app,
+)
 from fireflyward.backing import Objects, Table, Weights
 from fireflyward.bundles import BundleStore, root_people
 from fireflyward.clock import Clock
@@ -33,18 +38,22 @@
         self._wanted_port = settings["admin_port"]
         self._runner: web.AppRunner | None = None
         store = BundleStore(table, objects, clock=clock)
-        desk = BundleDesk(
+        bundle_admin = BundleAdmin(
             deployment=settings["deployment"],
             node=bundles,
             store=store,
             weights=weights,
             roots=root_people(dict(settings["trust_roots"])),
         )
-        proposals = ProposalBook(store=store, table=table, objects=objects, clock=clock)
+        proposals = ProposalStore(
+            store=store, table=table, objects=objects, clock=clock
+        )
         self._app = build_admin_app(
-            desk,
+            bundle_admin,
             proposals,
-            judge=RequestJudge(settings["deployment"], settings["node_name"]),
+            authenticator=RequestAuthenticator(
+                settings["deployment"], settings["node_name"]
+            ),
             node_name=settings["node_name"],
             clock=clock,
         )
--- a/fireflyward/rollout/_task.py
+++ b/fireflyward/rollout/_task.py
@@ -206,7 +206,7 @@
         elif not self._holds_lease() or action.order.fencing != self._driving_fencing:
             result = _NOT_SENT
         else:
-            result = await engine.take(action.order)
+            result = await engine.send_order(action.order)
         await self._process(
             OrderAnswered(action.replica, action.order.order_id, result)
         )
