--- a/fireflyward/admin/_bundle_admin.py
+++ b/fireflyward/admin/_bundle_admin.py
@@ -26,7 +26,7 @@
     read_state,
     statement_of,
     verify_change,
-    verify_whole,
+    verify_snapshot,
     weight_errors,
 )
 
@@ -219,7 +219,7 @@
         if base is not None:
             return verify_change(signed, base, deployment=self.deployment)
         return await asyncio.to_thread(
-            verify_whole, signed, (), roots=self._roots, deployment=self.deployment
+            verify_snapshot, signed, (), roots=self._roots, deployment=self.deployment
         )
 
     async def _find_problems(self, bundle: Bundle) -> list[Problem]:
@@ -236,7 +236,7 @@
     ) -> SubmitReply:
         digest = digest_of(signed.document)
         if error.code in _RACE_CODES and statement.deployment == self.deployment:
-            accepted = await self._store.accepted(statement.number)
+            accepted = await self._store.accepted_head(statement.number)
             if isinstance(accepted, Head) and accepted.digest == digest:
                 detail = "this bundle was already accepted"
                 return SubmitReply(
@@ -259,7 +259,7 @@
     ) -> SubmitReply:
         digest = digest_of(signed.document)
         if isinstance(result, Conflict):
-            accepted = await self._store.accepted(statement.number)
+            accepted = await self._store.accepted_head(statement.number)
             if isinstance(accepted, Head):
                 return await self._make_race_reply(signed, statement, accepted)
             return SubmitReply(
@@ -304,14 +304,14 @@
         state = self._node.state()
         if state is not None and state.number == number:
             return state
-        head = await self._store.accepted(number)
+        head = await self._store.accepted_head(number)
         if not isinstance(head, Head):
             return ErrorReply("no_bundle", f"bundle {number} is not stored")
-        fetched = await self._store.fetch_whole(head)
+        fetched = await self._store.fetch_snapshot(head)
         if not hasattr(fetched, "snapshot"):
             return ErrorReply("platform_away", str(fetched))
         found = await asyncio.to_thread(
-            verify_whole,
+            verify_snapshot,
             fetched.snapshot,
             fetched.links,
             roots=self._roots,
--- a/fireflyward/bench/measures/bundle_cost.py
+++ b/fireflyward/bench/measures/bundle_cost.py
@@ -16,8 +16,8 @@
     BundleFollower,
     BundleHolder,
     BundleState,
-    BundleWatch,
-    Seen,
+    NodeObservation,
+    NodeStatusTracker,
     sign_bundle,
     verify_change,
 )
@@ -42,11 +42,11 @@
 def _duty_figures() -> list[Figure]:
     """Measure what following costs a node among 350 while nothing changes."""
     names = [f"node-{index}" for index in range(_NODES - 1)]
-    seen = [Seen(name, "norte", 1, is_reached=True) for name in names]
-    follower, watch = BundleFollower(poll_ms=2_000, seed=1), BundleWatch()
-    follower.on_taken(0, 1, names)
+    seen = [NodeObservation(name, "norte", 1, is_reached=True) for name in names]
+    follower, watch = BundleFollower(poll_ms=2_000, seed=1), NodeStatusTracker()
+    follower.on_applied(0, 1, names)
     for name in names:
-        follower.on_news(0, name, 1)
+        follower.on_peer_number(0, name, 1)
     times_ms = iter(range(0, 1 << 30, 100))
     tick_s = _best_of(lambda: follower.on_tick(next(times_ms), names))
     watch_s = _best_of(lambda: watch.observe(0, 1, seen))
@@ -73,7 +73,7 @@
     signed = sign_bundle(following, author=AUTHOR, approver=APPROVER, base=base)
     verify_s = _best_of(lambda: verify_change(signed, base, deployment=DEPLOYMENT))
     holder = BundleHolder()
-    holder.offer(base.bundle)
+    holder.update(base.bundle)
     lookup_s = _best_of(lambda: _look_up(holder, accounts)) / _LOOKUPS
     prefix = f"bundle_cost.accounts_{accounts}"
     return [
@@ -93,10 +93,10 @@
     tracemalloc.start()
     state = first_state(accounts)
     holder = BundleHolder()
-    holder.offer(state.bundle)
+    holder.update(state.bundle)
     _look_up(holder, accounts)
     state = _next(state, accounts)
-    holder.offer(state.bundle)
+    holder.update(state.bundle)
     gc.collect()
     held, _ = tracemalloc.get_traced_memory()
     objects = make_bundle(accounts)
--- a/fireflyward/daemon/_bundle_duty.py
+++ b/fireflyward/daemon/_bundle_duty.py
@@ -9,23 +9,23 @@
 
 from fireflyward.backing import Missing, Objects, Table, Unavailable
 from fireflyward.bundles import (
+    AnnounceNumber,
     Bundle,
+    BundleCache,
     BundleError,
     BundleFollower,
     BundleLoader,
-    BundleShelf,
     BundleState,
     BundleStore,
-    BundleWatch,
     FetchFromPeer,
     FetchFromStore,
     Head,
     Loaded,
+    NodeObservation,
     NodeStatus,
+    NodeStatusTracker,
     ReadHead,
-    Seen,
     SignedBundle,
-    Tell,
     Whole,
     root_people,
 )
@@ -105,8 +105,8 @@
         peers: BundlePeers,
         apply: Callable[[Bundle], None],
     ) -> None:
-        self.shelf = BundleShelf()
-        self.watch = BundleWatch()
+        self.shelf = BundleCache()
+        self.watch = NodeStatusTracker()
         self.refused: BundleError | None = None
         self._link = link
         self._clock = clock
@@ -156,14 +156,14 @@
         """Wait shortly for ``number``, which a caller saw elsewhere."""
         ends_ms = self._clock.now_ms() + _CATCH_UP_MS
         while self._follower.number < number and self._clock.now_ms() < ends_ms:
-            self._do(self._follower.on_asked(self._clock.now_ms(), number))
+            self._do(self._follower.on_caller_number(self._clock.now_ms(), number))
             await self._clock.sleep_ms(_CATCH_UP_STEP_MS)
         return self._follower.number >= number
 
     def on_member_number(self, name: str, number: int) -> None:
         """Take note of the number that a member's heartbeat carried."""
         if number != self._follower.number:
-            self._do(self._follower.on_news(self._clock.now_ms(), name, number))
+            self._do(self._follower.on_peer_number(self._clock.now_ms(), name, number))
 
     def state(self) -> BundleState | None:
         """Return the bundle in force at this node."""
@@ -177,8 +177,10 @@
         seen += [seen_state(reply) for reply in replies if _is_state(reply)]
         silent = known - {node.name for node in seen}
         self._unanswered = set(silent)
-        seen += [Seen(name, "", 0, is_reached=False) for name in sorted(silent)]
-        number = max(self._follower.wanted, *(node.number for node in seen))
+        seen += [
+            NodeObservation(name, "", 0, is_reached=False) for name in sorted(silent)
+        ]
+        number = max(self._follower.target_number, *(node.number for node in seen))
         self.watch.observe(self._clock.wall_ms(), number, seen)
         return self.watch.statuses()
 
@@ -208,7 +210,7 @@
         self._apply(state.bundle)
         names = list(self._peers.addresses())
         now_ms = self._clock.now_ms()
-        self._do(self._follower.on_taken(now_ms, state.number, names))
+        self._do(self._follower.on_applied(now_ms, state.number, names))
 
     async def _tick_always(self) -> None:
         look_at_ms = 0
@@ -227,7 +229,7 @@
         members = [self._judge_silence(member) for member in self._peers.seen()]
         own = seen_state(self.own_state())
         self.watch.observe(
-            self._clock.wall_ms(), self._follower.wanted, [own, *members]
+            self._clock.wall_ms(), self._follower.target_number, [own, *members]
         )
         if members:
             kept = {own.name, *(member.name for member in members)}
@@ -236,7 +238,7 @@
             ]
             self.watch.forget(gone)
 
-    def _judge_silence(self, member: Seen) -> Seen:
+    def _judge_silence(self, member: NodeObservation) -> NodeObservation:
         """Believe a call without an answer until membership has judged itself.
 
         Membership takes some seconds to give a node up; without this a dead node
@@ -269,7 +271,7 @@
         self._spawn(self._fetch_from_peer(action.peer))
 
     @_act.register
-    def _(self, action: Tell) -> None:
+    def _(self, action: AnnounceNumber) -> None:
         self._peers.tell(action.peer, action.number)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -303,11 +305,19 @@
         if state is None:
             whole = await self._peers.whole(name)
             is_whole = isinstance(whole, Whole)
-            loaded = await self._loader.begin(whole) if is_whole else whole
+            loaded = (
+                await self._loader.verify_snapshot_and_changes(whole)
+                if is_whole
+                else whole
+            )
         else:
             changes = await self._peers.changes(name, state.number)
             is_some = isinstance(changes, tuple)
-            loaded = await self._loader.follow(state, changes) if is_some else changes
+            loaded = (
+                await self._loader.verify_changes(state, changes)
+                if is_some
+                else changes
+            )
         self._take_or_fail(loaded)
 
     def _take_or_fail(self, loaded: object) -> None:
@@ -324,13 +334,15 @@
         for reply in (await self._peers.states()).values():
             if _is_state(reply) and reply.number:
                 now_ms = self._clock.now_ms()
-                self._do(self._follower.on_news(now_ms, reply.node_name, reply.number))
+                self._do(
+                    self._follower.on_peer_number(now_ms, reply.node_name, reply.number)
+                )
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _on_news(self, sender: str, news: Any) -> None:
         self._peers.heard(sender, (news.host, news.port))
         now_ms = self._clock.now_ms()
-        self._do(self._follower.on_news(now_ms, sender, news.number))
+        self._do(self._follower.on_peer_number(now_ms, sender, news.number))
 
     async def _on_changes_request(self, sender: str, request: Any) -> Any:
         return self.shelf.changes_after(request.after)
--- a/tests/bundles/makers.py
+++ b/tests/bundles/makers.py
@@ -1,4 +1,4 @@
-"""Small bundles, keys and states that the tests of this slice share."""
+"""Small bundles, keys and states that several tests share."""
 
 import hashlib
 
@@ -16,7 +16,7 @@
     root_people,
     sign_bundle,
     verify_change,
-    verify_whole,
+    verify_snapshot,
 )
 
 DEPLOYMENT = "demo"
@@ -70,19 +70,19 @@
 
 def first_state(**options):
     signed = sign_bundle(bundle(**options), author=ANA, approver=BRUNO)
-    return whole(signed)
+    return verify_demo_snapshot(signed)
 
 
-def whole(signed, links=(), roots=ROOTS):
-    return verify_whole(signed, links, roots=roots, deployment=DEPLOYMENT)
+def verify_demo_snapshot(signed, links=(), roots=ROOTS):
+    return verify_snapshot(signed, links, roots=roots, deployment=DEPLOYMENT)
 
 
-def change(signed, base):
+def verify_demo_change(signed, base):
     return verify_change(signed, base, deployment=DEPLOYMENT)
 
 
 def next_state(base, following, author=ANA, approver=BRUNO):
     signed = sign_bundle(following, author=author, approver=approver, base=base)
-    state = change(signed, base)
+    state = verify_demo_change(signed, base)
     assert isinstance(state, BundleState), state
     return state
