--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -30,13 +30,13 @@
 from ._callers import CallerDoor
 from ._gauges import link_gauges
 from ._joining import Joining
-from ._known_replicas import KnownReplicas
+from ._kv_stores import StoreFollowing
 from ._lost_rows import LostRows
-from ._own_pages import OwnPages
 from ._paces import configuration_pace, replicas_pace
 from ._peers import NODE_TABLE, PeerRegister
+from ._replica_components import KnownReplicas
 from ._start_gate import StartGate
-from ._stores import StoreFollowing
+from ._status_server import OwnPages
 from ._views import OperatorView, ReplicaView
 
 log = logging.getLogger("fireflyward.node")
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_restores.py
@@ -1,6 +1,6 @@
 """Drills at random moments among what operators and replicas say, over sockets.
 
-More seeds by hand: ``python -m tests.fleet.test_random_drills 20``.
+More seeds by hand: ``python -m tests.fleet.test_random_restores 20``.
 """
 
 import asyncio
