--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -10,7 +10,7 @@
 from fireflyward.peers import Address, PeerCodec, PeerLink
 
 from ._paces import nodes_pace
-from ._peers import NODE_TABLE, OLD_LIST_MS, NodeRow, PeerRegister
+from ._peers import NODE_TABLE, OLD_LIST_MS, NodeRegistry, NodeRow
 
 # Tables are read from an aggregator, which is spoken to over the link between nodes.
 # That is open, and the others are listed, some 300 ms after the start; if they are
@@ -32,7 +32,7 @@
         settings: FleetSettings,
         *,
         clock: Clock,
-        register: PeerRegister,
+        register: NodeRegistry,
         tables: SharedTables,
         aggregators: Aggregators,
         on_nodes: Callable[[Collection[str]], None],
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -33,7 +33,7 @@
 from ._kv_stores import StoreFollowing
 from ._lost_rows import LostRows
 from ._paces import configuration_pace, replicas_pace
-from ._peers import NODE_TABLE, PeerRegister
+from ._peers import NODE_TABLE, NodeRegistry
 from ._replica_components import KnownReplicas
 from ._start_gate import StartGate
 from ._status_server import OwnPages
@@ -79,7 +79,7 @@
             extra=bounds.retry_extra,
             window_ms=bounds.retry_window_ms,
         )
-        self._peers = PeerRegister(self._store, settings.node)
+        self._peers = NodeRegistry(self._store, settings.node)
         self._planner = PartPlanner()
         self._api = ReplicaApi(self._pool, clock=clock)
         self._aggregators = Aggregators(
--- a/fireflyward/fleet/_peers.py
+++ b/fireflyward/fleet/_peers.py
@@ -37,7 +37,7 @@
     link_mbps: float
 
 
-class PeerRegister:
+class NodeRegistry:
     """Follows the table of nodes, and writes what of ours is missing there.
 
     Rows of nodes that are gone stay, so the number of nodes errs upwards and the
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -8,7 +8,7 @@
 from fireflyward.clock import ManualClock
 from fireflyward.feeds import Changes, Snapshot, TableRow
 from fireflyward.fleet._joining import Joining
-from fireflyward.fleet._peers import PeerRegister
+from fireflyward.fleet._peers import NodeRegistry
 from fireflyward.peers import Envelope, PeerCodec
 from tests.positions import at
 
@@ -34,7 +34,7 @@
         return Changes(self.rows_to_tell, after)
 
 
-class _Register(PeerRegister):
+class _Register(NodeRegistry):
     """Writes nothing."""
 
     async def write_missing(self, now_ms):
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -6,7 +6,7 @@
 
 from fireflyward.backing import Committed
 from fireflyward.feeds import Followed, TableRow
-from fireflyward.fleet._peers import NodeRow, PeerRegister
+from fireflyward.fleet._peers import NodeRegistry, NodeRow
 from tests.positions import at
 
 KEY = TableRow("key", b"k" * 32, at(1))
@@ -28,7 +28,7 @@
 
 
 def register(name, rows, *, own=None, store=None):
-    found = PeerRegister(store or _Store(), name)
+    found = NodeRegistry(store or _Store(), name)
     if own is not None:
         found.announce(own)
     found.on_news(Followed(tuple(rows), True, 0))
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -9,7 +9,7 @@
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, Evacuation, ReplicaEntry, WeightTarget
 from fireflyward.feeds import Changes, Followed, HistoryLost, Snapshot, TableRow
-from fireflyward.fleet._peers import PeerRegister
+from fireflyward.fleet._peers import NodeRegistry
 from fireflyward.fleet._views import OperatorView, ReplicaView
 from fireflyward.forwarding import WeightVersions
 from fireflyward.http1 import ConnectionPool
@@ -157,7 +157,7 @@
             failure_domains=("a",),
             on_configuration=lambda configuration: None,
         ).on_news(news)
-        PeerRegister(None, "n").on_news(news)
+        NodeRegistry(None, "n").on_news(news)
 
     @fuzz(150)
     @given(bodies() | suspect_bodies())
