--- a/fireflyward/fleet/__main__.py
+++ b/fireflyward/fleet/__main__.py
@@ -2,12 +2,12 @@
 
 import sys
 
-from ._light_imports import leave_out_authorities
+from ._light_imports import disable_certificate_authorities
 
 
 def main() -> int:
     """Return 0 after a planned stop, 2 for settings that are wrong."""
-    leave_out_authorities()
+    disable_certificate_authorities()
     # Imports the HTTP library, which the line before is for.
     from ._process import run_process
 
--- a/fireflyward/fleet/_callers.py
+++ b/fireflyward/fleet/_callers.py
@@ -29,15 +29,15 @@
 
 # Longest line and header that are read; the configuration's own limit is checked
 # on what was read.
-_HEADER_BYTES = 65_536
+_MAX_LINE_BYTES = 65_536
 # Idle connections live at least as long as callers reuse them: four fifths of the
 # configured idle limit, which the first configuration tells after the start.
 _KEEP_ALIVE_S = 75.0
-_BODY_MS = 10_000
+_BODY_TIMEOUT_MS = 10_000
 # Two spaces, the protocol's version and a line's end; a colon, a space and a line's
 # end for each header.
-_LINE_REST_BYTES = 12
-_FIELD_REST_BYTES = 4
+_REQUEST_LINE_OVERHEAD_BYTES = 12
+_HEADER_OVERHEAD_BYTES = 4
 # Nobody gets this one; it is only what aiohttp asks a handler to return.
 _CALLER_GONE_STATUS = 499
 
@@ -45,10 +45,10 @@
 class _AiohttpReply:
     """The way back to one caller; headers go out with the first event."""
 
-    __slots__ = ("_door", "_request", "response")
+    __slots__ = ("_request", "_server", "response")
 
-    def __init__(self, door: "CallerDoor", request: BaseRequest) -> None:
-        self._door = door
+    def __init__(self, server: "CallerServer", request: BaseRequest) -> None:
+        self._server = server
         self._request = request
         self.response: StreamResponse | None = None
 
@@ -60,7 +60,7 @@
             body=body,
         )
         self.response = response
-        await self._door.send(self._request, response)
+        await self._server.send(self._request, response)
 
     async def begin_stream(self, head: Head) -> None:
         self.response = StreamResponse(
@@ -69,7 +69,7 @@
             headers=CIMultiDict(response_headers(head)),
         )
         self.response.enable_chunked_encoding()
-        self._door.close_if_stopping(self.response)
+        self._server.close_if_stopping(self.response)
         await self.response.prepare(self._request)
 
     async def send_event(self, data: bytes) -> None:
@@ -79,7 +79,7 @@
         await self.response.write_eof()
 
 
-class CallerDoor:
+class CallerServer:
     """Reads requests, has them decided and forwarded, and answers each once."""
 
     def __init__(
@@ -101,8 +101,8 @@
             handler_cancellation=True,
             access_log=None,
             logger=log,
-            max_line_size=_HEADER_BYTES,
-            max_field_size=_HEADER_BYTES,
+            max_line_size=_MAX_LINE_BYTES,
+            max_field_size=_MAX_LINE_BYTES,
             keepalive_timeout=_KEEP_ALIVE_S,
             auto_decompress=False,
         )
@@ -160,7 +160,9 @@
             caller = decode_request(
                 request.method, request.raw_path, request.headers.items()
             )
-            outcome = await self._served(request, caller, reply, arrived_ms, trace)
+            outcome = await self._serve_safely(
+                request, caller, reply, arrived_ms, trace
+            )
             response = await self._finish(request, caller, reply, outcome)
             return response
         except ConnectionError:
@@ -173,9 +175,9 @@
                 "status": response.status if response is not None else None,
                 "made_by": "replica" if reply.response is not None else "node",
             }
-            self._note(caller, outcome, arrived_ms, trace, fields)
+            self._record(caller, outcome, arrived_ms, trace, fields)
 
-    async def _served(
+    async def _serve_safely(
         self,
         request: BaseRequest,
         caller: CallerRequest | NotRun,
@@ -259,14 +261,16 @@
             return NotRun(Reason.TOO_LARGE, "body over the limit")
         if request.headers.get("Expect", "").lower() == "100-continue":
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        read = await within_ms(self._clock, _BODY_MS, _up_to(request, limit))
+        read = await within_ms(
+            self._clock, _BODY_TIMEOUT_MS, _read_up_to(request, limit)
+        )
         if isinstance(read, TimedOut):
             return NotRun(Reason.BODY_TIMEOUT, "body did not come")
         if len(read) > limit:
             return NotRun(Reason.TOO_LARGE, "body over the limit")
         return read
 
-    def _note(
+    def _record(
         self,
         caller: CallerRequest | NotRun | None,
         outcome: Outcome,
@@ -311,12 +315,12 @@
 
 def _header_bytes(request: BaseRequest) -> int:
     """Return the size of a request's first line and headers on the wire."""
-    line = len(request.method) + len(request.raw_path) + _LINE_REST_BYTES
+    line = len(request.method) + len(request.raw_path) + _REQUEST_LINE_OVERHEAD_BYTES
     fields = sum(len(name) + len(value) for name, value in request.raw_headers)
-    return line + fields + _FIELD_REST_BYTES * len(request.raw_headers)
+    return line + fields + _HEADER_OVERHEAD_BYTES * len(request.raw_headers)
 
 
-async def _up_to(request: BaseRequest, limit: int) -> bytes:
+async def _read_up_to(request: BaseRequest, limit: int) -> bytes:
     parts, size = [], 0
     async for part in request.content.iter_any():
         parts.append(part)
--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -10,12 +10,12 @@
 from fireflyward.peers import Address, PeerCodec, PeerLink
 
 from ._paces import nodes_pace
-from ._peers import NODE_TABLE, OLD_LIST_MS, NodeRegistry, NodeRow
+from ._peers import MAX_LIST_AGE_MS, NODE_TABLE, NodeRegistry, NodeRow
 
 # Tables are read from an aggregator, which is spoken to over the link between nodes.
 # That is open, and the others are listed, some 300 ms after the start; if they are
 # not by then, the store is asked.
-_PATIENCE_MS = 1_500
+_JOIN_TIMEOUT_MS = 1_500
 
 
 class Joining:
@@ -47,14 +47,16 @@
         self._aggregators = aggregators
         self._on_nodes = on_nodes
         self._on_rows = on_rows
-        self._is_wanted_soon = asyncio.Event()
+        self._poll_requested = asyncio.Event()
         self._on_link = on_link
-        self._has_joined = asyncio.Event()
+        self._joined = asyncio.Event()
         self._follower = FeedFollower(
             NODE_TABLE,
             reader=tables,
             clock=clock,
-            on_news=tables.kept(NODE_TABLE, self._on_news, old_ms=OLD_LIST_MS),
+            on_news=tables.kept(
+                NODE_TABLE, self._on_table_update, old_ms=MAX_LIST_AGE_MS
+            ),
             pace=self._pace,
         )
 
@@ -65,25 +67,25 @@
             self._register.announce(self._own_row((self._settings.ip, port)))
         while True:
             if await self._follower.step():
-                await self._take_nodes()
+                await self._apply_node_table()
             await self._pause(self._follower.pause_ms)
 
-    def look_soon(self) -> None:
+    def poll_soon(self) -> None:
         """Read the table as soon as the call that is under way has ended."""
-        self._is_wanted_soon.set()
+        self._poll_requested.set()
 
-    async def once_joined(self, work: Callable[[], Awaitable[None]]) -> None:
+    async def run_after_joining(self, work: Callable[[], Awaitable[None]]) -> None:
         """Begin some work when this node can be answered by others, or soon after."""
-        await within_ms(self._clock, _PATIENCE_MS, self._has_joined.wait())
+        await within_ms(self._clock, _JOIN_TIMEOUT_MS, self._joined.wait())
         await work()
 
     async def _pause(self, pause_ms: int) -> None:
-        await within_ms(self._clock, pause_ms, self._is_wanted_soon.wait())
-        self._is_wanted_soon.clear()
+        await within_ms(self._clock, pause_ms, self._poll_requested.wait())
+        self._poll_requested.clear()
 
-    def _on_news(self, news: Followed) -> None:
-        self._register.on_news(news)
-        self._on_rows(news)
+    def _on_table_update(self, update: Followed) -> None:
+        self._register.on_table_update(update)
+        self._on_rows(update)
 
     def _pace(self) -> Pace:
         return nodes_pace(
@@ -91,14 +93,14 @@
             is_shared=self._aggregators.are_needed,
         )
 
-    async def _take_nodes(self) -> None:
+    async def _apply_node_table(self) -> None:
         self._on_nodes(self._register.names())
         self._aggregators.set_members(self._register.others())
         if self._register.key is not None:
             await self._use_key(self._register.key)
         await self._register.write_missing(self._clock.now_ms())
         if self._register.is_complete:
-            self._has_joined.set()
+            self._joined.set()
 
     async def _use_key(self, key: bytes) -> None:
         """Open the link, or have it seal with a key that replaced the last one.
--- a/fireflyward/fleet/_kv_stores.py
+++ b/fireflyward/fleet/_kv_stores.py
@@ -20,10 +20,10 @@
 Run = Coroutine[None, None, None]
 
 
-class StoreFollowing:
+class KvStoreFollowers:
     """Starts and ends followers as configurations come and go.
 
-    ``guarded`` wraps what runs as a task of its own.
+    ``run_or_exit`` wraps what runs as a task of its own.
     """
 
     def __init__(
@@ -33,17 +33,17 @@
         api: ReplicaApi,
         clock: Clock,
         aggregators: Aggregators,
-        guarded: Callable[[Run], Run],
+        run_or_exit: Callable[[Run], Run],
     ) -> None:
         self._planner = planner
         self._clock = clock
-        self._guarded = guarded
+        self._run_or_exit = run_or_exit
         self._follower_by_address: dict[str, StoreFollower] = {}
         self._task_by_address: dict[str, asyncio.Task[None]] = {}
         self._shared = SharedStoreReader(
             api, clock=clock, aggregators=aggregators, index_of=self._index_of
         )
-        self._telling = StorePublisher(
+        self._publisher = StorePublisher(
             clock=clock,
             aggregators=aggregators,
             followers=lambda: self._follower_by_address.items(),
@@ -57,9 +57,9 @@
     async def run(self, link: PeerLink) -> None:
         """Tell other nodes what followers read, and hear of theirs."""
         self._shared.register(link)
-        await self._telling.run(link)
+        await self._publisher.run(link)
 
-    def take(self, configuration: Configuration) -> None:
+    def set_configuration(self, configuration: Configuration) -> None:
         """Follow the stores that a configuration names, and no others."""
         services = configuration.service_by_name.values()
         self._planner.set_stores(
@@ -72,9 +72,9 @@
         for address in wanted.keys() - self._follower_by_address.keys():
             self._follow(address, wanted[address])
 
-    def _on_read(self, address: str, news: KvUpdate) -> None:
-        self._shared.on_read(address, news)
-        self._telling.on_read(address, news)
+    def _on_read(self, address: str, update: KvUpdate) -> None:
+        self._shared.on_read(address, update)
+        self._publisher.on_read(address, update)
 
     def _index_of(self, address: str) -> StoreIndex | None:
         indexes = self._planner.indexes()
@@ -85,9 +85,9 @@
             index,
             reader=self._shared,
             clock=self._clock,
-            mode=self._telling.mode,
+            mode=self._publisher.mode,
             on_read=self._on_read,
         )
         self._follower_by_address[address] = follower
-        run = self._guarded(follower.run())
+        run = self._run_or_exit(follower.run())
         self._task_by_address[address] = asyncio.create_task(run)
--- a/fireflyward/fleet/_light_imports.py
+++ b/fireflyward/fleet/_light_imports.py
@@ -7,9 +7,9 @@
 # every node, while all of them start. A node speaks plain HTTP to the platform, to
 # replicas and to callers. With no authorities a TLS connection could not be opened
 # at all, which is the safe way to be wrong.
-_AUTHORITIES = "SSL_CERT_FILE"
+_AUTHORITIES_FILE_VARIABLE = "SSL_CERT_FILE"
 
 
-def leave_out_authorities() -> None:
+def disable_certificate_authorities() -> None:
     """Have TLS contexts that are made from now on know no authority."""
-    os.environ[_AUTHORITIES] = os.devnull
+    os.environ[_AUTHORITIES_FILE_VARIABLE] = os.devnull
--- a/fireflyward/fleet/_logs.py
+++ b/fireflyward/fleet/_logs.py
@@ -9,8 +9,11 @@
 
 # Lines a second beyond which only warnings pass; a full pipe and the processor
 # time of writing must not become the callers' latency when load is at its worst.
-_LINES_PER_SECOND = 60
-_OWN = frozenset(logging.makeLogRecord({}).__dict__) | {"message", "asctime"}
+_MAX_LINES_PER_SECOND = 60
+_STANDARD_ATTRIBUTES = frozenset(logging.makeLogRecord({}).__dict__) | {
+    "message",
+    "asctime",
+}
 
 
 class LineHandler(logging.Handler):
@@ -31,7 +34,7 @@
         if now_ms // 1_000 != self._second:
             self._second, self._lines = now_ms // 1_000, 0
         self._lines += 1
-        if self._lines > _LINES_PER_SECOND and record.levelno < logging.WARNING:
+        if self._lines > _MAX_LINES_PER_SECOND and record.levelno < logging.WARNING:
             self._dropped += 1
             return
         self._write(self._line(record, now_ms))
@@ -58,12 +61,16 @@
 
 def _extra(record: logging.LogRecord) -> dict[str, object]:
     """Return what was logged beside the message, without what is empty."""
-    extra = {key: item for key, item in record.__dict__.items() if key not in _OWN}
+    extra = {
+        key: item
+        for key, item in record.__dict__.items()
+        if key not in _STANDARD_ATTRIBUTES
+    }
     extra |= extra.pop("fields", {})
     return {key: item for key, item in extra.items() if item not in ("", None)}
 
 
-def set_up_lines(clock: Clock) -> None:
+def set_up_logging(clock: Clock) -> None:
     """Send the package's logs to standard output as JSON lines."""
     logger = logging.getLogger("fireflyward")
     logger.handlers[:] = [LineHandler(1, clock=clock)]
--- a/fireflyward/fleet/_lost_rows.py
+++ b/fireflyward/fleet/_lost_rows.py
@@ -11,10 +11,10 @@
 
 # Others answer once they have read the new era themselves, and a node that starts has
 # its link to them after some 300 ms.
-_PAUSES_MS = (0, 300, 700)
+_FETCH_PAUSES_MS = (0, 300, 700)
 
 
-class LostRows:
+class LostRowRecovery:
     """Asks other nodes for what operators wrote shortly before a drill.
 
     A node that starts, or ends a cut, while operators have not written again reads the
@@ -28,33 +28,33 @@
         *,
         tables: SharedTables,
         clock: Clock,
-        on_news: Callable[[Followed], None],
+        on_update: Callable[[Followed], None],
     ) -> None:
         self._table = table
         self._tables = tables
         self._clock = clock
-        self._on_news = on_news
+        self._on_update = on_update
         self._era = 0
-        self._is_wanted = asyncio.Event()
+        self._is_fetch_pending = asyncio.Event()
 
-    def heard_by(self, news: Followed) -> None:
+    def on_table_update(self, update: Followed) -> None:
         """Take news of the table, and look once for what each era may lack."""
-        self._on_news(news)
-        if news.position.era > self._era:
-            self._era = news.position.era
-            self._is_wanted.set()
+        self._on_update(update)
+        if update.position.era > self._era:
+            self._era = update.position.era
+            self._is_fetch_pending.set()
 
     async def run(self) -> None:
         """Ask when an era was first seen, until cancelled."""
         while True:
-            await self._is_wanted.wait()
-            self._is_wanted.clear()
-            for pause_ms in _PAUSES_MS:
+            await self._is_fetch_pending.wait()
+            self._is_fetch_pending.clear()
+            for pause_ms in _FETCH_PAUSES_MS:
                 await self._clock.sleep_ms(pause_ms)
-                await self._ask()
+                await self._fetch()
 
-    async def _ask(self) -> None:
-        for news in await self._tables.carried(self._table):
-            keys = ", ".join(row.key for row in news.rows)
+    async def _fetch(self) -> None:
+        for update in await self._tables.carried(self._table):
+            keys = ", ".join(row.key for row in update.rows)
             log.info("feeds: %s has rows that the store lacks: %s", self._table, keys)
-            self._on_news(news)
+            self._on_update(update)
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -27,25 +27,25 @@
 from fireflyward.routes import RouteTable
 from fireflyward.weights import LoadAnnouncer, WeightTask
 
-from ._callers import CallerDoor
+from ._callers import CallerServer
 from ._gauges import link_gauges
 from ._joining import Joining
-from ._kv_stores import StoreFollowing
-from ._lost_rows import LostRows
+from ._kv_stores import KvStoreFollowers
+from ._lost_rows import LostRowRecovery
 from ._paces import configuration_pace, replicas_pace
 from ._peers import NODE_TABLE, NodeRegistry
-from ._replica_components import KnownReplicas
+from ._replica_components import ReplicaComponents
 from ._start_gate import StartGate
-from ._status_server import OwnPages
+from ._status_server import StatusServer
 from ._views import OperatorView, ReplicaView
 
 log = logging.getLogger("fireflyward.node")
 
 # Nodes that look for the lease. All of them looking would be a call a second each;
 # if all of these are gone at once the others find it within a minute.
-_CONTENDERS = 7
+_MAX_CONTENDERS = 7
 # The balancer takes a node out after two questions, a second apart, without a 200.
-_NOTICED_MS = 2_600
+_BALANCER_NOTICE_MS = 2_600
 # What is kept of the grace for the last writes.
 _EXIT_MARGIN_MS = 500
 _LEASE = "weights"
@@ -60,9 +60,9 @@
         settings: FleetSettings,
         *,
         clock: Clock,
-        noticed_ms: int = _NOTICED_MS,
+        balancer_notice_ms: int = _BALANCER_NOTICE_MS,
     ) -> None:
-        self._noticed_ms = noticed_ms
+        self._balancer_notice_ms = balancer_notice_ms
         bounds = settings.bounds
         self._settings = settings
         self._clock = clock
@@ -85,11 +85,11 @@
         self._aggregators = Aggregators(
             settings.node, settings.failure_domain, link_mbps=settings.link_mbps
         )
-        self._known = KnownReplicas(
+        self._replica_components = ReplicaComponents(
             settings, clock=clock, pool=self._pool, aggregators=self._aggregators
         )
-        self._directory = self._known.directory
-        self._news = LoadAnnouncer(
+        self._directory = self._replica_components.directory
+        self._load_announcer = LoadAnnouncer(
             clock=clock,
             directory=self._directory,
             peer_addresses=self._aggregators.everyone,
@@ -102,11 +102,11 @@
             table=NODE_TABLE,
             node=settings.node,
             peer_addresses=self._aggregators.everyone,
-            poll_soon=lambda: self._joining.look_soon(),
+            poll_soon=lambda: self._joining.poll_soon(),
         )
         self._forwarder = self._make_forwarder()
         self._gate = StartGate(clock)
-        self._door = CallerDoor(
+        self._caller_server = CallerServer(
             clock=clock,
             routes=self._routes,
             forwarder=self._forwarder,
@@ -144,33 +144,35 @@
             on_link=self._on_link,
         )
         # What nodes wrote of themselves may be lost, and is read by all others.
-        self._store.eras.on_new = self._joining.look_soon
-        self._lost_rows = LostRows(
+        self._store.eras.on_new = self._joining.poll_soon
+        self._lost_rows = LostRowRecovery(
             CONFIGURATION_TABLE,
             tables=self._tables,
             clock=clock,
-            on_news=operators.on_news,
+            on_update=operators.on_table_update,
         )
         self._followers = (
             FeedFollower(
                 CONFIGURATION_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._kept(CONFIGURATION_TABLE, self._lost_rows.heard_by),
+                on_news=self._kept(
+                    CONFIGURATION_TABLE, self._lost_rows.on_table_update
+                ),
                 pace=self._configuration_pace,
             ),
             FeedFollower(
                 REPLICA_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._kept(REPLICA_TABLE, self._replicas.on_news),
+                on_news=self._kept(REPLICA_TABLE, self._replicas.on_table_update),
                 pace=self._replicas_pace,
             ),
         )
         self._lease = self._make_lease()
         self._lease_news = LeaseNews(
             self._lease,
-            contenders=lambda: self._peers.addresses_of_first(_CONTENDERS, _LEASE),
+            contenders=lambda: self._peers.addresses_of_first(_MAX_CONTENDERS, _LEASE),
         )
         self._weight_task = WeightTask(
             clock=clock,
@@ -178,8 +180,8 @@
             api=self._api,
             directory=self._directory,
             weights=self._weights,
-            announcer=self._news,
-            busy_ms=self._known.chooser.queue_ms,
+            announcer=self._load_announcer,
+            busy_ms=self._replica_components.chooser.queue_ms,
             node=settings.node,
             lease_ms=bounds.lease_ms,
             slack_ms=bounds.thaw_slack_ms,
@@ -193,17 +195,17 @@
             may_act=lambda: self._lease.claim() is not None,
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._stores = StoreFollowing(
+        self._kv_store_followers = KvStoreFollowers(
             self._planner,
             api=self._api,
             clock=clock,
             aggregators=self._aggregators,
-            guarded=self._guarded,
+            run_or_exit=self._run_or_exit,
         )
-        self._own_pages = OwnPages(
+        self._status_server = StatusServer(
             self._metrics,
             is_ready=lambda: self.is_ready,
-            take_gauges=self._take_gauges,
+            update_gauges=self._update_gauges,
         )
         self._is_stopping = False
         self.callers_address = ""
@@ -239,19 +241,24 @@
         settings = self._settings
         port = settings.peer_ports[0]
         port += _METRICS_PORT_OFFSET if port else 0
-        self.readiness_address = await self._own_pages.listen(
+        self.readiness_address = await self._status_server.listen(
             settings.readiness_address, f"{settings.ip}:{port}"
         )
-        self.callers_address = await self._door.listen(settings.callers_address)
+        self.callers_address = await self._caller_server.listen(
+            settings.callers_address
+        )
         self._start(
             self._joining.run(),
-            *(self._joining.once_joined(follower.run) for follower in self._followers),
+            *(
+                self._joining.run_after_joining(follower.run)
+                for follower in self._followers
+            ),
             self._lost_rows.run(),
             self._lease.run(),
             self._weight_task.run(),
             self._garbage_collector.run(),
             self._quarantine.run(),
-            self._known.notices.run(),
+            self._replica_components.notices.run(),
         )
         log.info("node: %s listens at %s", settings.node, settings.callers_address)
 
@@ -261,25 +268,25 @@
         Callers reach this node until the balancer has noticed, and on connections
         that are open for longer, so it serves on and asks each to go elsewhere.
         """
-        began_ms = self._clock.now_ms()
-        end_ms = began_ms + self._settings.bounds.grace_ms - _EXIT_MARGIN_MS
+        started_ms = self._clock.now_ms()
+        end_ms = started_ms + self._settings.bounds.grace_ms - _EXIT_MARGIN_MS
         self._is_stopping = True
-        self._door.begin_stop()
-        log.info("node: stopping, %d requests in flight", self._door.in_flight)
-        handing_over = asyncio.create_task(self._lease.hand_over())
-        await self._clock.sleep_ms(self._noticed_ms)
-        self._door.close_listener()
-        await self._door.drain(end_ms - self._clock.now_ms())
-        tasks = [handing_over, *self._tasks, *self._stores.tasks]
-        tasks += [*self._quarantine.tasks, *self._known.reach.tasks]
+        self._caller_server.begin_stop()
+        log.info("node: stopping, %d requests in flight", self._caller_server.in_flight)
+        lease_handover = asyncio.create_task(self._lease.hand_over())
+        await self._clock.sleep_ms(self._balancer_notice_ms)
+        self._caller_server.close_listener()
+        await self._caller_server.drain(end_ms - self._clock.now_ms())
+        tasks = [lease_handover, *self._tasks, *self._kv_store_followers.tasks]
+        tasks += [*self._quarantine.tasks, *self._replica_components.reach.tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._close()
-        log.info("node: stopped, %d requests in flight", self._door.in_flight)
+        log.info("node: stopped, %d requests in flight", self._caller_server.in_flight)
 
     async def _close(self) -> None:
-        await self._own_pages.close()
+        await self._status_server.close()
         if self._joining.link is not None:
             await self._joining.link.stop()
         self._pool.close()
@@ -289,13 +296,13 @@
         return Forwarder(
             clock=self._clock,
             pool=self._pool,
-            chooser=self._known.chooser,
+            chooser=self._replica_components.chooser,
             budget=self._budget,
             weights=self._weights,
             planner=self._planner,
             gate=self._quarantine,
-            reach=self._known.reach,
-            notices=self._known.notices,
+            reach=self._replica_components.reach,
+            notices=self._replica_components.notices,
         )
 
     def _make_lease(self) -> LeaseTask:
@@ -316,7 +323,7 @@
 
     def _on_configuration(self, configuration: Configuration) -> None:
         self._directory.set_services(configuration.service_by_name)
-        self._stores.take(configuration)
+        self._kv_store_followers.set_configuration(configuration)
 
     def _configuration_pace(self) -> Pace:
         return configuration_pace(
@@ -332,39 +339,44 @@
         )
 
     def _kept(
-        self, table: str, on_news: Callable[[Followed], None]
+        self, table: str, on_update: Callable[[Followed], None]
     ) -> Callable[[Followed], None]:
         """Keep a table's news for others; the last one needed opens the gate."""
         is_operators = table == CONFIGURATION_TABLE
-        take = self._tables.kept(table, on_news, carries=is_operators)
+        apply_update = self._tables.kept(table, on_update, carries=is_operators)
 
-        def take_and_note(news: Followed) -> None:
+        def record_era_and_apply(update: Followed) -> None:
             # An aggregator may tell of a new era before the store itself does.
-            self._store.eras.note(news.position.era)
-            take(news)
+            self._store.eras.note(update.position.era)
+            apply_update(update)
 
-        return self._gate.opened_by(take_and_note, is_ready=lambda: self.is_ready)
+        return self._gate.opening_listener(
+            record_era_and_apply, is_ready=lambda: self.is_ready
+        )
 
     def _on_nodes(self, names: Collection[str]) -> None:
         self._budget.set_nodes(len(names))
         self._forwarder.set_nodes(len(names))
-        self._known.set_nodes(names)
+        self._replica_components.set_nodes(names)
 
     def _contends(self) -> bool:
-        return not self._is_stopping and self._peers.is_among_first(_CONTENDERS, _LEASE)
+        return not self._is_stopping and self._peers.is_among_first(
+            _MAX_CONTENDERS, _LEASE
+        )
 
     def _on_link(self, link: PeerLink) -> Callable[[], None]:
-        speaking = (self._news, self._tables, self._lease_news)
-        for part in (*speaking, self._quarantine, self._known):
+        senders = (self._load_announcer, self._tables, self._lease_news)
+        for part in (*senders, self._quarantine, self._replica_components):
             part.use(link)
         return lambda: self._start(
-            self._known.under_way_task.run(link), self._stores.run(link)
+            self._replica_components.load_report_task.run(link),
+            self._kv_store_followers.run(link),
         )
 
     def _start(self, *runs: Coroutine[None, None, None]) -> None:
-        self._tasks += [asyncio.create_task(self._guarded(run)) for run in runs]
+        self._tasks += [asyncio.create_task(self._run_or_exit(run)) for run in runs]
 
-    async def _guarded(self, run: Coroutine[None, None, None]) -> None:
+    async def _run_or_exit(self, run: Coroutine[None, None, None]) -> None:
         """End the process if one of its tasks ends by a fault of the program.
 
         A node without its feed would go on by an ever older configuration; one
@@ -376,10 +388,10 @@
             log.exception("node: a task failed, so the process ends")
             os._exit(3)
 
-    def _take_gauges(self) -> None:
+    def _update_gauges(self) -> None:
         now_ms = self._clock.now_ms()
         gauges = {
-            "in_flight": self._door.in_flight,
+            "in_flight": self._caller_server.in_flight,
             "configuration_age_ms": self._routes.age_ms(now_ms),
             "configuration_version": self._routes.version or 0,
             "requests_cut_by_ends_total": self._quarantine.cut,
@@ -387,7 +399,7 @@
             "store_calls_total": self._store.calls,
             "store_era": self._store.eras.latest,
             "connections_opened_total": self._pool.opened,
-            **self._known.gauges(),
+            **self._replica_components.gauges(),
             **link_gauges(self._joining.link),
         }
         for name, value in gauges.items():
--- a/fireflyward/fleet/_peers.py
+++ b/fireflyward/fleet/_peers.py
@@ -19,13 +19,13 @@
 _KEY_BYTES = 32
 # A list that is older than this is read from the store; nodes are few that come and
 # go meanwhile, and whoever does not answer is passed over.
-OLD_LIST_MS = 8_000
+MAX_LIST_AGE_MS = 8_000
 # The first of the nodes that are listed draws the key. The others do so themselves if
 # there is none after this long: that node may have ended before it could.
-_KEY_PATIENCE_MS = 1_500
+_KEY_CREATION_TIMEOUT_MS = 1_500
 # What this node wrote shows up in what it reads after a pause of the feed or two; until
 # then it is not written again, which would be a call that only finds its own row.
-_SHOWS_WITHIN_MS = 2_000
+_REWRITE_DELAY_MS = 2_000
 
 
 class NodeRow(msgspec.Struct, frozen=True):
@@ -53,7 +53,7 @@
     __slots__ = (
         "_era",
         "_first_by_duty",
-        "_keyless_since_ms",
+        "_key_missing_since_ms",
         "_name",
         "_own",
         "_row_by_name",
@@ -72,7 +72,7 @@
         self._era = 0
         self._written_ms_by_key: dict[str, int] = {}
         self._first_by_duty: dict[str, list[str]] = {}
-        self._keyless_since_ms: int | None = None
+        self._key_missing_since_ms: int | None = None
         self.key: bytes | None = None
 
     def names(self) -> frozenset[str]:
@@ -101,7 +101,7 @@
         """Tell whether this node is among the first for a duty, alike everywhere."""
         ranked = self._first_by_duty.get(duty)
         if ranked is None:
-            ranked = self._first_by_duty[duty] = self._ranked(duty)
+            ranked = self._first_by_duty[duty] = self._rank_nodes(duty)
         return self._name in ranked[:count]
 
     def addresses_of_first(self, count: int, duty: str) -> list[tuple[str, int]]:
@@ -119,18 +119,18 @@
         self._own = own
         self._first_by_duty.clear()
 
-    def on_news(self, news: Followed) -> None:
+    def on_table_update(self, update: Followed) -> None:
         """Take what changed in the table."""
-        self._era = news.position.era
-        if news.is_whole:
+        self._era = update.position.era
+        if update.is_whole:
             self._position_by_key.clear()
-            if news.is_new_era:
+            if update.is_new_era:
                 self._written_ms_by_key.clear()
-                self._keyless_since_ms = None
+                self._key_missing_since_ms = None
             else:
                 self._row_by_name.clear()
-        for row in news.rows:
-            self._take(row)
+        for row in update.rows:
+            self._apply_row(row)
         self._first_by_duty.clear()
 
     async def write_missing(self, now_ms: int) -> None:
@@ -144,7 +144,7 @@
         if self._own is not None and not (is_told and self._is_listed(own_key)):
             await self._write(now_ms, own_key, msgspec.json.encode(self._own))
         lacks_key = self.key is None or not self._is_listed(_KEY_ROW)
-        if lacks_key and self._draws_key(now_ms):
+        if lacks_key and self._is_to_create_key(now_ms):
             key = self.key or secrets.token_bytes(_KEY_BYTES)
             await self._write(now_ms, _KEY_ROW, key)
 
@@ -152,7 +152,7 @@
         """Tell whether the table has a row, by what was read last."""
         return key in self._position_by_key
 
-    def _ranked(self, duty: str) -> list[str]:
+    def _rank_nodes(self, duty: str) -> list[str]:
         """Return the nodes for a duty, the widest links first.
 
         Whoever has a duty speaks to all nodes.
@@ -165,13 +165,13 @@
             key=lambda name: (-link_by_name[name], rendezvous_rank(duty, name)),
         )
 
-    def _take(self, row: TableRow) -> None:
+    def _apply_row(self, row: TableRow) -> None:
         if row.is_deleted:
             self._position_by_key.pop(row.key, None)
         else:
             self._position_by_key[row.key] = row.position
         if row.key == _KEY_ROW:
-            self._take_key(row)
+            self._apply_key(row)
             return
         name = row.key.removeprefix(_NODE_PREFIX)
         if name == row.key:
@@ -188,22 +188,22 @@
             # Another writer's row names no node; the others hold.
             log.error("peers: row %s is not understood: %s", row.key, error)
 
-    def _take_key(self, row: TableRow) -> None:
+    def _apply_key(self, row: TableRow) -> None:
         if len(row.value) == _KEY_BYTES:
             self.key = row.value
         elif not row.is_deleted:
             # Messages sealed with it could be made by whoever wrote it.
             log.error("peers: the key in the table is not one that a node drew")
 
-    def _draws_key(self, now_ms: int) -> bool:
+    def _is_to_create_key(self, now_ms: int) -> bool:
         """Tell whether this node is to draw the key now.
 
         Two hundred nodes that start at once would else all write it, and the
         store takes so many writes to one part in a second.
         """
-        if self._keyless_since_ms is None:
-            self._keyless_since_ms = now_ms
-        if now_ms - self._keyless_since_ms >= _KEY_PATIENCE_MS:
+        if self._key_missing_since_ms is None:
+            self._key_missing_since_ms = now_ms
+        if now_ms - self._key_missing_since_ms >= _KEY_CREATION_TIMEOUT_MS:
             return True
         listed = self._name in self._row_by_name or self._own is None
         return listed and self.is_among_first(1, _KEY_ROW)
@@ -211,7 +211,7 @@
     async def _write(self, now_ms: int, key: str, value: bytes) -> None:
         """Write a row once, on the condition that it is as it was last read."""
         written_ms = self._written_ms_by_key.get(key)
-        if written_ms is not None and now_ms - written_ms < _SHOWS_WITHIN_MS:
+        if written_ms is not None and now_ms - written_ms < _REWRITE_DELAY_MS:
             return
         read = self._position_by_key.get(key, Position(self._era, 0))
         result = await self._store.write(
--- a/fireflyward/fleet/_process.py
+++ b/fireflyward/fleet/_process.py
@@ -11,7 +11,7 @@
 from fireflyward.deployment import FleetSettings
 from fireflyward.platform import SETTINGS_VARIABLE, BadSettings, load_settings
 
-from ._logs import set_up_lines
+from ._logs import set_up_logging
 from ._node import FleetNode
 from ._settings_watch import SettingsWatch
 
@@ -26,7 +26,7 @@
     except BadSettings as error:
         print(f"fireflyward: settings: {error}", file=sys.stderr)
         return _BAD_SETTINGS
-    set_up_lines(Clock())
+    set_up_logging(Clock())
     asyncio.run(_run(settings, path))
     return 0
 
@@ -36,7 +36,7 @@
     changed = SettingsWatch(path, clock=Clock())
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, changed.signal)
+    loop.add_signal_handler(signal.SIGHUP, changed.request_reload)
     gc.freeze()
     node = FleetNode(settings, clock=Clock())
     await node.start()
--- a/fireflyward/fleet/_replica_components.py
+++ b/fireflyward/fleet/_replica_components.py
@@ -19,7 +19,7 @@
 )
 
 
-class KnownReplicas:
+class ReplicaComponents:
     """The parts around the list of replicas, put together."""
 
     def __init__(
@@ -32,11 +32,11 @@
     ) -> None:
         self._clock = clock
         self.directory = ReplicaDirectory()
-        under_way = PeerLoad()
-        self.under_way_task = LoadReportTask(
+        peer_load = PeerLoad()
+        self.load_report_task = LoadReportTask(
             clock=clock,
             directory=self.directory,
-            peers=under_way,
+            peers=peer_load,
             aggregators=aggregators,
             node=settings.node,
             failure_domain=settings.failure_domain,
@@ -47,7 +47,7 @@
         self.chooser = Chooser(
             self.directory,
             failure_domain=settings.failure_domain,
-            peers=under_way,
+            peers=peer_load,
             cold_shares=self.cold_shares,
             rate_limits=self.rate_limits,
         )
--- a/fireflyward/fleet/_settings_watch.py
+++ b/fireflyward/fleet/_settings_watch.py
@@ -12,7 +12,7 @@
 log = logging.getLogger("fireflyward.settings")
 
 # The file may change without a signal; it is a few hundred bytes.
-_LOOK_MS = 5_000
+_POLL_INTERVAL_MS = 5_000
 
 
 class SettingsWatch:
@@ -25,40 +25,40 @@
     def __init__(self, path: str, *, clock: Clock) -> None:
         self._path = path
         self._clock = clock
-        self._signalled = asyncio.Event()
-        self._seen = self._stamp()
+        self._reload_requested = asyncio.Event()
+        self._last_stamp = self._file_stamp()
 
-    def signal(self) -> None:
+    def request_reload(self) -> None:
         """Have the file read at once."""
-        self._signalled.set()
+        self._reload_requested.set()
 
-    async def run(self, take: Callable[[FleetSettings], None]) -> None:
-        """Give new settings to ``take`` until cancelled."""
+    async def run(self, on_settings: Callable[[FleetSettings], None]) -> None:
+        """Give new settings to ``on_settings`` until cancelled."""
         while True:
-            looking = asyncio.ensure_future(self._signalled.wait())
-            pause = asyncio.ensure_future(self._clock.sleep_ms(_LOOK_MS))
+            reload_wait = asyncio.ensure_future(self._reload_requested.wait())
+            pause = asyncio.ensure_future(self._clock.sleep_ms(_POLL_INTERVAL_MS))
             try:
                 await asyncio.wait(
-                    {looking, pause}, return_when=asyncio.FIRST_COMPLETED
+                    {reload_wait, pause}, return_when=asyncio.FIRST_COMPLETED
                 )
             finally:
-                looking.cancel()
+                reload_wait.cancel()
                 pause.cancel()
-            self.look(take)
+            self.check(on_settings)
 
-    def look(self, take: Callable[[FleetSettings], None]) -> None:
+    def check(self, on_settings: Callable[[FleetSettings], None]) -> None:
         """Read the file if it changed since it was read last."""
-        stamp = self._stamp()
-        if stamp == self._seen and not self._signalled.is_set():
+        stamp = self._file_stamp()
+        if stamp == self._last_stamp and not self._reload_requested.is_set():
             return
-        self._signalled.clear()
-        self._seen = stamp
+        self._reload_requested.clear()
+        self._last_stamp = stamp
         try:
-            take(load_settings(self._path))
+            on_settings(load_settings(self._path))
         except BadSettings as error:
             log.error("settings: kept as they are: %s", error)
 
-    def _stamp(self) -> tuple[int, int]:
+    def _file_stamp(self) -> tuple[int, int]:
         try:
             status = os.stat(self._path)
         except OSError:
--- a/fireflyward/fleet/_start_gate.py
+++ b/fireflyward/fleet/_start_gate.py
@@ -8,7 +8,7 @@
 
 # Tables are read a tenth of a second after a node listens; one that needs longer does
 # not know for how long, and its callers do better elsewhere.
-_LONGEST_MS = 500
+_MAX_WAIT_MS = 500
 
 
 class StartGate:
@@ -25,17 +25,17 @@
         self._clock = clock
         self._is_open = asyncio.Event()
 
-    def opened_by(
-        self, take: Callable[[Followed], None], *, is_ready: Callable[[], bool]
+    def opening_listener(
+        self, on_update: Callable[[Followed], None], *, is_ready: Callable[[], bool]
     ) -> Callable[[Followed], None]:
         """Return a listener that opens the gate once its news make this node ready."""
 
-        def take_and_look(news: Followed) -> None:
-            take(news)
+        def apply_and_check(update: Followed) -> None:
+            on_update(update)
             if is_ready():
                 self.open()
 
-        return take_and_look
+        return apply_and_check
 
     def open(self) -> None:
         """Let everything pass from now on."""
@@ -44,4 +44,4 @@
     async def passed(self) -> None:
         """Return once the gate is open, or after the longest wait."""
         if not self._is_open.is_set():
-            await within_ms(self._clock, _LONGEST_MS, self._is_open.wait())
+            await within_ms(self._clock, _MAX_WAIT_MS, self._is_open.wait())
--- a/fireflyward/fleet/_status_server.py
+++ b/fireflyward/fleet/_status_server.py
@@ -13,13 +13,13 @@
 from ._callers import address_of
 
 _METRICS_PATH = "/metrics"
-_Answer = Callable[[BaseRequest], Awaitable[Response]]
+_Handler = Callable[[BaseRequest], Awaitable[Response]]
 
 
-class OwnPages:
+class StatusServer:
     """Serves readiness and metrics, each at an address of its own.
 
-    ``take_gauges`` brings the gauges up to date before they are read.
+    ``update_gauges`` brings the gauges up to date before they are read.
     """
 
     def __init__(
@@ -27,18 +27,18 @@
         metrics: Metrics,
         *,
         is_ready: Callable[[], bool],
-        take_gauges: Callable[[], None],
+        update_gauges: Callable[[], None],
     ) -> None:
         self._metrics = metrics
         self._is_ready = is_ready
-        self._take_gauges = take_gauges
+        self._update_gauges = update_gauges
         self._listeners: list[asyncio.Server] = []
         self._servers: list[web_server.Server] = []
 
     async def listen(self, readiness_address: str, metrics_address: str) -> str:
         """Listen at both; return that for readiness with the real port."""
-        address = await self._listen(readiness_address, self._answer_readiness)
-        await self._listen(metrics_address, self._answer_metrics)
+        address = await self._open_listener(readiness_address, self._serve_readiness)
+        await self._open_listener(metrics_address, self._serve_metrics)
         return address
 
     async def close(self) -> None:
@@ -49,7 +49,7 @@
             server.pre_shutdown()
             await server.shutdown(0)
 
-    async def _listen(self, address: str, answer: _Answer) -> str:
+    async def _open_listener(self, address: str, answer: _Handler) -> str:
         host, _, port = address.rpartition(":")
         server = web_server.Server(answer, access_log=None)
         loop = asyncio.get_running_loop()
@@ -58,13 +58,13 @@
         self._servers.append(server)
         return address_of(listener)
 
-    async def _answer_readiness(self, request: BaseRequest) -> Response:
+    async def _serve_readiness(self, request: BaseRequest) -> Response:
         if request.path != READINESS_PATH:
             return Response(status=404)
         return Response(status=200 if self._is_ready() else 503)
 
-    async def _answer_metrics(self, request: BaseRequest) -> Response:
+    async def _serve_metrics(self, request: BaseRequest) -> Response:
         if request.path != _METRICS_PATH:
             return Response(status=404)
-        self._take_gauges()
+        self._update_gauges()
         return Response(text=self._metrics.text())
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -24,7 +24,7 @@
 log = logging.getLogger("fireflyward.views")
 
 # Entries that went within this time of an outage may have lapsed in it.
-_AFTER_OUTAGE_MS = 2_000
+_OUTAGE_AFTERMATH_MS = 2_000
 
 
 class OperatorView:
@@ -41,55 +41,57 @@
         on_configuration: Callable[[Configuration], None],
     ) -> None:
         self._on_configuration = on_configuration
-        self._has_begun = False
+        self._has_read_table = False
         self._clock = clock
         self._routes = routes
         self._weights = weights
         self._directory = directory
         self._failure_domains = failure_domains
         # Evacuations that an older copy of the table lacks, and until when they hold.
-        self._carried: set[str] = set()
-        self._carried_until_ms = 0
+        self._retained_evacuations: set[str] = set()
+        self._retained_until_ms = 0
 
-    def on_news(self, news: Followed) -> None:
+    def on_table_update(self, update: Followed) -> None:
         """Put newer rows in force and note how fresh the configuration is."""
-        for row in news.rows:
+        for row in update.rows:
             if not row.is_deleted:
-                self._take(row, at_start=not self._has_begun)
-        self._take_evacuations(news)
-        self._has_begun = True
-        self._routes.confirm(news.as_of_ms)
+                self._apply_row(row, at_start=not self._has_read_table)
+        self._update_evacuations(update)
+        self._has_read_table = True
+        self._routes.confirm(update.as_of_ms)
 
-    def _take(self, row: TableRow, *, at_start: bool) -> None:
+    def _apply_row(self, row: TableRow, *, at_start: bool) -> None:
         if row.key == CONFIGURATION_KEY:
-            self._take_configuration(row)
+            self._apply_configuration(row)
         elif row.key.startswith(WEIGHTS_PREFIX):
-            self._take_target(row, at_start=at_start)
+            self._apply_weight_target(row, at_start=at_start)
 
-    def _take_evacuations(self, news: Followed) -> None:
+    def _update_evacuations(self, update: Followed) -> None:
         """Stop or resume sending to failure domains as their rows come and go."""
         before = self._directory.evacuated
         now_ms = self._clock.now_ms()
-        if news.is_new_era:
-            self._carried = set(before)
-            self._carried_until_ms = now_ms + CARRIED_MS
+        if update.is_new_era:
+            self._retained_evacuations = set(before)
+            self._retained_until_ms = now_ms + CARRIED_MS
         # Of a whole table, what has no row any more was taken back unseen.
-        evacuated = self._carried & before if news.is_whole else set(before)
-        for row in news.rows:
+        evacuated = (
+            self._retained_evacuations & before if update.is_whole else set(before)
+        )
+        for row in update.rows:
             if not row.key.startswith(EVACUATION_PREFIX):
                 continue
             domain = row.key.removeprefix(EVACUATION_PREFIX)
             if row.is_copied:
                 if domain in before:
                     evacuated.add(domain)
-                    self._carried.discard(domain)
+                    self._retained_evacuations.discard(domain)
                 continue
             evacuated.discard(domain)
-            if row.position.era == news.position.era:
-                self._carried.discard(domain)
+            if row.position.era == update.position.era:
+                self._retained_evacuations.discard(domain)
             else:
-                self._carried.add(domain)
-                self._carried_until_ms = now_ms + CARRIED_MS
+                self._retained_evacuations.add(domain)
+                self._retained_until_ms = now_ms + CARRIED_MS
             if row.is_deleted:
                 continue
             if decode_evacuation(domain, row.value) is None:
@@ -98,10 +100,10 @@
             evacuated.add(domain)
             if domain not in self._failure_domains:
                 log.error("views: no failure domain %s to evacuate is known", domain)
-        if now_ms >= self._carried_until_ms:
+        if now_ms >= self._retained_until_ms:
             # Removed in the new era before this node read the table.
-            evacuated -= self._carried
-            self._carried.clear()
+            evacuated -= self._retained_evacuations
+            self._retained_evacuations.clear()
         if evacuated == before:
             return
         for domain in evacuated - before:
@@ -110,7 +112,7 @@
             log.info("views: failure domain %s is evacuated no more", domain)
         self._directory.set_evacuated(now_ms, frozenset(evacuated))
 
-    def _take_configuration(self, row: TableRow) -> None:
+    def _apply_configuration(self, row: TableRow) -> None:
         configuration = decode_configuration(row.value)
         if configuration is None:
             # The store takes only valid rows, so this one is of a newer format;
@@ -120,7 +122,7 @@
             log.info("views: configuration %d in force", configuration.version)
             self._on_configuration(configuration)
 
-    def _take_target(self, row: TableRow, *, at_start: bool) -> None:
+    def _apply_weight_target(self, row: TableRow, *, at_start: bool) -> None:
         target = decode_weight_target(row.value)
         if target is None:
             log.error("views: row %s is not understood", row.key)
@@ -146,21 +148,23 @@
         self._outage_end_ms: int | None = None
         self.is_known = False
 
-    def on_news(self, news: Followed) -> None:
+    def on_table_update(self, update: Followed) -> None:
         """Bring the directory up to date."""
         now_ms = self._clock.now_ms()
-        if news.away_ms or news.is_new_era:
+        if update.away_ms or update.is_new_era:
             self._outage_end_ms = now_ms
-        found = _sorted_out(row for row in news.rows if not row.is_copied)
-        copied = _sorted_out(row for row in news.rows if row.is_copied).entries
-        if news.is_new_era:
+        found = _classify_rows(row for row in update.rows if not row.is_copied)
+        copied = _classify_rows(row for row in update.rows if row.is_copied).entries
+        if update.is_new_era:
             # This node may not have seen the row of before the replica said so.
-            copied += [entry for entry in found.entries if self._unsays_leaving(entry)]
+            copied += [
+                entry for entry in found.entries if self._predates_leaving(entry)
+            ]
         after_outage = (
             self._outage_end_ms is not None
-            and now_ms - self._outage_end_ms < _AFTER_OUTAGE_MS
+            and now_ms - self._outage_end_ms < _OUTAGE_AFTERMATH_MS
         )
-        if news.is_whole:
+        if update.is_whole:
             gone = self._directory.on_full_read(
                 now_ms,
                 found.entries,
@@ -171,29 +175,29 @@
             gone = self._directory.on_changes(
                 now_ms, found.entries, found.removed, after_outage=after_outage
             )
-        gone += self._directory.drop(found.foreign)
+        gone += self._directory.drop(found.malformed)
         self.is_known = True
         for state in [*gone, *self._directory.expire(now_ms)]:
             self._pool.close_idle(state.entry.address)
             self._on_gone(state)
 
-    def _unsays_leaving(self, entry: ReplicaEntry) -> bool:
+    def _predates_leaving(self, entry: ReplicaEntry) -> bool:
         """Tell whether an entry is from before its start was known to leave."""
         state = self._directory.find_incarnation(entry.incarnation_id)
         return state is not None and state.is_leaving and not entry.is_leaving
 
 
 @dataclass(frozen=True, slots=True)
-class _SortedOut:
+class _ClassifiedRows:
     """Entries of replicas, removed names, and names of unknown writers."""
 
     entries: list[ReplicaEntry] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)
-    foreign: list[str] = field(default_factory=list)
+    malformed: list[str] = field(default_factory=list)
 
 
-def _sorted_out(rows: Iterable[TableRow]) -> _SortedOut:
-    found = _SortedOut()
+def _classify_rows(rows: Iterable[TableRow]) -> _ClassifiedRows:
+    found = _ClassifiedRows()
     for row in rows:
         entry = None if row.is_deleted else decode_replica(row.key, row.value)
         if entry is not None:
@@ -202,5 +206,5 @@
             found.removed.append(row.key)
         else:
             log.error("views: entry of %s names no replica", row.key)
-            found.foreign.append(row.key)
+            found.malformed.append(row.key)
     return found
--- a/tests/fleet/node_fixtures.py
+++ b/tests/fleet/node_fixtures.py
@@ -32,10 +32,10 @@
 class NodeTestCase(unittest.IsolatedAsyncioTestCase):
     """Starts one node with two plain replicas and two engines.
 
-    ``noticed_ms`` is how long a stopping node goes on listening.
+    ``balancer_notice_ms`` is how long a stopping node goes on listening.
     """
 
-    noticed_ms = 50
+    balancer_notice_ms = 50
 
     async def asyncSetUp(self):
         # A machine that stands still for a moment must not make a replica unreachable.
@@ -56,7 +56,7 @@
             await replica.start()
         self.list_replicas()
         self.node = FleetNode(
-            self.settings(), clock=Clock(), noticed_ms=self.noticed_ms
+            self.settings(), clock=Clock(), balancer_notice_ms=self.balancer_notice_ms
         )
         self.session = aiohttp.ClientSession()
         self.number = 0
@@ -146,7 +146,9 @@
 
     async def start_another(self, name):
         settings = self.settings(**{"node-name": name})
-        node = FleetNode(settings, clock=Clock(), noticed_ms=self.noticed_ms)
+        node = FleetNode(
+            settings, clock=Clock(), balancer_notice_ms=self.balancer_notice_ms
+        )
         self.nodes.append(node)
         await node.start()
         return node
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -124,7 +124,7 @@
             FleetNode(
                 self.settings(**{"node-name": f"entry-{number}"}),
                 clock=Clock(),
-                noticed_ms=50,
+                balancer_notice_ms=50,
             )
             for number in range(1, self.most_nodes + 1)
         ]
--- a/tests/fleet/test_end_to_end.py
+++ b/tests/fleet/test_end_to_end.py
@@ -178,7 +178,7 @@
 
     async def test_metrics_are_served(self):
         await self.ask("GET", "/r/x")
-        text = (await self.node._own_pages._answer_metrics(_Path("/metrics"))).text
+        text = (await self.node._status_server._serve_metrics(_Path("/metrics"))).text
         self.assertIn('requests_total{outcome="answered"', text)
         self.assertIn("request_ms", text)
 
--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -149,5 +149,5 @@
         await self.start_ready()
         await self.evacuate("b")
         request = SimpleNamespace(path="/metrics")
-        text = (await self.node._own_pages._answer_metrics(request)).text
+        text = (await self.node._status_server._serve_metrics(request)).text
         self.assertRegex(text, r"evacuated_failure_domains\S* 1")
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -78,12 +78,12 @@
         before = self.tables.asked
         await self.clock.advance_ms(10)
         self.assertEqual(self.tables.asked, before)
-        self.joining.look_soon()
+        self.joining.poll_soon()
         await self.clock.advance_ms(10)
         self.assertEqual(self.tables.asked, before + 1)
 
     async def test_one_look_is_one(self):
-        self.joining.look_soon()
+        self.joining.poll_soon()
         await self.clock.advance_ms(10)
         before = self.tables.asked
         await self.clock.advance_ms(10)
@@ -92,13 +92,13 @@
     async def test_other_rows_of_the_table_are_passed_on(self):
         row = TableRow("suspect/a", b"{}", at(5))
         self.tables.rows_to_tell = (row,)
-        self.joining.look_soon()
+        self.joining.poll_soon()
         await self.clock.advance_ms(10)
         self.assertEqual(self.heard[-1].rows, (row,))
 
     async def read_key(self, key, version):
         self.tables.rows_to_tell = (TableRow("key", key, at(version)),)
-        self.joining.look_soon()
+        self.joining.poll_soon()
         for _ in range(5):
             await asyncio.sleep(0.01)
             await self.clock.advance_ms(10)
--- a/tests/fleet/test_light_imports.py
+++ b/tests/fleet/test_light_imports.py
@@ -6,8 +6,8 @@
 
 _LOADED = """
 import sys
-from fireflyward.fleet._light_imports import leave_out_authorities
-leave_out_authorities()
+from fireflyward.fleet._light_imports import disable_certificate_authorities
+disable_certificate_authorities()
 import fireflyward.fleet._process
 import ssl
 print(*sys.modules)
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -31,7 +31,7 @@
     found = NodeRegistry(store or _Store(), name)
     if own is not None:
         found.announce(own)
-    found.on_news(Followed(tuple(rows), True, 0))
+    found.on_table_update(Followed(tuple(rows), True, 0))
     return found
 
 
@@ -133,8 +133,8 @@
         row = NodeRow("10.0.0.1", 1, "a", 100)
         found = register("n0", [KEY, listed("n1", row)])
         with self.assertLogs("fireflyward.peers", "ERROR"):
-            news = (TableRow("node/n1", b"no row", at(3)),)
-            found.on_news(Followed(news, False, 0))
+            update = (TableRow("node/n1", b"no row", at(3)),)
+            found.on_table_update(Followed(update, False, 0))
         self.assertEqual(found.others(), [])
 
     async def test_a_key_that_no_node_drew_is_replaced(self):
@@ -165,8 +165,8 @@
         self.found = register("n0", table, own=self.own, store=self.store)
 
     def come_back(self, *rows):
-        news = Followed(rows, True, 0, position=at(9, 2), is_new_era=True)
-        self.found.on_news(news)
+        update = Followed(rows, True, 0, position=at(9, 2), is_new_era=True)
+        self.found.on_table_update(update)
 
     async def test_the_own_row_is_written_again(self):
         self.come_back(KEY)
--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -74,7 +74,7 @@
     async def test_nodes_that_cannot_reach_each_other_keep_to_it_together(self):
         """Guards against a cut in which each node takes the whole limit for its own."""
         for node in self.nodes:
-            node._known.notices._link = None
+            node._replica_components.notices._link = None
         await self.ask_all_nodes(15)
         before = len(self.limited.ran)
         await self.ask_all_nodes(60)
@@ -98,7 +98,7 @@
         return next(
             node
             for node in self.nodes
-            if node._known.rate_limits.pause_ms(number, PER_SECOND)
+            if node._replica_components.rate_limits.pause_ms(number, PER_SECOND)
         )
 
     async def test_second_sends_keep_to_it(self):
--- a/tests/fleet/test_restored_store.py
+++ b/tests/fleet/test_restored_store.py
@@ -107,14 +107,14 @@
 
     async def test_an_era_that_an_aggregator_tells_of_counts_for_writes(self):
         """Guards against conditions of an earlier era that are sent meanwhile."""
-        news = Followed((), False, 0, position=at(1, 5))
-        self.node._followers[0]._on_news(news)
+        update = Followed((), False, 0, position=at(1, 5))
+        self.node._followers[0]._on_news(update)
         self.assertEqual(self.node._store.eras.latest, 5)
 
     async def test_the_list_of_nodes_is_read_without_delay(self):
         """Guards against seconds in which nobody's row is there."""
         self.node._store.eras.note(2)
-        self.assertTrue(self.node._joining._is_wanted_soon.is_set())
+        self.assertTrue(self.node._joining._poll_requested.is_set())
 
     async def test_versions_that_have_passed_the_cursor_when_it_is_read(self):
         """Guards against changes below a cursor that the store knows again."""
--- a/tests/fleet/test_settings_watch.py
+++ b/tests/fleet/test_settings_watch.py
@@ -15,7 +15,7 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "settings"
         self.write(4)
-        self.taken = []
+        self.loaded = []
         self.watch = SettingsWatch(str(self.path), clock=ManualClock())
 
     def write(self, grace_s):
@@ -23,21 +23,21 @@
         self.path.write_text(settings_text("10.0.0.1:80", (1, 2, 3), bounds=bounds))
 
     async def test_a_change_without_a_signal_is_taken_up(self):
-        self.watch.look(self.taken.append)
-        self.assertEqual(self.taken, [])
+        self.watch.check(self.loaded.append)
+        self.assertEqual(self.loaded, [])
         self.write(11)
-        self.watch.look(self.taken.append)
-        self.assertEqual(self.taken[0].bounds.grace_ms, 11_000)
-        self.watch.look(self.taken.append)
-        self.assertEqual(len(self.taken), 1)
+        self.watch.check(self.loaded.append)
+        self.assertEqual(self.loaded[0].bounds.grace_ms, 11_000)
+        self.watch.check(self.loaded.append)
+        self.assertEqual(len(self.loaded), 1)
 
     async def test_a_signal_has_the_file_read(self):
-        self.watch.signal()
-        self.watch.look(self.taken.append)
-        self.assertEqual(len(self.taken), 1)
+        self.watch.request_reload()
+        self.watch.check(self.loaded.append)
+        self.assertEqual(len(self.loaded), 1)
 
     async def test_wrong_settings_change_nothing(self):
         self.path.write_text("{")
         with self.assertLogs("fireflyward.settings", "ERROR"):
-            self.watch.look(self.taken.append)
-        self.assertEqual(self.taken, [])
+            self.watch.check(self.loaded.append)
+        self.assertEqual(self.loaded, [])
--- a/tests/fleet/test_start_and_stop.py
+++ b/tests/fleet/test_start_and_stop.py
@@ -12,7 +12,7 @@
 
 class LifeTests(NodeTestCase):
     # Longer than two requests take on a busy machine, which come in between.
-    noticed_ms = 1_500
+    balancer_notice_ms = 1_500
 
     async def readiness(self):
         url = f"http://{self.node.readiness_address}/-/readyz"
@@ -49,9 +49,9 @@
         self.store.manner = StoreManner.BUSY
         await self.node.start()
         # How long it waits at most is not what this is about.
-        with mock.patch("fireflyward.fleet._start_gate._LONGEST_MS", 20_000):
+        with mock.patch("fireflyward.fleet._start_gate._MAX_WAIT_MS", 20_000):
             asked = asyncio.create_task(self.ask("POST", "/w/x", data=b"1"))
-            await self.until(lambda: self.node._door.in_flight)
+            await self.until(lambda: self.node._caller_server.in_flight)
             self.assertFalse(self.node.is_ready)
             self.operator.configure()
             self.store.manner = StoreManner.WELL
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -28,7 +28,7 @@
         )
 
     def take(self, *rows, is_whole):
-        self.view.on_news(Followed(rows, is_whole, 0))
+        self.view.on_table_update(Followed(rows, is_whole, 0))
         return self.directory.evacuated
 
     def row(self, domain, *, is_deleted=False):
@@ -63,8 +63,8 @@
     """The store comes back from an older copy of the operator's table."""
 
     def come_back(self, *rows):
-        news = Followed(rows, True, 0, position=at(9, 2), is_new_era=True)
-        self.view.on_news(news)
+        update = Followed(rows, True, 0, position=at(9, 2), is_new_era=True)
+        self.view.on_table_update(update)
         return self.directory.evacuated
 
     def copied(self, domain):
@@ -155,7 +155,7 @@
         return TableRow("r1", value, at(version, era), is_copied=is_copied)
 
     def read(self, *rows, is_new_era=True):
-        self.view.on_news(Followed(rows, True, 0, is_new_era=is_new_era))
+        self.view.on_table_update(Followed(rows, True, 0, is_new_era=is_new_era))
 
     @property
     def listed(self):
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -148,7 +148,7 @@
             directory=directory,
             pool=ConnectionPool(clock),
             on_gone=lambda state: None,
-        ).on_news(news)
+        ).on_table_update(news)
         OperatorView(
             clock=clock,
             routes=routes,
@@ -156,8 +156,8 @@
             directory=directory,
             failure_domains=("a",),
             on_configuration=lambda configuration: None,
-        ).on_news(news)
-        NodeRegistry(None, "n").on_news(news)
+        ).on_table_update(news)
+        NodeRegistry(None, "n").on_table_update(news)
 
     @fuzz(150)
     @given(bodies() | suspect_bodies())
