--- a/fireflyward/fleet/__main__.py
+++ b/fireflyward/fleet/__main__.py
@@ -6,9 +6,9 @@
 
 
 def main() -> int:
-    """Return 0 after a planned stop, 2 for settings that are wrong."""
+    """Return 0 after a planned stop, 2 if the settings are invalid."""
     disable_certificate_authorities()
-    # Imports the HTTP library, which the line before is for.
+    # This import must follow the line above, because it imports the HTTP library.
     from ._process import run_process
 
     return run_process()
--- a/fireflyward/fleet/_callers.py
+++ b/fireflyward/fleet/_callers.py
@@ -1,4 +1,4 @@
-"""The door for callers: HTTP in, outcomes out."""
+"""The HTTP server for callers."""
 
 import asyncio
 import logging
@@ -27,23 +27,24 @@
 
 log = logging.getLogger("fireflyward.callers")
 
-# Longest line and header that are read; the configuration's own limit is checked
-# on what was read.
+# Longest line and header that the HTTP parser accepts. The configured limit on the size
+# of all headers is checked after parsing.
 _MAX_LINE_BYTES = 65_536
-# Idle connections live at least as long as callers reuse them: four fifths of the
-# configured idle limit, which the first configuration tells after the start.
+# Callers reuse an idle connection for up to four fifths of the configured idle limit.
+# The server starts before the node has the first configuration, so this value is
+# fixed and must be at least as long.
 _KEEP_ALIVE_S = 75.0
 _BODY_TIMEOUT_MS = 10_000
-# Two spaces, the protocol's version and a line's end; a colon, a space and a line's
-# end for each header.
+# A request line also has two spaces, the protocol version and a line end. Each header
+# also has a colon, a space and a line end.
 _REQUEST_LINE_OVERHEAD_BYTES = 12
 _HEADER_OVERHEAD_BYTES = 4
-# Nobody gets this one; it is only what aiohttp asks a handler to return.
+# This status is never sent; aiohttp requires a handler to return a response.
 _CALLER_GONE_STATUS = 499
 
 
 class _AiohttpReply:
-    """The way back to one caller; headers go out with the first event."""
+    """Sends the response to one caller; a stream's headers precede its first event."""
 
     __slots__ = ("_request", "_server", "response")
 
@@ -80,7 +81,7 @@
 
 
 class CallerServer:
-    """Reads requests, has them decided and forwarded, and answers each once."""
+    """Reads requests, authorizes and forwards them, and sends one response to each."""
 
     def __init__(
         self,
@@ -120,30 +121,30 @@
         return address_of(self._listener)
 
     def begin_stop(self) -> None:
-        """Ask callers from now on to open their next connection elsewhere."""
+        """Send ``Connection: close`` with all responses from now on."""
         self._is_stopping = True
 
     def close_listener(self) -> None:
-        """Accept no new connection."""
+        """Stop accepting new connections."""
         if self._listener is not None:
             self._listener.close()
 
     async def drain(self, limit_ms: float) -> None:
-        """Close idle connections, and each other one after its response.
+        """Close idle connections at once, and each other one after its response.
 
-        Marked first, an idle connection ends at once. Otherwise it would stay open
-        until the limit without being read, and a request sent on it be lost.
+        ``pre_shutdown`` is necessary for the idle ones. Without it they would stay
+        open until the limit without being read, and requests sent on them be lost.
         """
         self._server.pre_shutdown()
         await self._server.shutdown(limit_ms / 1_000)
 
     def close_if_stopping(self, response: StreamResponse) -> None:
-        """Have a response end its connection while the process stops."""
+        """Let a response close its connection if the process is stopping."""
         if self._is_stopping:
             response.force_close()
 
     async def send(self, request: BaseRequest, response: StreamResponse) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         self.close_if_stopping(response)
         await response.prepare(request)
         await response.write_eof()
@@ -166,8 +167,8 @@
             response = await self._finish(request, caller, reply, outcome)
             return response
         except ConnectionError:
-            # The caller went away while its answer was written; what is returned
-            # here finds the connection closed too.
+            # The caller closed the connection while its response was written, so the
+            # response that is returned here is not sent either.
             return reply.response or Response(status=_CALLER_GONE_STATUS)
         finally:
             self.in_flight -= 1
@@ -185,13 +186,13 @@
         arrived_ms: int,
         trace: Trace,
     ) -> Outcome:
-        """Serve a request; a fault of the program fails just that one, loudly."""
+        """Serve a request; log an unexpected exception and fail only this request."""
         try:
             return await self._serve(request, caller, reply, arrived_ms, trace)
         except ConnectionError:
             return Unknown(Reason.CALLER_GONE)
         except Exception:
-            log.exception("callers: a request failed by a fault of the program")
+            log.exception("callers: a request failed with an unexpected exception")
             return Unknown(Reason.INTERNAL)
 
     async def _serve(
@@ -205,12 +206,13 @@
         if isinstance(caller, NotRun):
             return caller
         if _header_bytes(request) > self._limits.max_header_bytes:
-            return NotRun(Reason.HEADERS_TOO_LARGE, "headers over the limit")
+            return NotRun(Reason.HEADERS_TOO_LARGE, "headers exceed the limit")
         body = await self._read_body(request)
         if isinstance(body, NotRun):
             return body
-        await self._gate.passed()
-        # Decided after the body is in: a key that was withdrawn meanwhile is seen.
+        await self._gate.wait_until_open()
+        # The key is checked after the body has arrived, so that a key withdrawn during
+        # that time is rejected.
         allowed = self._routes.decide(
             self._clock.now_ms(),
             host=caller.host,
@@ -234,8 +236,8 @@
         if isinstance(outcome, Answered):
             return reply.response
         if reply.response is not None:
-            # Without the end mark the caller sees that its stream is not whole; on
-            # a closing connection none is written.
+            # Closing the connection keeps aiohttp from writing the last chunk, so that
+            # the caller detects that its stream is incomplete.
             if request.transport is not None:
                 request.transport.close()
             return reply.response
@@ -258,16 +260,16 @@
         if not request.body_exists:
             return b""
         if (request.content_length or 0) > limit:
-            return NotRun(Reason.TOO_LARGE, "body over the limit")
+            return NotRun(Reason.TOO_LARGE, "body exceeds the limit")
         if request.headers.get("Expect", "").lower() == "100-continue":
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         read = await within_ms(
             self._clock, _BODY_TIMEOUT_MS, _read_up_to(request, limit)
         )
         if isinstance(read, TimedOut):
-            return NotRun(Reason.BODY_TIMEOUT, "body did not come")
+            return NotRun(Reason.BODY_TIMEOUT, "body did not arrive in time")
         if len(read) > limit:
-            return NotRun(Reason.TOO_LARGE, "body over the limit")
+            return NotRun(Reason.TOO_LARGE, "body exceeds the limit")
         return read
 
     def _record(
@@ -278,10 +280,10 @@
         trace: Trace,
         answer: dict[str, object],
     ) -> None:
-        """Count a request, and write its one line.
+        """Count a request in the metrics and log it in one line.
 
-        ``answer`` holds the status that the caller got and who made it: a
-        replica's own failure is an answer too.
+        ``answer`` holds the status of the response and whether a replica or the node
+        created it; a replica's error response counts as an answer too.
         """
         now_ms = self._clock.now_ms()
         took_ms = now_ms - arrived_ms
@@ -308,13 +310,13 @@
 
 
 def address_of(listener: asyncio.Server) -> str:
-    """Return ``IP:PORT`` of a listener."""
+    """Return the ``IP:PORT`` of a listener."""
     host, port = listener.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
 
 
 def _header_bytes(request: BaseRequest) -> int:
-    """Return the size of a request's first line and headers on the wire."""
+    """Return the size of a request line and its headers on the wire."""
     line = len(request.method) + len(request.raw_path) + _REQUEST_LINE_OVERHEAD_BYTES
     fields = sum(len(name) + len(value) for name, value in request.raw_headers)
     return line + fields + _HEADER_OVERHEAD_BYTES * len(request.raw_headers)
--- a/fireflyward/fleet/_gauges.py
+++ b/fireflyward/fleet/_gauges.py
@@ -1,10 +1,10 @@
-"""What a node's metrics tell of its link."""
+"""Metrics of a node's link to the other nodes."""
 
 from fireflyward.peers import PeerLink
 
 
 def link_gauges(link: PeerLink | None) -> dict[str, int]:
-    """Return the bytes between this node and others, none before there is a link."""
+    """Return the bytes sent and received; nothing before the link exists."""
     if link is None:
         return {}
     return {
--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -1,4 +1,4 @@
-"""How a node joins the others: it finds them, is listed, and opens its link."""
+"""How a node joins the fleet: it finds the others, is listed and opens its link."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Collection
@@ -12,19 +12,19 @@
 from ._paces import nodes_pace
 from ._peers import MAX_LIST_AGE_MS, NODE_TABLE, NodeRegistry, NodeRow
 
-# Tables are read from an aggregator, which is spoken to over the link between nodes.
-# That is open, and the others are listed, some 300 ms after the start; if they are
-# not by then, the store is asked.
+# A node reads the tables from an aggregator, over the link between nodes. The link is
+# normally open, and the other nodes are listed, some 300 ms after the start. After this
+# timeout the node starts to read anyway, from the store if necessary.
 _JOIN_TIMEOUT_MS = 1_500
 
 
 class Joining:
-    """Follows the table of nodes; the link opens once the key of messages is known.
+    """Follows the table of nodes, and opens the link once the message key is known.
 
-    ``on_nodes`` hears the names of all nodes whenever the table was read,
-    ``on_rows`` all that changed in it, for whoever keeps other rows there, and
-    ``on_link`` prepares the link before it is started and returns a second step for
-    when it is open.
+    ``on_nodes`` gets the names of all nodes after each read of the table. ``on_rows``
+    gets each update of the table, for components that keep other rows in it.
+    ``on_link`` prepares the link before it is started, and returns a function that is
+    called once the link is open.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         )
 
     async def run(self) -> None:
-        """Follow the table, and write what of this node is missing there."""
+        """Follow the table, and write the rows of this node that it lacks."""
         port = self._settings.peer_ports[0]
         if port:
             self._register.announce(self._own_row((self._settings.ip, port)))
@@ -71,11 +71,11 @@
             await self._pause(self._follower.pause_ms)
 
     def poll_soon(self) -> None:
-        """Read the table as soon as the call that is under way has ended."""
+        """Read the table again at once, or after the read that is in flight."""
         self._poll_requested.set()
 
     async def run_after_joining(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Begin some work when this node can be answered by others, or soon after."""
+        """Start some work once this node has joined, or after a timeout."""
         await within_ms(self._clock, _JOIN_TIMEOUT_MS, self._joined.wait())
         await work()
 
@@ -103,10 +103,10 @@
             self._joined.set()
 
     async def _use_key(self, key: bytes) -> None:
-        """Open the link, or have it seal with a key that replaced the last one.
+        """Open the link, or rotate its key if another key replaced the last one.
 
-        The store may lose the key in a drill, and a node that starts before anybody
-        has written it again draws another.
+        The store lacks the key if it is restored from an older snapshot, and a node
+        that starts before another one has written the key again creates a new one.
         """
         if self._codec is None:
             self._codec = PeerCodec((key,))
--- a/fireflyward/fleet/_kv_stores.py
+++ b/fireflyward/fleet/_kv_stores.py
@@ -1,4 +1,4 @@
-"""The KV stores that the configuration names, each followed by a task."""
+"""Followers of the KV cache stores that the configuration names."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -21,9 +21,9 @@
 
 
 class KvStoreFollowers:
-    """Starts and ends followers as configurations come and go.
+    """Starts and stops the follower of each KV cache store as configurations change.
 
-    ``run_or_exit`` wraps what runs as a task of its own.
+    ``run_or_exit`` wraps each coroutine that runs as a task.
     """
 
     def __init__(
@@ -51,16 +51,16 @@
 
     @property
     def tasks(self) -> list[asyncio.Task[None]]:
-        """Return the tasks that run now."""
+        """Return the tasks of the current followers."""
         return list(self._task_by_address.values())
 
     async def run(self, link: PeerLink) -> None:
-        """Tell other nodes what followers read, and hear of theirs."""
+        """Publish what the followers read to other nodes, and receive their updates."""
         self._shared.register(link)
         await self._publisher.run(link)
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Follow the stores that a configuration names, and no others."""
+        """Follow exactly the stores that a configuration names."""
         services = configuration.service_by_name.values()
         self._planner.set_stores(
             service.kv_store for service in services if service.kv_store
--- a/fireflyward/fleet/_logs.py
+++ b/fireflyward/fleet/_logs.py
@@ -1,4 +1,4 @@
-"""Structured lines on standard output that never hold the process up."""
+"""Writes structured log lines to standard output without blocking the process."""
 
 import logging
 import os
@@ -7,8 +7,8 @@
 
 from fireflyward.clock import Clock
 
-# Lines a second beyond which only warnings pass; a full pipe and the processor
-# time of writing must not become the callers' latency when load is at its worst.
+# Above this rate only warnings and errors are written. A full pipe and the processor
+# time of logging must not add to the callers' latency at peak load.
 _MAX_LINES_PER_SECOND = 60
 _STANDARD_ATTRIBUTES = frozenset(logging.makeLogRecord({}).__dict__) | {
     "message",
@@ -17,7 +17,7 @@
 
 
 class LineHandler(logging.Handler):
-    """Writes one JSON object a line; what does not fit is counted and dropped."""
+    """Writes one JSON object per line; counts the lines that it must drop."""
 
     def __init__(self, descriptor: int, *, clock: Clock) -> None:
         super().__init__()
@@ -55,12 +55,13 @@
             os.write(self._descriptor, line)
             self._dropped = 0
         except OSError:
-            # A reader that is slower than we are; it learns how many it missed.
+            # The reader is slower than this process. The next line reports how many
+            # lines were dropped before it.
             self._dropped += 1
 
 
 def _extra(record: logging.LogRecord) -> dict[str, object]:
-    """Return what was logged beside the message, without what is empty."""
+    """Return the fields that were logged beside the message, without empty ones."""
     extra = {
         key: item
         for key, item in record.__dict__.items()
--- a/fireflyward/fleet/_lost_rows.py
+++ b/fireflyward/fleet/_lost_rows.py
@@ -1,4 +1,4 @@
-"""Rows of operators that an older copy of the store lacks, as other nodes know them."""
+"""Fetches operators' rows that a restored store lacks from other nodes."""
 
 import asyncio
 import logging
@@ -9,17 +9,17 @@
 
 log = logging.getLogger("fireflyward.feeds")
 
-# Others answer once they have read the new era themselves, and a node that starts has
-# its link to them after some 300 ms.
+# Other nodes respond once they have read the new era themselves, and a node has its
+# link to them some 300 ms after it starts.
 _FETCH_PAUSES_MS = (0, 300, 700)
 
 
 class LostRowRecovery:
-    """Asks other nodes for what operators wrote shortly before a drill.
+    """Fetches rows that operators wrote after the snapshot that was restored.
 
-    A node that starts, or ends a cut, while operators have not written again reads the
-    copy and knows nothing newer: it would accept a key that was withdrawn, and send to
-    a failure domain that is evacuated. Others hold what they knew.
+    A node that starts, or reconnects, before operators have written these rows again
+    reads only the older snapshot. It would accept a key that was withdrawn, and send
+    requests to a failure domain that is evacuated. Other nodes still have the rows.
     """
 
     def __init__(
@@ -38,14 +38,14 @@
         self._is_fetch_pending = asyncio.Event()
 
     def on_table_update(self, update: Followed) -> None:
-        """Take news of the table, and look once for what each era may lack."""
+        """Apply an update of the table; request the lost rows once for each new era."""
         self._on_update(update)
         if update.position.era > self._era:
             self._era = update.position.era
             self._is_fetch_pending.set()
 
     async def run(self) -> None:
-        """Ask when an era was first seen, until cancelled."""
+        """Fetch lost rows after each new era, until cancelled."""
         while True:
             await self._is_fetch_pending.wait()
             self._is_fetch_pending.clear()
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -1,4 +1,4 @@
-"""One process of a fleet: its parts, put together, from start to stop."""
+"""One node of a fleet: creates, connects, starts and stops its components."""
 
 import asyncio
 import logging
@@ -41,19 +41,20 @@
 
 log = logging.getLogger("fireflyward.node")
 
-# Nodes that look for the lease. All of them looking would be a call a second each;
-# if all of these are gone at once the others find it within a minute.
+# The number of nodes that contend for the lease. If all nodes did, each would make one
+# call per second. If all contenders are gone at once, the other nodes notice it within
+# a minute.
 _MAX_CONTENDERS = 7
-# The balancer takes a node out after two questions, a second apart, without a 200.
+# The balancer removes a node after two failed readiness checks, which are 1 s apart.
 _BALANCER_NOTICE_MS = 2_600
-# What is kept of the grace for the last writes.
+# The part of the grace period that is reserved for the last writes.
 _EXIT_MARGIN_MS = 500
 _LEASE = "weights"
 _METRICS_PORT_OFFSET = 1
 
 
 class FleetNode:
-    """Starts the parts in order, and stops them in the other."""
+    """Creates, connects, starts and stops the components of one node."""
 
     def __init__(
         self,
@@ -143,7 +144,8 @@
             on_rows=self._quarantine.on_table_update,
             on_link=self._on_link,
         )
-        # What nodes wrote of themselves may be lost, and is read by all others.
+        # A new era may lack the rows that nodes wrote about themselves, and all nodes
+        # read these rows.
         self._store.eras.on_new = self._joining.poll_soon
         self._lost_rows = LostRowRecovery(
             CONFIGURATION_TABLE,
@@ -156,7 +158,7 @@
                 CONFIGURATION_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._kept(
+                on_news=self._caching_listener(
                     CONFIGURATION_TABLE, self._lost_rows.on_table_update
                 ),
                 pace=self._configuration_pace,
@@ -165,7 +167,9 @@
                 REPLICA_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._kept(REPLICA_TABLE, self._replicas.on_table_update),
+                on_news=self._caching_listener(
+                    REPLICA_TABLE, self._replicas.on_table_update
+                ),
                 pace=self._replicas_pace,
             ),
         )
@@ -213,7 +217,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether requests that come now can be served."""
+        """Return whether the node can serve requests now."""
         return (
             not self._is_stopping
             and self._routes.version is not None
@@ -222,7 +226,7 @@
         )
 
     def reload(self, settings: FleetSettings) -> None:
-        """Take new settings; what only a start can change stays as it is."""
+        """Apply new settings, except those that take effect only at a start."""
         bounds = settings.bounds
         self._routes.set_bounds(
             revoke_ms=bounds.revoke_ms,
@@ -237,7 +241,7 @@
         log.info("node: settings reloaded")
 
     async def start(self) -> None:
-        """Listen, and follow the store."""
+        """Start to listen and to follow the store."""
         settings = self._settings
         port = settings.peer_ports[0]
         port += _METRICS_PORT_OFFSET if port else 0
@@ -263,10 +267,11 @@
         log.info("node: %s listens at %s", settings.node, settings.callers_address)
 
     async def stop(self) -> None:
-        """Leave without cutting a request: first the balancer, then callers.
+        """Stop without cutting requests: first leave the balancer, then drain.
 
-        Callers reach this node until the balancer has noticed, and on connections
-        that are open for longer, so it serves on and asks each to go elsewhere.
+        Callers reach this node until the balancer has removed it, and later on open
+        connections. The node therefore continues to serve, and closes each connection
+        after its next response.
         """
         started_ms = self._clock.now_ms()
         end_ms = started_ms + self._settings.bounds.grace_ms - _EXIT_MARGIN_MS
@@ -338,15 +343,18 @@
             is_for_others=self._tables.is_for_others,
         )
 
-    def _kept(
+    def _caching_listener(
         self, table: str, on_update: Callable[[Followed], None]
     ) -> Callable[[Followed], None]:
-        """Keep a table's news for others; the last one needed opens the gate."""
-        is_operators = table == CONFIGURATION_TABLE
-        apply_update = self._tables.kept(table, on_update, carries=is_operators)
+        """Return a listener that caches a table's updates for other nodes.
+
+        It also opens the start gate once the node is ready.
+        """
+        is_configuration = table == CONFIGURATION_TABLE
+        apply_update = self._tables.kept(table, on_update, carries=is_configuration)
 
         def record_era_and_apply(update: Followed) -> None:
-            # An aggregator may tell of a new era before the store itself does.
+            # An aggregator may report a new era to this node before the store does.
             self._store.eras.note(update.position.era)
             apply_update(update)
 
@@ -377,15 +385,15 @@
         self._tasks += [asyncio.create_task(self._run_or_exit(run)) for run in runs]
 
     async def _run_or_exit(self, run: Coroutine[None, None, None]) -> None:
-        """End the process if one of its tasks ends by a fault of the program.
+        """Exit the process if one of its tasks fails with an unexpected exception.
 
-        A node without its feed would go on by an ever older configuration; one
-        that starts anew knows everything within a second.
+        A node without its feed would continue with an ever older configuration. A
+        restarted node has read the current state within a second.
         """
         try:
             await run
         except Exception:
-            log.exception("node: a task failed, so the process ends")
+            log.exception("node: a task failed, so the process exits")
             os._exit(3)
 
     def _update_gauges(self) -> None:
--- a/fireflyward/fleet/_paces.py
+++ b/fireflyward/fleet/_paces.py
@@ -2,34 +2,36 @@
 
 from fireflyward.feeds import Pace
 
-# The configuration's feed answers at once when something changes; a call that
-# finds nothing returns after this long and so proves that the keys are fresh. With
-# the feed's own slack it also finds a silent connection in 2.6 s.
+# The feed responds at once when the configuration changes. A call that finds no change
+# returns after this wait, which proves that the cached keys are still valid. With the
+# feed's own limit for a call's overhead, a node detects a silent connection in 2.6 s.
 _CONFIGURATION = Pace(1_900)
-# An aggregator's proof is passed on, and ages by one more such wait on the way: with
-# two aggregators before it a node's is 2.5 s old at the most. Each call is 1.5 ms of
+# An aggregator forwards its proof, which ages by one such wait at each aggregator.
+# Behind two aggregators, a node's proof is at most 2.5 s old. Each call takes 1.5 ms of
 # processor time at both ends.
 _SHARED_CONFIGURATION = Pace(1_200)
 _AGGREGATOR_CONFIGURATION = Pace(600)
-# An entry changes when more than its renewal does, so the feed of replicas rests as
-# well. Where many change at once, as in a release, a pause puts them into one answer.
-# A leaving replica must get nothing after the drain time: a wait that a silent
-# connection swallows ends with the feed's slack of 0.7 s, and what these shares of the
-# drain time leave is for a second try, or for two more nodes on the way.
+# The renewal of an entry alone is no change, so calls to the feed of replicas can wait
+# too. When many entries change at once, as in a release, the pause combines them into
+# one response. A leaving replica must get no requests after the drain time. A call on a
+# silent connection is cancelled 0.7 s after its wait, the feed's limit for a call's
+# overhead. The rest of the drain time is for a second call, or for two more nodes
+# between this node and the store.
 _REPLICAS_WAIT_SHARE = 0.45
 _REPLICAS_PAUSE_SHARE = 0.1
 _SHARED_REPLICAS_WAIT_SHARE = 0.3
 _SHARED_REPLICAS_PAUSE_SHARE = 0.05
-# Nodes come and go a few a minute, and a change ends the wait. The pause puts what
-# changes shortly after each other into one answer: while all nodes start, each of
-# them writes a row. Where each node asks the store, calls count more than seconds.
+# A few nodes per minute start or stop; each change ends the wait. The pause combines
+# successive changes into one response: while all nodes start, each of them writes a
+# row. Where every node reads from the store itself, the pause is longer, because few
+# calls matter more there than a few seconds of delay.
 _NODES = Pace(wait_ms=1_500, pause_ms=6_500)
 _SHARED_NODES = Pace(wait_ms=1_500, pause_ms=2_000)
 _NODES_AT_START = Pace(wait_ms=300, pause_ms=250)
 
 
 def configuration_pace(*, is_shared: bool, is_for_others: bool) -> Pace:
-    """Return how the configuration is read: alone, from or as an aggregator.
+    """Return the pace for the configuration: without, behind or as an aggregator.
 
     >>> configuration_pace(is_shared=False, is_for_others=False)
     Pace(wait_ms=1900, pause_ms=0)
@@ -40,7 +42,7 @@
 
 
 def replicas_pace(drain_ms: int, *, is_shared: bool, is_for_others: bool) -> Pace:
-    """Return how the list of replicas is read.
+    """Return the pace for the list of replicas.
 
     >>> replicas_pace(2_000, is_shared=False, is_for_others=False)
     Pace(wait_ms=900, pause_ms=200)
@@ -55,7 +57,7 @@
 
 
 def nodes_pace(*, is_complete: bool, is_shared: bool) -> Pace:
-    """Return how the list of nodes is read: soon again until this node is on it."""
+    """Return the pace for the list of nodes: fast until this node is listed."""
     if not is_complete:
         return _NODES_AT_START
     return _SHARED_NODES if is_shared else _NODES
--- a/fireflyward/fleet/_peers.py
+++ b/fireflyward/fleet/_peers.py
@@ -1,4 +1,4 @@
-"""Which nodes there are, and the key with which they know each other."""
+"""The registry of nodes, with the key that seals the messages between them."""
 
 import logging
 import secrets
@@ -17,19 +17,19 @@
 _KEY_ROW = "key"
 _NODE_PREFIX = "node/"
 _KEY_BYTES = 32
-# A list that is older than this is read from the store; nodes are few that come and
-# go meanwhile, and whoever does not answer is passed over.
+# A node reads the list from the store if a cached list is older. Only a few nodes start
+# or stop within this time, and nodes that do not respond are skipped.
 MAX_LIST_AGE_MS = 8_000
-# The first of the nodes that are listed draws the key. The others do so themselves if
-# there is none after this long: that node may have ended before it could.
+# The first of the listed nodes creates the key. The others create one themselves if
+# there is none after this time, since that node may have exited before it could.
 _KEY_CREATION_TIMEOUT_MS = 1_500
-# What this node wrote shows up in what it reads after a pause of the feed or two; until
-# then it is not written again, which would be a call that only finds its own row.
+# A row that this node wrote appears in its reads after one or two pauses of the feed.
+# Writing it again before that would be a useless call.
 _REWRITE_DELAY_MS = 2_000
 
 
 class NodeRow(msgspec.Struct, frozen=True):
-    """What a node says of itself: where it is and where others reach it."""
+    """A node's own row: its address, its failure domain and its link's bandwidth."""
 
     ip: str
     port: int
@@ -38,16 +38,16 @@
 
 
 class NodeRegistry:
-    """Follows the table of nodes, and writes what of ours is missing there.
+    """Follows the table of nodes, and writes the rows of this node that it lacks.
 
-    Rows of nodes that are gone stay, so the number of nodes errs upwards and the
-    nodes together stay within shared budgets. The key that seals messages between
-    nodes is drawn by one node and lies in the store: whoever may read the store is
-    a node.
+    Rows of stopped nodes are not removed, so the number of nodes may be too high, and
+    all nodes together stay within shared budgets. One node creates the key that seals
+    the messages between nodes and stores it in the table: every process that may read
+    the store counts as a node.
 
-    Rows that an older copy of the store lacks are written again, each node's by itself
-    and the key by whoever knows it. Until then the nodes hold, since parts of shared
-    budgets go by their number.
+    If the store is restored from an older snapshot, each node writes its own row again,
+    and any node that has the key writes the key. Until then the known nodes stay in the
+    registry, because each node's part of a shared budget depends on their number.
     """
 
     __slots__ = (
@@ -76,12 +76,12 @@
         self.key: bytes | None = None
 
     def names(self) -> frozenset[str]:
-        """Return the names of all nodes, this one's too."""
+        """Return the names of all nodes, including this one."""
         return frozenset(self._row_by_name.keys() | {self._name})
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether the key is known and this node stands in the table."""
+        """Return whether the key is known and this node is listed in the table."""
         return (
             self.key is not None
             and self._is_listed(_KEY_ROW)
@@ -98,14 +98,14 @@
         ]
 
     def is_among_first(self, count: int, duty: str) -> bool:
-        """Tell whether this node is among the first for a duty, alike everywhere."""
+        """Return whether this node is among the first for a duty; all nodes agree."""
         ranked = self._first_by_duty.get(duty)
         if ranked is None:
             ranked = self._first_by_duty[duty] = self._rank_nodes(duty)
         return self._name in ranked[:count]
 
     def addresses_of_first(self, count: int, duty: str) -> list[tuple[str, int]]:
-        """Return where the first nodes for a duty are reached, this one left out."""
+        """Return the addresses of the first nodes for a duty, except this one."""
         self.is_among_first(count, duty)
         rows = [
             self._row_by_name.get(name)
@@ -115,12 +115,12 @@
         return [(row.ip, row.port) for row in rows if row is not None]
 
     def announce(self, own: NodeRow) -> None:
-        """Tell the others from the next write on where this node is reached."""
+        """Set the row that the next write publishes for this node."""
         self._own = own
         self._first_by_duty.clear()
 
     def on_table_update(self, update: Followed) -> None:
-        """Take what changed in the table."""
+        """Apply an update of the table."""
         self._era = update.position.era
         if update.is_whole:
             self._position_by_key.clear()
@@ -136,12 +136,12 @@
     async def write_missing(self, now_ms: int) -> None:
         """Write this node's row if it is missing, and the key if that is its task.
 
-        Whether a write took effect is told by the table: one whose answer is lost
-        is made again with the same condition.
+        Only the table shows whether a write took effect. A write whose response was
+        lost is repeated with the same condition.
         """
         own_key = _NODE_PREFIX + self._name
-        is_told = self._row_by_name.get(self._name) == self._own
-        if self._own is not None and not (is_told and self._is_listed(own_key)):
+        is_row_current = self._row_by_name.get(self._name) == self._own
+        if self._own is not None and not (is_row_current and self._is_listed(own_key)):
             await self._write(now_ms, own_key, msgspec.json.encode(self._own))
         lacks_key = self.key is None or not self._is_listed(_KEY_ROW)
         if lacks_key and self._is_to_create_key(now_ms):
@@ -149,13 +149,13 @@
             await self._write(now_ms, _KEY_ROW, key)
 
     def _is_listed(self, key: str) -> bool:
-        """Tell whether the table has a row, by what was read last."""
+        """Return whether the table had a row at the last read."""
         return key in self._position_by_key
 
     def _rank_nodes(self, duty: str) -> list[str]:
-        """Return the nodes for a duty, the widest links first.
+        """Return the nodes in their order for a duty, those with fast links first.
 
-        Whoever has a duty speaks to all nodes.
+        A node with a duty exchanges messages with all nodes.
         """
         link_by_name = {name: row.link_mbps for name, row in self._row_by_name.items()}
         if self._own is not None:
@@ -177,7 +177,7 @@
         if name == row.key:
             return
         if row.is_copied and name != self._name and name in self._row_by_name:
-            # What that node wrote later was lost, and comes again.
+            # The store lost the newer row of that node, which will write it again.
             return
         self._row_by_name.pop(name, None)
         if row.is_deleted:
@@ -185,21 +185,21 @@
         try:
             self._row_by_name[name] = msgspec.json.decode(row.value, type=NodeRow)
         except msgspec.MsgspecError as error:
-            # Another writer's row names no node; the others hold.
-            log.error("peers: row %s is not understood: %s", row.key, error)
+            # Another writer wrote this row. The other rows are still used.
+            log.error("peers: row %s cannot be decoded: %s", row.key, error)
 
     def _apply_key(self, row: TableRow) -> None:
         if len(row.value) == _KEY_BYTES:
             self.key = row.value
         elif not row.is_deleted:
-            # Messages sealed with it could be made by whoever wrote it.
-            log.error("peers: the key in the table is not one that a node drew")
+            # No node created this key, so its unknown writer could forge messages.
+            log.error("peers: the key in the table was not created by a node")
 
     def _is_to_create_key(self, now_ms: int) -> bool:
-        """Tell whether this node is to draw the key now.
+        """Return whether this node is to create the key now.
 
-        Two hundred nodes that start at once would else all write it, and the
-        store takes so many writes to one part in a second.
+        Otherwise two hundred nodes that start at once would all write the key, and the
+        store accepts only a limited number of writes per second to one part.
         """
         if self._key_missing_since_ms is None:
             self._key_missing_since_ms = now_ms
@@ -209,7 +209,7 @@
         return listed and self.is_among_first(1, _KEY_ROW)
 
     async def _write(self, now_ms: int, key: str, value: bytes) -> None:
-        """Write a row once, on the condition that it is as it was last read."""
+        """Write a row if it is as last read, unless this node has just written it."""
         written_ms = self._written_ms_by_key.get(key)
         if written_ms is not None and now_ms - written_ms < _REWRITE_DELAY_MS:
             return
--- a/fireflyward/fleet/_process.py
+++ b/fireflyward/fleet/_process.py
@@ -1,4 +1,4 @@
-"""The process of one node: its settings, its signals and its end."""
+"""The process of one node: settings, signals and exit status."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 
 def run_process() -> int:
-    """Run a node until SIGTERM; return 0, or 2 for settings that are wrong."""
+    """Run a node until SIGTERM; return 0, or 2 if the settings are invalid."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
         settings = load_settings(path)
@@ -33,15 +33,15 @@
 
 async def _run(settings: FleetSettings, path: str) -> None:
     stop = asyncio.Event()
-    changed = SettingsWatch(path, clock=Clock())
+    settings_watch = SettingsWatch(path, clock=Clock())
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, changed.request_reload)
+    loop.add_signal_handler(signal.SIGHUP, settings_watch.request_reload)
     gc.freeze()
     node = FleetNode(settings, clock=Clock())
     await node.start()
-    following = asyncio.create_task(changed.run(node.reload))
+    reload_task = asyncio.create_task(settings_watch.run(node.reload))
     await stop.wait()
-    following.cancel()
+    reload_task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await node.stop()
--- a/fireflyward/fleet/_replica_components.py
+++ b/fireflyward/fleet/_replica_components.py
@@ -1,4 +1,4 @@
-"""What a node knows of replicas, tells other nodes of them, and chooses by."""
+"""The components of a node that track replicas and choose among them."""
 
 from collections.abc import Collection
 
@@ -20,7 +20,7 @@
 
 
 class ReplicaComponents:
-    """The parts around the list of replicas, put together."""
+    """Creates and connects the components around the list of replicas."""
 
     def __init__(
         self,
@@ -62,26 +62,28 @@
         )
 
     def set_nodes(self, names: Collection[str]) -> None:
-        """Take the names of all nodes, which send to the same replicas."""
+        """Set the names of all nodes, which share the limits of the replicas."""
         self.cold_shares.set_nodes(names)
         self.rate_limits.set_nodes(names)
 
     def use(self, link: PeerLink) -> None:
-        """Speak and listen over a link from now on."""
+        """Send and receive messages over a link from now on."""
         self.reach.use(link)
         self.notices.use(link)
 
     def gauges(self) -> dict[str, int]:
-        """Return how many replicas there are, and what keeps requests from some."""
+        """Return how many replicas there are, and how many get fewer or no requests."""
         now_ms, states = self._clock.now_ms(), self.directory.all()
-        asked = [state.backpressure for state in states]
+        backpressures = [state.backpressure for state in states]
         return {
             "replicas": len(self.directory),
             "cold_replicas": sum(state.is_cold(now_ms) for state in states),
             "cold_sends_total": self.cold_shares.granted,
             "leaving_replicas": sum(state.is_leaving for state in states),
-            "limited_replicas": sum(x.limit.per_second is not None for x in asked),
-            "resting_replicas": sum(x.backoff_ms(now_ms) > 0 for x in asked),
+            "limited_replicas": sum(
+                x.limit.per_second is not None for x in backpressures
+            ),
+            "resting_replicas": sum(x.backoff_ms(now_ms) > 0 for x in backpressures),
             "evacuated_failure_domains": len(self.directory.evacuated),
             "unreachable_failure_domains": len(self.directory.unreachable),
         }
--- a/fireflyward/fleet/_settings_watch.py
+++ b/fireflyward/fleet/_settings_watch.py
@@ -1,4 +1,4 @@
-"""Follows the settings file, with and without a signal."""
+"""Reloads the settings file when it changes or the process gets a signal."""
 
 import asyncio
 import logging
@@ -11,15 +11,15 @@
 
 log = logging.getLogger("fireflyward.settings")
 
-# The file may change without a signal; it is a few hundred bytes.
+# The file may change without a signal. It has a few hundred bytes.
 _POLL_INTERVAL_MS = 5_000
 
 
 class SettingsWatch:
-    """Reads the file again when it changed or a signal says so.
+    """Reads the file again after it changed or after a signal.
 
-    Settings that are wrong are told in the log and change nothing: a node that
-    ended by them would take its requests along.
+    Invalid settings are logged and ignored, because a node that exited would cut its
+    requests.
     """
 
     def __init__(self, path: str, *, clock: Clock) -> None:
@@ -29,11 +29,11 @@
         self._last_stamp = self._file_stamp()
 
     def request_reload(self) -> None:
-        """Have the file read at once."""
+        """Read the file at once, even if it has not changed."""
         self._reload_requested.set()
 
     async def run(self, on_settings: Callable[[FleetSettings], None]) -> None:
-        """Give new settings to ``on_settings`` until cancelled."""
+        """Pass new settings to ``on_settings``, until cancelled."""
         while True:
             reload_wait = asyncio.ensure_future(self._reload_requested.wait())
             pause = asyncio.ensure_future(self._clock.sleep_ms(_POLL_INTERVAL_MS))
@@ -47,7 +47,7 @@
             self.check(on_settings)
 
     def check(self, on_settings: Callable[[FleetSettings], None]) -> None:
-        """Read the file if it changed since it was read last."""
+        """Read the file if it changed since the last read or a reload was requested."""
         stamp = self._file_stamp()
         if stamp == self._last_stamp and not self._reload_requested.is_set():
             return
@@ -56,7 +56,9 @@
         try:
             on_settings(load_settings(self._path))
         except BadSettings as error:
-            log.error("settings: kept as they are: %s", error)
+            log.error(
+                "settings: reload failed, the current settings stay in force: %s", error
+            )
 
     def _file_stamp(self) -> tuple[int, int]:
         try:
--- a/fireflyward/fleet/_start_gate.py
+++ b/fireflyward/fleet/_start_gate.py
@@ -1,4 +1,4 @@
-"""Requests that come before a node knows what it serves."""
+"""Holds requests that arrive before a node has read its tables."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,17 +6,17 @@
 from fireflyward.clock import Clock, within_ms
 from fireflyward.feeds import Followed
 
-# Tables are read a tenth of a second after a node listens; one that needs longer does
-# not know for how long, and its callers do better elsewhere.
+# A node has normally read its tables 100 ms after it starts to listen. If that takes
+# longer, the remaining time is unknown, and callers should try another node.
 _MAX_WAIT_MS = 500
 
 
 class StartGate:
-    """Has the first requests wait until this node has read its tables.
+    """Lets the first requests wait until this node has read its tables.
 
-    After a loss of power callers come back as soon as a node listens, and most have
-    one retry. Refused then, they spend it on the next node, which knows as little.
-    Once open, the gate stays so.
+    After a loss of power, callers reconnect as soon as a node listens, and most of them
+    have one retry. If the node rejected them, they would use the retry on another node
+    that isn't ready either. Once open, the gate stays open.
     """
 
     __slots__ = ("_clock", "_is_open")
@@ -28,7 +28,7 @@
     def opening_listener(
         self, on_update: Callable[[Followed], None], *, is_ready: Callable[[], bool]
     ) -> Callable[[Followed], None]:
-        """Return a listener that opens the gate once its news make this node ready."""
+        """Return a listener that opens the gate once this node is ready."""
 
         def apply_and_check(update: Followed) -> None:
             on_update(update)
@@ -38,10 +38,10 @@
         return apply_and_check
 
     def open(self) -> None:
-        """Let everything pass from now on."""
+        """Let all requests pass from now on."""
         self._is_open.set()
 
-    async def passed(self) -> None:
-        """Return once the gate is open, or after the longest wait."""
+    async def wait_until_open(self) -> None:
+        """Return once the gate is open, or after ``_MAX_WAIT_MS``."""
         if not self._is_open.is_set():
             await within_ms(self._clock, _MAX_WAIT_MS, self._is_open.wait())
--- a/fireflyward/fleet/_status_server.py
+++ b/fireflyward/fleet/_status_server.py
@@ -1,4 +1,4 @@
-"""What a node answers to the balancer and to whoever reads its metrics."""
+"""The HTTP server for the balancer's readiness checks and for metrics."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,9 +17,9 @@
 
 
 class StatusServer:
-    """Serves readiness and metrics, each at an address of its own.
+    """Serves readiness and metrics, each at its own address.
 
-    ``update_gauges`` brings the gauges up to date before they are read.
+    ``update_gauges`` updates the gauges before the metrics are read.
     """
 
     def __init__(
@@ -36,22 +36,22 @@
         self._servers: list[web_server.Server] = []
 
     async def listen(self, readiness_address: str, metrics_address: str) -> str:
-        """Listen at both; return that for readiness with the real port."""
+        """Listen at both addresses; return the readiness address with the real port."""
         address = await self._open_listener(readiness_address, self._serve_readiness)
         await self._open_listener(metrics_address, self._serve_metrics)
         return address
 
     async def close(self) -> None:
-        """Close the listeners and every connection."""
+        """Close the listeners and all connections."""
         for listener in self._listeners:
             listener.close()
         for server in self._servers:
             server.pre_shutdown()
             await server.shutdown(0)
 
-    async def _open_listener(self, address: str, answer: _Handler) -> str:
+    async def _open_listener(self, address: str, handler: _Handler) -> str:
         host, _, port = address.rpartition(":")
-        server = web_server.Server(answer, access_log=None)
+        server = web_server.Server(handler, access_log=None)
         loop = asyncio.get_running_loop()
         listener = await loop.create_server(server, host, int(port))
         self._listeners.append(listener)
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -1,4 +1,4 @@
-"""Turns news of the platform's tables into what this node believes."""
+"""Applies updates of the platform's tables to the state of this node."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -23,12 +23,12 @@
 
 log = logging.getLogger("fireflyward.views")
 
-# Entries that went within this time of an outage may have lapsed in it.
+# Entries removed within this time after an outage may have expired during the outage.
 _OUTAGE_AFTERMATH_MS = 2_000
 
 
 class OperatorView:
-    """Takes what operators write: configuration, versions of weights, evacuations."""
+    """Applies the rows of operators: configuration, weight versions, evacuations."""
 
     def __init__(
         self,
@@ -47,12 +47,12 @@
         self._weights = weights
         self._directory = directory
         self._failure_domains = failure_domains
-        # Evacuations that an older copy of the table lacks, and until when they hold.
+        # Evacuations that a restored table lacks, and until when they stay in force.
         self._retained_evacuations: set[str] = set()
         self._retained_until_ms = 0
 
     def on_table_update(self, update: Followed) -> None:
-        """Put newer rows in force and note how fresh the configuration is."""
+        """Apply newer rows and record when the configuration was last confirmed."""
         for row in update.rows:
             if not row.is_deleted:
                 self._apply_row(row, at_start=not self._has_read_table)
@@ -67,13 +67,13 @@
             self._apply_weight_target(row, at_start=at_start)
 
     def _update_evacuations(self, update: Followed) -> None:
-        """Stop or resume sending to failure domains as their rows come and go."""
+        """Stop or resume sending to failure domains as their rows change."""
         before = self._directory.evacuated
         now_ms = self._clock.now_ms()
         if update.is_new_era:
             self._retained_evacuations = set(before)
             self._retained_until_ms = now_ms + CARRIED_MS
-        # Of a whole table, what has no row any more was taken back unseen.
+        # A snapshot without the row means that the evacuation was withdrawn unobserved.
         evacuated = (
             self._retained_evacuations & before if update.is_whole else set(before)
         )
@@ -95,13 +95,13 @@
             if row.is_deleted:
                 continue
             if decode_evacuation(domain, row.value) is None:
-                log.error("views: row %s is not understood", row.key)
+                log.error("views: row %s cannot be decoded", row.key)
                 continue
             evacuated.add(domain)
             if domain not in self._failure_domains:
-                log.error("views: no failure domain %s to evacuate is known", domain)
+                log.error("views: the failure domain %s to evacuate is unknown", domain)
         if now_ms >= self._retained_until_ms:
-            # Removed in the new era before this node read the table.
+            # These were removed in the new era before this node read the table.
             evacuated -= self._retained_evacuations
             self._retained_evacuations.clear()
         if evacuated == before:
@@ -115,9 +115,9 @@
     def _apply_configuration(self, row: TableRow) -> None:
         configuration = decode_configuration(row.value)
         if configuration is None:
-            # The store takes only valid rows, so this one is of a newer format;
-            # what is in force stays.
-            log.error("views: row %s is not understood", row.key)
+            # The store accepts only valid rows, so this one has a newer format. The
+            # current configuration stays in force.
+            log.error("views: row %s cannot be decoded", row.key)
         elif self._routes.apply(configuration):
             log.info("views: configuration %d in force", configuration.version)
             self._on_configuration(configuration)
@@ -125,13 +125,13 @@
     def _apply_weight_target(self, row: TableRow, *, at_start: bool) -> None:
         target = decode_weight_target(row.value)
         if target is None:
-            log.error("views: row %s is not understood", row.key)
+            log.error("views: row %s cannot be decoded", row.key)
         elif self._weights.set_target(self._clock.now_ms(), target, at_start=at_start):
             log.info("views: %s named for %s", target.version, target.model)
 
 
 class ReplicaView:
-    """Takes the list of replicas."""
+    """Applies the list of replicas to the directory."""
 
     def __init__(
         self,
@@ -149,14 +149,15 @@
         self.is_known = False
 
     def on_table_update(self, update: Followed) -> None:
-        """Bring the directory up to date."""
+        """Update the directory."""
         now_ms = self._clock.now_ms()
         if update.away_ms or update.is_new_era:
             self._outage_end_ms = now_ms
         found = _classify_rows(row for row in update.rows if not row.is_copied)
         copied = _classify_rows(row for row in update.rows if row.is_copied).entries
         if update.is_new_era:
-            # This node may not have seen the row of before the replica said so.
+            # This node may never have read the row that the replica had written before
+            # it announced that it leaves.
             copied += [
                 entry for entry in found.entries if self._predates_leaving(entry)
             ]
@@ -182,14 +183,14 @@
             self._on_gone(state)
 
     def _predates_leaving(self, entry: ReplicaEntry) -> bool:
-        """Tell whether an entry is from before its start was known to leave."""
+        """Return whether an entry doesn't show that its incarnation is leaving."""
         state = self._directory.find_incarnation(entry.incarnation_id)
         return state is not None and state.is_leaving and not entry.is_leaving
 
 
 @dataclass(frozen=True, slots=True)
 class _ClassifiedRows:
-    """Entries of replicas, removed names, and names of unknown writers."""
+    """Valid entries, and the keys of removed and of malformed rows."""
 
     entries: list[ReplicaEntry] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)
@@ -205,6 +206,6 @@
         elif row.is_deleted:
             found.removed.append(row.key)
         else:
-            log.error("views: entry of %s names no replica", row.key)
+            log.error("views: entry of %s is malformed", row.key)
             found.malformed.append(row.key)
     return found
--- a/tests/fleet/test_start_gate.py
+++ b/tests/fleet/test_start_gate.py
@@ -13,7 +13,7 @@
         self.gate = StartGate(self.clock)
 
     async def test_what_waits_passes_when_the_gate_opens(self):
-        waiting = asyncio.create_task(self.gate.passed())
+        waiting = asyncio.create_task(self.gate.wait_until_open())
         await self.clock.advance_ms(300)
         self.assertFalse(waiting.done())
         self.gate.open()
@@ -22,7 +22,7 @@
 
     async def test_a_node_that_learns_nothing_holds_nobody_for_long(self):
         """Symptom: callers waited at a node that could not reach the store."""
-        waiting = asyncio.create_task(self.gate.passed())
+        waiting = asyncio.create_task(self.gate.wait_until_open())
         await self.clock.advance_ms(499)
         self.assertFalse(waiting.done())
         await self.clock.advance_ms(1)
@@ -30,6 +30,6 @@
 
     async def test_once_open_nothing_waits(self):
         self.gate.open()
-        waiting = asyncio.create_task(self.gate.passed())
+        waiting = asyncio.create_task(self.gate.wait_until_open())
         await asyncio.sleep(0)
         self.assertTrue(waiting.done())
--- a/tests/soak/_soak.py
+++ b/tests/soak/_soak.py
@@ -153,7 +153,7 @@
         await fleet.stop()
         for node in fleet.nodes:
             text = node.log.read_text()
-            if "Traceback" in text or "fault of the program" in text:
+            if "Traceback" in text or "unexpected exception" in text:
                 at = text.find("Traceback")
                 fleet.broken.append(f"{node.name} logged: {text[at : at + 900]}")
         statuses = Counter(str(told.status) for told in fleet.told.values())
