--- a/tests/fleet/node_fixtures.py
+++ b/tests/fleet/node_fixtures.py
@@ -1,4 +1,4 @@
-"""A node of a fleet with a store and replicas, all in one process."""
+"""Test cases with nodes of a fleet, a store and replicas, all in one process."""
 
 import asyncio
 import tempfile
@@ -26,24 +26,24 @@
     "X-Prompt-Prefix": "aa:500,bb:400",
     "X-Deadline-Ms": "5000",
 }
-_PATIENCE_S = 20
+_TIMEOUT_S = 20
 
 
 class NodeTestCase(unittest.IsolatedAsyncioTestCase):
     """Starts one node with two plain replicas and two engines.
 
-    ``balancer_notice_ms`` is how long a stopping node goes on listening.
+    ``balancer_notice_ms`` is for how long a stopping node continues to listen.
     """
 
     balancer_notice_ms = 50
 
     async def asyncSetUp(self):
-        # A machine that stands still for a moment must not make a replica unreachable.
-        patience = mock.patch(
+        # A short stall of the machine must not make a replica unreachable.
+        patch = mock.patch(
             "fireflyward.forwarding._request_run._CONNECT_TIMEOUT_MS", 20_000
         )
-        patience.start()
-        self.addCleanup(patience.stop)
+        patch.start()
+        self.addCleanup(patch.stop)
         self.store = StoreStandIn()
         await self.store.start()
         self.operator = Operator(self.store)
@@ -59,7 +59,7 @@
             self.settings(), clock=Clock(), balancer_notice_ms=self.balancer_notice_ms
         )
         self.session = aiohttp.ClientSession()
-        self.number = 0
+        self.request_number = 0
         self.stopped = False
 
     async def asyncTearDown(self):
@@ -87,7 +87,7 @@
         await self.until(lambda: len(self.node._directory) == 4)
 
     def set_timeouts_ms(self, timeout_ms):
-        """Have callers wait for longer or shorter; before a node is started."""
+        """Set the timeout of all routes; call it before a node is started."""
         for route in self.operator.configuration["routes"]:
             route["timeout-ms"] = timeout_ms
 
@@ -96,38 +96,38 @@
         await self.node.stop()
 
     async def until(self, condition):
-        """Wait until a condition holds; a test that waits in vain fails."""
-        async with asyncio.timeout(_PATIENCE_S):
+        """Wait until a condition holds, or fail after a timeout."""
+        async with asyncio.timeout(_TIMEOUT_S):
             while not condition():
                 await asyncio.sleep(0.01)
 
     def request(
         self, method, path, headers=KEY, host="h.example", node=None, **options
     ):
-        self.number += 1
-        own = {"Host": host, "X-Request-Id": f"q{self.number}", **headers}
+        self.request_number += 1
+        own = {"Host": host, "X-Request-Id": f"q{self.request_number}", **headers}
         url = f"http://{(node or self.node).callers_address}{path}"
         return self.session.request(method, url, headers=own, **options)
 
-    async def ask(self, method, path, **options):
-        """Return status, headers and body of one request."""
+    async def fetch(self, method, path, **options):
+        """Send a request; return status, headers and body of the response."""
         async with self.request(method, path, **options) as response:
             return response.status, response.headers, await response.read()
 
-    async def ask_until(self, condition, method="GET", path="/r/x", **options):
-        """Ask until a condition holds; a test that asks in vain fails."""
-        async with asyncio.timeout(_PATIENCE_S):
+    async def fetch_until(self, condition, method="GET", path="/r/x", **options):
+        """Send requests until a condition holds, or fail after a timeout."""
+        async with asyncio.timeout(_TIMEOUT_S):
             while not condition():
-                await self.ask(method, path, **options)
+                await self.fetch(method, path, **options)
 
-    def runs(self, replicas):
+    def run_count(self, replicas):
         return sum(len(replica.ran) for replica in replicas)
 
 
 class FleetTestCase(NodeTestCase):
-    """Starts three nodes that know of each other before the same replicas."""
+    """Starts three nodes that know each other and send to the same replicas."""
 
-    most_nodes = 3
+    node_count = 3
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -140,11 +140,11 @@
 
     async def start_nodes(self):
         await self.start_ready()
-        for number in range(2, self.most_nodes + 1):
-            await self.start_another(f"entry-{number}")
-        await self.until(lambda: all(self.knows_everyone(node) for node in self.nodes))
+        for number in range(2, self.node_count + 1):
+            await self.start_additional_node(f"entry-{number}")
+        await self.until(lambda: all(self.is_joined(node) for node in self.nodes))
 
-    async def start_another(self, name):
+    async def start_additional_node(self, name):
         settings = self.settings(**{"node-name": name})
         node = FleetNode(
             settings, clock=Clock(), balancer_notice_ms=self.balancer_notice_ms
@@ -153,7 +153,7 @@
         await node.start()
         return node
 
-    def knows_everyone(self, node):
+    def is_joined(self, node):
         return (
             node.is_ready
             and len(node._directory) == 4
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -1,23 +1,17 @@
-"""Seven replicas ended within ten seconds, one after the other, and each time some ten
-requests of other callers were cut with them.
-
-A caller asked for work that ends whatever replica begins on it. It was told "unknown",
-and the same work came again under a new id, at another node. No node remembered what
-had been under way where a replica ended, and each id was new, so each time it went to
-the next sound replica. After the third had ended under it, it was sent on four times
-more.
-
-What settled it were lines of the nodes as these, of one spell: the same account and
-route among the cut requests of every end, each with ``sends`` 1 and an id of its own.
-
-    66.9253 connection closed, i-895b61416b, left_ms 12929
-    66.9453 no connection to 10.1.64.41:8622: [Errno 111] Connect call failed
-    69.4647 connection closed, i-db2de9c9a9
-    69.6534 connection closed, i-3ddd9c164e
-    69.6596 i-895b61416b of dego97a gone: removed
-
-A replica that ended refuses connections in the same moment, and its entry goes 2.7 s
-later.
+"""A request that crashes replicas must not be sent to one replica after the other.
+
+Symptom: seven replicas crashed within ten seconds, one after the other, and each crash
+cut some ten requests of other callers.
+
+Cause: one caller's request crashed every replica that began to run it. The caller got
+the outcome "unknown" and sent the request again, with a new id and to another node. No
+node recorded which requests were in flight when a replica crashed, and each id was
+new, so each time the request was sent to the next replica. It was sent four more times
+after its third crash.
+
+The nodes' logs showed it: each crash had cut a request of the same account and route,
+each with ``sends`` 1 and its own id. A crashed replica refuses connections at once, and
+its entry is removed 2.7 s later.
 """
 
 import asyncio
@@ -33,92 +27,92 @@
 
 from .node_fixtures import STREAM, FleetTestCase
 
-# What the users allow: three replicas, and three more sends where the news lags.
-_MOST_ENDS = 6
+# The users allow three crashes, and three more before all nodes know of them.
+_MAX_TOTAL_CRASHES = 6
 
 
 class CrashingRequestTests(FleetTestCase):
-    """Three nodes; a replica that ends is gone, and another comes in its place."""
+    """Three nodes; another replica replaces each one that has crashed."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        # A stream that may not be resumed runs once for each time that it is asked.
+        # A stream that is not resumable runs once for each request of the caller.
         self.operator.configuration["routes"][0]["resumable"] = False
         await self.start_nodes()
-        self.ended = []
+        self.crashed = []
 
     async def asyncTearDown(self):
         await super().asyncTearDown()
-        for replica in self.ended:
+        for replica in self.crashed:
             await replica.stop()
 
-    async def ask_at(self, node, method, path, **options):
+    async def fetch_at(self, node, method, path, **options):
         try:
             async with asyncio.timeout(10):
-                return await self.ask(method, path, node=node, **options)
+                return await self.fetch(method, path, node=node, **options)
         except aiohttp.ClientError:
             return None, {}, b""
 
-    async def replace_ended(self, replicas, service, model=None):
-        """Have another start take the place of each replica that has ended."""
+    async def replace_crashed(self, replicas, service, model=None):
+        """Replace each replica that has crashed by a new one."""
         for index, replica in enumerate(replicas):
             if not replica.has_crashed:
                 continue
-            self.ended.append(replica)
-            number = len(self.ended)
+            self.crashed.append(replica)
+            number = len(self.crashed)
             self.store.remove("servers", replica.incarnation)
             fresh = ReplicaStandIn(f"{service}-again-{number}", model=model)
             await fresh.start()
             replicas[index] = fresh
             self.store.put("servers", fresh.incarnation, fresh.entry(service))
-            await self.until_all_list(fresh.incarnation)
+            await self.until_listed_everywhere(fresh.incarnation)
 
-    async def until_all_list(self, name):
+    async def until_listed_everywhere(self, name):
         await self.until(lambda: all(node._directory.find(name) for node in self.nodes))
 
-    async def ask_over_and_over(self, method, path, replicas, service, **options):
-        """Ask the deadly work a dozen times, at each node in turn."""
+    async def send_deadly_requests(self, method, path, replicas, service, **options):
+        """Send the deadly request a dozen times, to each node in turn."""
         model = "m" if service == "engines" else None
         statuses = []
         for number in range(12):
-            node = self.nodes[number % self.most_nodes]
-            answer = await self.ask_at(node, method, path, data=DEADLY, **options)
+            node = self.nodes[number % self.node_count]
+            answer = await self.fetch_at(node, method, path, data=DEADLY, **options)
             statuses.append(answer[0])
-            await self.replace_ended(replicas, service, model)
+            await self.replace_crashed(replicas, service, model)
         return statuses
 
-    async def test_a_stream_that_ends_its_replicas_is_not_sent_on_for_ever(self):
-        statuses = await self.ask_over_and_over(
+    async def test_a_stream_that_crashes_replicas_is_rejected(self):
+        statuses = await self.send_deadly_requests(
             "POST", "/s/x", self.engines, "engines", headers=STREAM
         )
-        self.assertLessEqual(len(self.ended), _MOST_ENDS)
+        self.assertLessEqual(len(self.crashed), _MAX_TOTAL_CRASHES)
         self.assertEqual(statuses[-1], 503)
 
-    async def test_work_that_may_repeat_is_not_sent_on_for_ever(self):
-        """A node's own second send is one more replica that ends."""
-        statuses = await self.ask_over_and_over("GET", "/r/x", self.plain, "plain")
-        self.assertLessEqual(len(self.ended), _MOST_ENDS)
+    async def test_an_idempotent_request_that_crashes_replicas_is_rejected(self):
+        """The node's own retry crashes one more replica."""
+        statuses = await self.send_deadly_requests("GET", "/r/x", self.plain, "plain")
+        self.assertLessEqual(len(self.crashed), _MAX_TOTAL_CRASHES)
         self.assertEqual(statuses[-1], 503)
 
-    def kept_ends(self):
-        """Return how many ends of the deadly work the table holds."""
+    def stored_crash_count(self):
+        """Return how many crashes by the deadly request the table contains."""
         fingerprint = fingerprint_of("acme", "/w/x", DEADLY)
         value = self.store.value(NODE_TABLE, f"suspect/{fingerprint}")
         return len(json.loads(value)["ends"]) if value else 0
 
-    async def test_nodes_that_start_anew_know_of_it(self):
-        """After a loss of power the same request goes on to end replicas.
+    async def test_restarted_nodes_know_of_it(self):
+        """Symptom: after a loss of power the same request crashes replicas again.
 
-        It was held, and every process ended; those that start know only what the
-        platform kept.
+        The request was in quarantine when all processes lost power. The restarted
+        nodes have only the state that the platform's store kept.
         """
         for number in range(4):
-            await self.ask_at(
-                self.nodes[number % self.most_nodes], "POST", "/w/x", data=DEADLY
+            await self.fetch_at(
+                self.nodes[number % self.node_count], "POST", "/w/x", data=DEADLY
             )
-            await self.replace_ended(self.plain, "plain")
-        before = len(self.ended)
-        await self.until(lambda: self.kept_ends() == MAX_CRASHES)
+            await self.replace_crashed(self.plain, "plain")
+        before = len(self.crashed)
+        await self.until(lambda: self.stored_crash_count() == MAX_CRASHES)
         await asyncio.gather(*(node.stop() for node in self.nodes))
         self.nodes = [
             FleetNode(
@@ -126,104 +120,108 @@
                 clock=Clock(),
                 balancer_notice_ms=50,
             )
-            for number in range(1, self.most_nodes + 1)
+            for number in range(1, self.node_count + 1)
         ]
         self.node = self.nodes[0]
         for node in self.nodes:
             await node.start()
-        await self.until(lambda: all(self.knows_everyone(node) for node in self.nodes))
+        await self.until(lambda: all(self.is_joined(node) for node in self.nodes))
         for node in self.nodes:
-            status, headers, _ = await self.ask_at(node, "POST", "/w/x", data=DEADLY)
+            status, headers, _ = await self.fetch_at(node, "POST", "/w/x", data=DEADLY)
             self.assertEqual(status, 503)
             self.assertGreater(float(headers["Retry-After"]), 60)
-        self.assertEqual(len(self.ended), before)
+        self.assertEqual(len(self.crashed), before)
 
     async def test_nodes_that_cannot_reach_each_other_know_of_it(self):
-        """A cut between nodes lets each of them end three replicas.
+        """Symptom: a network partition between nodes lets each crash three replicas.
 
-        No news came through, and each counted its own ends alone. The table that
-        all read holds them from the second on.
+        No announcement arrived, and each node counted only its own crashes. From the
+        second crash on they are in the table that all nodes read.
         """
         for node in self.nodes:
             node._quarantine._announcements._link = None
-        statuses = await self.ask_over_and_over("POST", "/w/x", self.plain, "plain")
-        self.assertLessEqual(len(self.ended), _MOST_ENDS)
+        statuses = await self.send_deadly_requests("POST", "/w/x", self.plain, "plain")
+        self.assertLessEqual(len(self.crashed), _MAX_TOTAL_CRASHES)
         self.assertEqual(statuses[-1], 503)
 
-    async def test_connections_that_break_at_sound_replicas_hold_nothing(self):
-        """A harmless request was refused, and no replica had ended."""
+    async def test_broken_connections_without_a_crash_quarantine_nothing(self):
+        """Symptom: a harmless request was rejected although no replica had crashed."""
         for number in range(9):
             for replica in self.plain:
                 replica.manners = [Manner.RESETS]
-            status, _, _ = await self.ask_at(
-                self.nodes[number % self.most_nodes], "POST", "/w/x", data=b"harmless"
+            status, _, _ = await self.fetch_at(
+                self.nodes[number % self.node_count], "POST", "/w/x", data=b"harmless"
             )
             self.assertEqual(status, 502)
         for replica in self.plain:
             replica.manners = []
-        status, _, _ = await self.ask_at(self.node, "POST", "/w/x", data=b"harmless")
+        status, _, _ = await self.fetch_at(self.node, "POST", "/w/x", data=b"harmless")
         self.assertEqual(status, 200)
 
-    async def test_a_replica_that_leaves_as_planned_is_no_end(self):
-        """A request was refused because releases cut it three times."""
+    async def test_a_planned_stop_of_a_replica_is_not_a_crash(self):
+        """Symptom: a request was rejected because releases had cut it three times."""
         for number in range(4):
             leaving = self.plain[0]
             leaving.manners = [Manner.SILENT]
             self.store.remove("servers", self.plain[1].incarnation)
             await self.until(lambda: len(self.node._directory) == 3)
-            self.assertEqual(await self.ask_while_it_leaves(leaving), 502)
+            self.assertEqual(await self.fetch_during_shutdown(leaving), 502)
             self.plain[0] = ReplicaStandIn(f"released-{number}")
             await self.plain[0].start()
             self.list_replicas()
             await self.until(lambda: len(self.node._directory) == 4)
-        status, _, _ = await self.ask_at(self.node, "POST", "/w/x", data=b"harmless")
+        status, _, _ = await self.fetch_at(self.node, "POST", "/w/x", data=b"harmless")
         self.assertEqual(status, 200)
 
-    async def ask_while_it_leaves(self, replica):
-        asked = asyncio.create_task(
-            self.ask_at(self.node, "POST", "/w/x", data=b"harmless")
+    async def fetch_during_shutdown(self, replica):
+        response = asyncio.create_task(
+            self.fetch_at(self.node, "POST", "/w/x", data=b"harmless")
         )
-        await self.until(lambda: replica.ran or asked.done())
+        await self.until(lambda: replica.ran or response.done())
         await self.leave(replica)
-        status, _, _ = await asked
+        status, _, _ = await response
         return status
 
     async def leave(self, replica):
-        """Have a replica say that it leaves, and end."""
+        """Let a replica announce that it is leaving, and exit."""
         name = replica.incarnation
         self.store.put("servers", name, replica.entry("plain", state="draining"))
         await self.until(lambda: self.node._directory.find(name).entry.is_leaving)
         replica.crash()
-        self.ended.append(replica)
+        self.crashed.append(replica)
         self.store.remove("servers", name)
 
-    async def ask_both(self, node):
-        """Have a harmless request under way while the deadly one is asked."""
+    async def fetch_with_concurrent_request(self, node):
+        """Send the deadly request while a harmless one is in flight."""
         (replica,) = self.plain
         replica.manners = [Manner.SILENT, Manner.WELL]
-        beside = asyncio.create_task(
-            self.ask_at(node, "POST", "/w/beside", data=b"harmless")
+        harmless = asyncio.create_task(
+            self.fetch_at(node, "POST", "/w/beside", data=b"harmless")
         )
-        await self.until(lambda: replica.ran or beside.done())
-        status, _, _ = await self.ask_at(node, "POST", "/w/x", data=DEADLY)
-        beside.cancel()
-        await asyncio.gather(beside, return_exceptions=True)
+        await self.until(lambda: replica.ran or harmless.done())
+        status, _, _ = await self.fetch_at(node, "POST", "/w/x", data=DEADLY)
+        harmless.cancel()
+        await asyncio.gather(harmless, return_exceptions=True)
         return status
 
-    async def test_what_merely_ran_beside_it_is_served(self):
-        """It is under way at each replica that ends, and its caller asks again too."""
+    async def test_a_harmless_request_that_ran_concurrently_is_served(self):
+        """It is in flight at each replica that crashes, and is retried too."""
         spare = self.plain.pop()
         self.addAsyncCleanup(spare.stop)
         self.store.remove("servers", spare.incarnation)
         await self.until(lambda: all(len(node._directory) == 3 for node in self.nodes))
         statuses = []
-        for number in range(_MOST_ENDS):
-            statuses.append(await self.ask_both(self.nodes[number % self.most_nodes]))
-            await self.replace_ended(self.plain, "plain")
+        for number in range(_MAX_TOTAL_CRASHES):
+            statuses.append(
+                await self.fetch_with_concurrent_request(
+                    self.nodes[number % self.node_count]
+                )
+            )
+            await self.replace_crashed(self.plain, "plain")
         self.assertIn(503, statuses)
         self.plain[0].manners = []
         for node in self.nodes:
-            status, _, _ = await self.ask_at(
+            status, _, _ = await self.fetch_at(
                 node, "POST", "/w/beside", data=b"harmless"
             )
             self.assertEqual(status, 200)
--- a/tests/fleet/test_end_to_end.py
+++ b/tests/fleet/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole path: callers, one node, the store and replicas, over sockets."""
+"""End-to-end tests with callers, one node, the store and replicas; over sockets."""
 
 import asyncio
 
@@ -12,17 +12,17 @@
 from .node_fixtures import KEY, STREAM, NodeTestCase, event_numbers
 
 
-class PlainTests(NodeTestCase):
+class RequestTests(NodeTestCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
         await self.start_ready()
 
-    def all_do(self, *manners):
+    def set_manners(self, *manners):
         for replica in self.plain:
             replica.manners = list(manners)
 
-    async def test_answer_comes_back_as_the_replica_made_it(self):
-        status, headers, body = await self.ask("GET", "/r/x?y=1")
+    async def test_a_response_is_forwarded_unchanged(self):
+        status, headers, body = await self.fetch("GET", "/r/x?y=1")
         self.assertEqual(status, 200)
         self.assertTrue(body.startswith(b"answer of p-"))
         self.assertEqual(headers["X-Server-Seal"], "3e1b.07.5a2")
@@ -32,152 +32,152 @@
         self.assertNotIn("authorization", sent.headers)
         self.assertLessEqual(int(sent.headers["x-deadline-ms"]), 2_000)
 
-    async def test_body_goes_on_unchanged(self):
+    async def test_a_request_body_is_forwarded_unchanged(self):
         for data in (b"x" * 900, _chunks(b"ab", b"cd")):
-            await self.ask("POST", "/w/x", data=data)
+            await self.fetch("POST", "/w/x", data=data)
         bodies = sorted(sent.body for r in self.plain for sent in r.ran)
         self.assertEqual(bodies, [b"abcd", b"x" * 900])
 
-    async def test_non_idempotent_request_runs_once_over_a_reset(self):
+    async def test_a_non_idempotent_request_is_not_retried_after_a_reset(self):
         """Symptom: a record is written twice.
 
-        The replica runs the request and its connection breaks before the answer;
-        sending it to the other replica would run it again.
+        The replica runs the request, and its connection breaks before the response.
+        Sending the request to the other replica would run it again.
         """
-        self.all_do(Manner.RESETS)
-        status, headers, _ = await self.ask("POST", "/w/x", data=b"1")
+        self.set_manners(Manner.RESETS)
+        status, headers, _ = await self.fetch("POST", "/w/x", data=b"1")
         self.assertEqual(status, 502)
         self.assertNotIn("Retry-After", headers)
-        self.assertEqual(self.runs(self.plain), 1)
+        self.assertEqual(self.run_count(self.plain), 1)
 
-    async def test_idempotent_request_goes_to_another_replica(self):
+    async def test_an_idempotent_request_is_retried_at_another_replica(self):
         for manner in (Manner.RESETS, Manner.CUTS, Manner.FAILS, Manner.UNSIGNED):
             self.plain[0].manners = [manner] * 3
             self.plain[1].manners = []
-            statuses = {(await self.ask("GET", "/r/x"))[0] for _ in range(3)}
+            statuses = {(await self.fetch("GET", "/r/x"))[0] for _ in range(3)}
             self.assertEqual(statuses, {200}, manner)
 
-    async def test_the_log_tells_what_a_caller_got_and_from_whom(self):
-        """Symptom: callers complain of status 500, and no line of the log has one.
+    async def test_the_log_shows_the_status_and_who_created_it(self):
+        """Symptom: callers report status 500, but no log line shows it.
 
-        Both replicas fail. What the caller gets is the second one's own answer, so
-        the request counts as answered.
+        Both replicas fail. The caller gets the second replica's own response, so the
+        request counts as answered.
         """
-        self.all_do(Manner.FAILS)
+        self.set_manners(Manner.FAILS)
         with self.assertLogs("fireflyward.callers") as logged:
-            status, _, _ = await self.ask("GET", "/r/x")
+            status, _, _ = await self.fetch("GET", "/r/x")
         self.assertEqual(status, 500)
         fields = logged.records[0].fields
         self.assertEqual((fields["status"], fields["made_by"]), (500, "replica"))
         (earlier,) = fields["earlier"]
         self.assertRegex(earlier, r"^p-\d: WholeAnswer status 500$")
 
-    async def test_the_log_tells_that_a_node_refused(self):
+    async def test_the_log_shows_that_a_node_rejected_a_request(self):
         with self.assertLogs("fireflyward.callers") as logged:
-            status, _, _ = await self.ask("GET", "/nowhere/x")
+            status, _, _ = await self.fetch("GET", "/nowhere/x")
         fields = logged.records[0].fields
         self.assertEqual((fields["status"], fields["made_by"]), (status, "node"))
 
-    async def test_answer_of_another_request_reaches_nobody(self):
-        """Symptom: a caller gets somebody else's answer.
+    async def test_a_response_to_another_request_is_not_forwarded(self):
+        """Symptom: a caller gets the response to another caller's request.
 
-        A replica's late answer comes where the next one is expected.
+        A replica's late response arrives where the next response is expected.
         """
-        self.all_do(Manner.ANSWERS_ANOTHER)
-        status, _, body = await self.ask("POST", "/w/x", data=b"1")
+        self.set_manners(Manner.ANSWERS_ANOTHER)
+        status, _, body = await self.fetch("POST", "/w/x", data=b"1")
         self.assertEqual(status, 502)
         self.assertNotIn(b"another", body)
 
-    async def test_added_answer_reaches_nobody(self):
-        self.all_do(*[Manner.ADDS_ANSWER] * 3)
+    async def test_an_additional_response_is_not_forwarded(self):
+        self.set_manners(*[Manner.ADDS_ANSWER] * 3)
         for _ in range(6):
-            _, _, body = await self.ask("GET", "/r/x")
+            _, _, body = await self.fetch("GET", "/r/x")
             await asyncio.sleep(0.03)
             self.assertNotIn(b"nobody", body)
 
-    async def test_unframed_answers(self):
-        self.all_do(Manner.UNFRAMED)
-        self.assertEqual((await self.ask("POST", "/w/x", data=b"1"))[0], 200)
-        self.all_do(Manner.UNFRAMED_RESET)
-        self.assertEqual((await self.ask("POST", "/w/x", data=b"1"))[0], 502)
+    async def test_responses_without_a_length(self):
+        self.set_manners(Manner.UNFRAMED)
+        self.assertEqual((await self.fetch("POST", "/w/x", data=b"1"))[0], 200)
+        self.set_manners(Manner.UNFRAMED_RESET)
+        self.assertEqual((await self.fetch("POST", "/w/x", data=b"1"))[0], 502)
 
-    async def test_full_replica_is_passed_over_also_for_what_runs_once(self):
+    async def test_a_full_replica_is_skipped_also_for_non_idempotent_requests(self):
         self.plain[0].manners = [Manner.FULL]
-        statuses = [(await self.ask("POST", "/w/x", data=b"1"))[0] for _ in range(4)]
+        statuses = [(await self.fetch("POST", "/w/x", data=b"1"))[0] for _ in range(4)]
         self.assertEqual(statuses, [200] * 4)
 
-    async def test_when_all_are_full_the_caller_is_told_to_come_back(self):
-        self.all_do(*[Manner.FULL] * 5)
-        status, headers, _ = await self.ask("POST", "/w/x", data=b"1")
+    async def test_with_all_replicas_full_a_caller_gets_retry_after(self):
+        self.set_manners(*[Manner.FULL] * 5)
+        status, headers, _ = await self.fetch("POST", "/w/x", data=b"1")
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["Retry-After"]), 0)
-        self.assertEqual(self.runs(self.plain), 0)
+        self.assertEqual(self.run_count(self.plain), 0)
 
-    async def test_503_of_a_replica_that_ran_it_is_no_promise(self):
+    async def test_a_503_without_a_not_executed_header_is_not_forwarded(self):
         """Symptom: a caller repeats a request that has run.
 
-        The replica answers 503 without saying that it has not run the request;
-        passed on, the status would promise just that.
+        The replica responds with 503, but without the header that it has not run the
+        request. For a caller, a forwarded 503 would mean that it has not run.
         """
         for method, path in (("POST", "/w/x"), ("GET", "/r/x")):
-            self.all_do(Manner.SAYS_503, Manner.SAYS_503)
-            status, headers, _ = await self.ask(method, path)
+            self.set_manners(Manner.SAYS_503, Manner.SAYS_503)
+            status, headers, _ = await self.fetch(method, path)
             self.assertEqual(status, 502, path)
             self.assertNotIn("X-Server-Seal", headers)
 
-    async def test_refusals(self):
-        self.assertEqual((await self.ask("GET", "/nowhere/x"))[0], 404)
+    async def test_invalid_requests_are_rejected(self):
+        self.assertEqual((await self.fetch("GET", "/nowhere/x"))[0], 404)
         wrong = {"Authorization": "Bearer no"}
-        self.assertEqual((await self.ask("GET", "/r/x", headers=wrong))[0], 401)
-        self.assertEqual((await self.ask("GET", "/r/x", headers={}))[0], 401)
-        large = await self.ask("POST", "/w/x", data=b"x" * 1_001)
+        self.assertEqual((await self.fetch("GET", "/r/x", headers=wrong))[0], 401)
+        self.assertEqual((await self.fetch("GET", "/r/x", headers={}))[0], 401)
+        large = await self.fetch("POST", "/w/x", data=b"x" * 1_001)
         self.assertEqual(large[0], 413)
-        chunked = await self.ask("POST", "/w/x", data=_chunks(*[b"x" * 600] * 2))
+        chunked = await self.fetch("POST", "/w/x", data=_chunks(*[b"x" * 600] * 2))
         self.assertEqual(chunked[0], 413)
         long = {**KEY, "X-Note": "n" * 16_400}
-        self.assertEqual((await self.ask("GET", "/r/x", headers=long))[0], 431)
+        self.assertEqual((await self.fetch("GET", "/r/x", headers=long))[0], 431)
         bad = {**KEY, "X-Deadline-Ms": "soon"}
-        self.assertEqual((await self.ask("GET", "/r/x", headers=bad))[0], 400)
-        self.assertEqual(self.runs(self.plain), 0)
+        self.assertEqual((await self.fetch("GET", "/r/x", headers=bad))[0], 400)
+        self.assertEqual(self.run_count(self.plain), 0)
 
-    async def test_route_timeout_is_answered_though_the_replica_is_silent(self):
+    async def test_a_request_to_a_silent_replica_times_out(self):
         self.operator.configuration["routes"][2]["timeout-ms"] = 150
         self.operator.configure()
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
-        self.all_do(Manner.SILENT)
-        status, _, _ = await self.ask("POST", "/w/x", data=b"1")
+        self.set_manners(Manner.SILENT)
+        status, _, _ = await self.fetch("POST", "/w/x", data=b"1")
         self.assertEqual(status, 504)
 
-    async def test_a_withdrawn_key_is_refused(self):
+    async def test_a_withdrawn_key_is_rejected(self):
         tenants = [{"name": "acme", "api-keys": ["key-2"]}]
         self.operator.configure(tenants=tenants)
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
-        self.assertEqual((await self.ask("GET", "/r/x"))[0], 401)
+        self.assertEqual((await self.fetch("GET", "/r/x"))[0], 401)
 
-    async def test_a_leaving_replica_gets_nothing_new(self):
+    async def test_a_leaving_replica_gets_no_new_requests(self):
         entry = self.plain[0].entry("plain", state="draining")
         self.store.put("servers", "p-1", entry)
         plain = self.node._directory.of_service
         await self.until(lambda: len(plain("plain")) == 1)
         for _ in range(5):
-            await self.ask("GET", "/r/x")
+            await self.fetch("GET", "/r/x")
         self.assertEqual(len(self.plain[0].ran), 0)
 
-    async def test_an_address_that_another_incarnation_has_now(self):
-        """Symptom: a request runs at a service that its route never named.
+    async def test_an_address_reused_by_another_replica(self):
+        """Symptom: a request runs at a service that is not in its route.
 
-        A replica is gone and its address is used again; the list does not say so
-        yet. The replica that is there does not run what it was not meant for.
+        A replica is gone and another one uses its address, but the list doesn't show it
+        yet. The other replica doesn't run requests that are meant for the first one.
         """
         self.plain[0].incarnation = "other"
-        statuses = {(await self.ask("POST", "/w/x", data=b"1"))[0] for _ in range(4)}
+        statuses = {(await self.fetch("POST", "/w/x", data=b"1"))[0] for _ in range(4)}
         self.assertEqual(statuses, {200})
         self.assertEqual(len(self.plain[0].ran), 0)
 
     async def test_metrics_are_served(self):
-        await self.ask("GET", "/r/x")
+        await self.fetch("GET", "/r/x")
         text = (await self.node._status_server._serve_metrics(_Path("/metrics"))).text
         self.assertIn('requests_total{outcome="answered"', text)
         self.assertIn("request_ms", text)
@@ -188,26 +188,26 @@
         await super().asyncSetUp()
         await self.start_ready()
 
-    async def test_events_come_in_order(self):
-        status, headers, body = await self.ask("POST", "/s/x", headers=STREAM)
+    async def test_events_are_forwarded_in_order(self):
+        status, headers, body = await self.fetch("POST", "/s/x", headers=STREAM)
         self.assertEqual(status, 200)
         self.assertEqual(event_numbers(body), [1, 2, 3, 4])
         self.assertEqual(headers["Content-Type"], "text/event-stream")
 
-    async def test_a_cut_stream_goes_on_at_the_other_replica_without_a_seam(self):
-        """Symptom: a piece of an answer is missing or comes twice.
+    async def test_a_cut_stream_resumes_at_the_other_replica_without_a_gap(self):
+        """Symptom: a part of a response is missing or is sent twice.
 
-        A replica stops in the middle of an event; another goes on.
+        A replica stops in the middle of an event, and another one resumes the stream.
         """
-        await self.ask("POST", "/s/x", headers=STREAM)
-        home, other = sorted(self.engines, key=lambda engine: -len(engine.ran))
-        home.manners = [Manner.CUTS_STREAM]
-        _, _, body = await self.ask("POST", "/s/x", headers=STREAM)
+        await self.fetch("POST", "/s/x", headers=STREAM)
+        preferred, other = sorted(self.engines, key=lambda engine: -len(engine.ran))
+        preferred.manners = [Manner.CUTS_STREAM]
+        _, _, body = await self.fetch("POST", "/s/x", headers=STREAM)
         self.assertEqual(event_numbers(body), [1, 2, 3, 4])
         (resumed,) = other.ran
         self.assertEqual(resumed.headers["last-event-id"], "1")
 
-    async def test_a_stream_that_may_not_be_resumed_does_not_look_whole(self):
+    async def test_a_cut_stream_that_is_not_resumable_is_incomplete(self):
         self.operator.configuration["routes"][0]["resumable"] = False
         self.operator.configure()
         version = self.operator.configuration["version"]
@@ -215,11 +215,11 @@
         for engine in self.engines:
             engine.manners = [Manner.CUTS_STREAM]
         with self.assertRaises(aiohttp.ClientPayloadError):
-            await self.ask("POST", "/s/x", headers=STREAM)
-        self.assertEqual(self.runs(self.engines), 1)
+            await self.fetch("POST", "/s/x", headers=STREAM)
+        self.assertEqual(self.run_count(self.engines), 1)
 
-    async def test_a_caller_that_leaves_stops_the_work(self):
-        """Symptom: replicas work on answers that nobody waits for."""
+    async def test_the_replica_stops_when_a_caller_disconnects(self):
+        """Symptom: replicas work on responses for callers that have disconnected."""
         for engine in self.engines:
             engine._pause_s, engine._events = 0.02, 10_000
         async with self.request("POST", "/s/x", headers=STREAM) as response:
@@ -227,28 +227,28 @@
             response.close()
         await self.until(lambda: sum(e.left_early for e in self.engines) == 1)
 
-    async def test_a_caller_that_leaves_before_any_answer_stops_the_work(self):
+    async def test_the_replica_stops_when_a_caller_disconnects_early(self):
         self.operator.configuration["routes"][2]["timeout-ms"] = 600_000
         self.operator.configure()
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
         for replica in self.plain:
             replica.manners = [Manner.SILENT]
-        asking = asyncio.create_task(self.ask("POST", "/w/x", data=b"1"))
-        await self.until(lambda: self.runs(self.plain) == 1)
-        asking.cancel()
+        request = asyncio.create_task(self.fetch("POST", "/w/x", data=b"1"))
+        await self.until(lambda: self.run_count(self.plain) == 1)
+        request.cancel()
         await self.until(lambda: sum(r.left_early for r in self.plain) == 1)
 
-    async def test_weights_and_salt_are_named(self):
-        await self.ask("POST", "/s/x", headers=STREAM)
+    async def test_requests_have_headers_for_weights_and_salt(self):
+        await self.fetch("POST", "/s/x", headers=STREAM)
         (sent,) = self.engines[0].ran + self.engines[1].ran
         self.assertEqual(sent.headers["x-expect-version"], "1")
         self.assertEqual(sent.headers["x-cache-salt"], "m~1")
 
-    async def test_few_late_requests_wait_where_there_are_many_nodes(self):
-        """Symptom: in a burst late requests fill the queues of all replicas.
+    async def test_with_many_nodes_each_lets_few_late_requests_wait(self):
+        """Symptom: in a burst, late requests fill the queues of all replicas.
 
-        Each node let as many wait as if it were alone.
+        Each node let as many requests wait as if it were the only node.
         """
         for name in ("entry-2", "entry-3", "entry-4"):
             row = NodeRow("127.0.0.1", 1, "a", 100)
@@ -256,21 +256,21 @@
                 "fireflyward-nodes", f"node/{name}", msgspec.json.encode(row)
             )
         await self.until(lambda: len(self.node._peers.names()) == 4)
-        lane = self.node._forwarder._deps.late_limit
-        await self.until(lambda: lane._nodes == 4)
+        late_limit = self.node._forwarder._deps.late_limit
+        await self.until(lambda: late_limit._nodes == 4)
         self.assertEqual(
-            [lane.try_acquire("s", 16) for _ in range(3)], [True, True, False]
+            [late_limit.try_acquire("s", 16) for _ in range(3)], [True, True, False]
         )
 
-    async def test_the_lease_is_looked_at_as_its_duty_asks(self):
-        look_ms = self.node._lease._look_ms
+    async def test_the_weight_task_sets_the_poll_interval_of_its_lease(self):
+        poll_interval_ms = self.node._lease._look_ms
         self.node._weight_task.lease_poll_ms = lambda: 123.0
-        self.assertEqual(look_ms(), 123.0)
+        self.assertEqual(poll_interval_ms(), 123.0)
 
-    async def test_a_replica_that_starts_again_under_its_name_is_another_one(self):
-        """Symptom: a replica that crashed and came back gets nothing for seconds.
+    async def test_a_restarted_replica_is_a_new_incarnation(self):
+        """Symptom: a replica that crashed and restarted gets no requests for seconds.
 
-        Its entry changed in nothing but the time of its start.
+        Only the start time in its entry had changed.
         """
         engine = self.engines[0]
         state = self.node._directory.find(engine.incarnation)
@@ -281,19 +281,19 @@
         await self.until(lambda: find(engine.incarnation) is not state)
         self.assertFalse(find(engine.incarnation).is_suspect(0))
 
-    async def test_foreign_entries_name_no_replica_and_harm_no_other(self):
-        """Symptom: all nodes end, or requests go nowhere, after a stray write."""
+    async def test_malformed_entries_do_no_harm(self):
+        """Symptom: after a stray write all nodes exit, or requests are lost."""
         directory = self.node._directory
         gone = self.engines[0].incarnation
         for key, value in ((gone, b"{}"), ("x1", b"\xff"), ("x2", b'{"state": "up"}')):
             self.store.put("servers", key, value)
         await self.until(lambda: directory.find(gone) is None)
         self.assertEqual(len(directory), 3)
-        status, _, _ = await self.ask("GET", "/r/x")
+        status, _, _ = await self.fetch("GET", "/r/x")
         self.assertEqual(status, 200)
 
     async def test_new_weights_reach_every_replica(self):
-        """The leased task orders loads; requests then ask for the new version."""
+        """The lease holder orders the loads; then requests require the new version."""
         self.operator.name_weights("m", 2)
         await self.until(lambda: {e.version for e in self.engines} == {2})
         self.assertEqual({len(e.orders) for e in self.engines}, {1})
@@ -301,7 +301,7 @@
         first = Position(self.store.era, 1).number
         self.assertEqual({order["fence"] for order in orders}, {first})
         self.assertEqual({order["holder"] for order in orders}, {"entry-1"})
-        status, _, _ = await self.ask("POST", "/s/x", headers=STREAM)
+        status, _, _ = await self.fetch("POST", "/s/x", headers=STREAM)
         self.assertEqual(status, 200)
         sent = (self.engines[0].ran + self.engines[1].ran)[-1]
         self.assertEqual(sent.headers["x-cache-salt"], "m~2")
--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Failure domains whose replicas are to get nothing, over sockets."""
+"""Evacuated failure domains, whose replicas get no requests; over sockets."""
 
 import asyncio
 from types import SimpleNamespace
@@ -30,59 +30,61 @@
         await self.until(lambda: self.evacuated == frozenset(domains))
 
     async def assert_used(self, replica, *, full):
-        """Check that a replica serves what another one has no room for."""
+        """Check that a replica serves requests while another one is full."""
         full.manners = [Manner.FULL]
-        self.assertEqual(await self.ask_often(), {200})
-        self.assertGreater(self.runs([replica]), 0)
+        self.assertEqual(await self.fetch_repeatedly(), {200})
+        self.assertGreater(self.run_count([replica]), 0)
 
-    async def ask_often(self, method="GET", path="/r/x", **options):
-        """Return the statuses of several requests."""
-        asked = [await self.ask(method, path, **options) for _ in range(12)]
-        return {status for status, _, _ in asked}
+    async def fetch_repeatedly(self, method="GET", path="/r/x", **options):
+        """Send several requests; return the statuses of the responses."""
+        responses = [await self.fetch(method, path, **options) for _ in range(12)]
+        return {status for status, _, _ in responses}
 
-    async def test_an_evacuated_domain_gets_nothing_until_it_is_taken_back(self):
-        """Symptom: requests went on reaching a failure domain that was being cleared.
+    async def test_an_evacuated_domain_gets_no_requests_until_it_is_restored(self):
+        """Symptom: requests still reached a failure domain that was being evacuated.
 
         The operator writes a row for the domain. No node read such rows, so its
-        replicas were chosen as before, and what ran there was lost with them.
+        replicas were chosen as before, and the requests there were lost with them.
         """
         await self.start_ready()
         await self.evacuate("b")
-        self.assertEqual(await self.ask_often(), {200})
-        self.assertEqual(await self.ask_often("POST", "/w/x", data=b"1"), {200})
-        self.assertEqual(await self.ask_often("POST", "/s/x", headers=STREAM), {200})
-        self.assertEqual(self.runs([self.plain[1], self.engines[1]]), 0)
+        self.assertEqual(await self.fetch_repeatedly(), {200})
+        self.assertEqual(await self.fetch_repeatedly("POST", "/w/x", data=b"1"), {200})
+        self.assertEqual(
+            await self.fetch_repeatedly("POST", "/s/x", headers=STREAM), {200}
+        )
+        self.assertEqual(self.run_count([self.plain[1], self.engines[1]]), 0)
         self.operator.take_back_evacuation("b")
         await self.until(lambda: not self.evacuated)
         await self.assert_used(self.plain[1], full=self.plain[0])
 
-    async def test_a_second_send_does_not_go_there_either(self):
+    async def test_a_retry_is_not_sent_to_an_evacuated_domain(self):
         """Symptom: only retries reached the evacuated failure domain.
 
-        The one replica that is left fails; a second send is due and the other
-        replica is the only one that has not been tried.
+        The one remaining replica fails. A retry follows, and the replica in the
+        evacuated domain is the only one that has not been tried.
         """
         await self.start_ready()
         await self.evacuate("b")
         self.plain[0].manners = [Manner.RESETS]
-        await self.ask("GET", "/r/x")
-        self.assertEqual(self.runs(self.plain[1:]), 0)
+        await self.fetch("GET", "/r/x")
+        self.assertEqual(self.run_count(self.plain[1:]), 0)
 
-    async def test_a_stream_that_broke_off_does_not_resume_there(self):
-        """Symptom: streams that a replica cut went on in the evacuated domain."""
+    async def test_a_broken_stream_does_not_resume_in_an_evacuated_domain(self):
+        """Symptom: streams that a replica cut resumed in the evacuated domain."""
         await self.start_ready()
         await self.evacuate("b")
         self.engines[0].manners = [Manner.CUTS_STREAM] * 3
         async with asyncio.timeout(5):
             try:
-                await self.ask("POST", "/s/x", headers=STREAM)
+                await self.fetch("POST", "/s/x", headers=STREAM)
             except OSError:
                 pass
             except Exception as error:
                 self.assertEqual(type(error).__name__, "ClientPayloadError")
-        self.assertEqual(self.runs(self.engines[1:]), 0)
+        self.assertEqual(self.run_count(self.engines[1:]), 0)
 
-    async def test_a_run_that_has_begun_there_ends_by_itself(self):
+    async def test_a_stream_in_flight_in_an_evacuated_domain_completes(self):
         """Symptom: callers lost streams that the evacuated domain was still serving."""
         await self.start_ready()
         await self.evacuate("a")
@@ -94,39 +96,39 @@
             rest = await response.read()
         self.assertIn(b"id: 4", rest)
 
-    async def test_with_all_domains_evacuated_callers_are_refused_at_once(self):
-        """Symptom: callers waited for their deadline though nothing may be sent."""
+    async def test_with_all_domains_evacuated_requests_are_rejected_at_once(self):
+        """Symptom: callers waited for their deadline, but no replica was usable."""
         await self.start_ready()
         await self.evacuate("a", "b")
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
             async with asyncio.timeout(1):
-                status, headers, _ = await self.ask(method, path)
+                status, headers, _ = await self.fetch(method, path)
             self.assertEqual(status, 503)
             self.assertGreater(float(headers["Retry-After"]), 0)
-        self.assertEqual(self.runs(self.plain), 0)
+        self.assertEqual(self.run_count(self.plain), 0)
 
     async def test_a_node_that_starts_knows_before_it_serves(self):
         """Symptom: for its first moments a restarted node used an evacuated domain."""
         self.operator.evacuate("b")
         await self.start_ready()
         self.plain[0].manners = [Manner.FULL] * 40
-        self.assertEqual(await self.ask_often(), {503})
-        self.assertEqual(self.runs(self.plain[1:]), 0)
+        self.assertEqual(await self.fetch_repeatedly(), {503})
+        self.assertEqual(self.run_count(self.plain[1:]), 0)
 
-    async def test_it_holds_while_the_store_is_away(self):
-        """Symptom: the store went away and the evacuated domain was used again."""
+    async def test_an_evacuation_stays_in_force_without_the_store(self):
+        """Symptom: the evacuated domain was used while the store was unavailable."""
         await self.start_ready()
         await self.evacuate("b")
         self.store.manner = StoreManner.BUSY
         await asyncio.sleep(0.3)
-        self.assertEqual(await self.ask_often("POST", "/w/x", data=b"1"), {200})
-        self.assertEqual(self.runs(self.plain[1:]), 0)
+        self.assertEqual(await self.fetch_repeatedly("POST", "/w/x", data=b"1"), {200})
+        self.assertEqual(self.run_count(self.plain[1:]), 0)
 
-    async def test_taken_back_while_the_store_forgets_its_history(self):
-        """Symptom: a domain stayed evacuated for good.
+    async def test_an_evacuation_withdrawn_in_a_lost_history_ends(self):
+        """Symptom: a domain stayed evacuated permanently.
 
-        The row was removed while the node could not follow, and the store dropped
-        its history: the removal came as a whole table without the row.
+        The row was removed while the node could not follow the table, and the store
+        dropped its history. The node then read a snapshot without the row.
         """
         await self.start_ready()
         await self.evacuate("b")
@@ -134,8 +136,8 @@
         self.operator.take_back_evacuation("b")
         await self.until(lambda: not self.evacuated)
 
-    async def test_rows_that_name_no_known_domain_harm_nothing(self):
-        """Symptom: a node that could not read one row of the operator's stopped."""
+    async def test_rows_without_a_known_domain_do_no_harm(self):
+        """Symptom: a node exited because it could not decode a row of the operator."""
         await self.start_ready()
         with self.assertLogs("fireflyward.views", "ERROR") as logged:
             self.operator.evacuate("b", b"\xff[")
@@ -145,7 +147,7 @@
         self.assertEqual(len(logged.records), 3)
         await self.assert_used(self.plain[1], full=self.plain[0])
 
-    async def test_the_metrics_tell_of_it(self):
+    async def test_the_metrics_count_evacuated_domains(self):
         await self.start_ready()
         await self.evacuate("b")
         request = SimpleNamespace(path="/metrics")
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -1,4 +1,4 @@
-"""How the table of nodes is read: in its pace, and without delay when wanted."""
+"""The table of nodes is read at its pace, and without delay on request."""
 
 import asyncio
 import types
@@ -16,22 +16,22 @@
 
 
 class _Tables:
-    """Answers at once, and counts what it is asked."""
+    """Responds at once, and counts the calls."""
 
     def __init__(self):
-        self.asked = 0
-        self.rows_to_tell = ()
+        self.call_count = 0
+        self.next_rows = ()
 
     def kept(self, table, on_news, *, old_ms=None):
         return on_news
 
     async def rows(self, table, *, part="", limit_ms=1_000):
-        self.asked += 1
-        return Snapshot(self.rows_to_tell, at(1))
+        self.call_count += 1
+        return Snapshot(self.next_rows, at(1))
 
     async def changes(self, table, *, after, wait_ms, limit_ms):
-        self.asked += 1
-        return Changes(self.rows_to_tell, after)
+        self.call_count += 1
+        return Changes(self.next_rows, after)
 
 
 class _Register(NodeRegistry):
@@ -43,7 +43,7 @@
 
 class JoiningTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.clock, self.tables, self.heard = ManualClock(0), _Tables(), []
+        self.clock, self.tables, self.updates = ManualClock(0), _Tables(), []
         settings = types.SimpleNamespace(
             node="n1",
             failure_domain="a",
@@ -58,7 +58,7 @@
             tables=self.tables,
             aggregators=Aggregators("n1", "a", link_mbps=100),
             on_nodes=lambda names: None,
-            on_rows=self.heard.append,
+            on_rows=self.updates.append,
             on_link=lambda link: lambda: None,
         )
         self.running = asyncio.create_task(self.joining.run())
@@ -70,41 +70,42 @@
         if self.joining.link is not None:
             await self.joining.link.stop()
 
-    async def test_a_look_that_is_wanted_soon_waits_for_no_pause(self):
-        """Symptom: a node that is cut off from its peers ends replica after replica.
+    async def test_a_requested_poll_skips_the_pause(self):
+        """Symptom: a node without a connection to its peers crashes several replicas.
 
-        It read what they had written seconds after it had seen an end itself.
+        It had observed a crash itself, but read what its peers had written about the
+        same request only seconds later.
         """
-        before = self.tables.asked
+        before = self.tables.call_count
         await self.clock.advance_ms(10)
-        self.assertEqual(self.tables.asked, before)
+        self.assertEqual(self.tables.call_count, before)
         self.joining.poll_soon()
         await self.clock.advance_ms(10)
-        self.assertEqual(self.tables.asked, before + 1)
+        self.assertEqual(self.tables.call_count, before + 1)
 
-    async def test_one_look_is_one(self):
+    async def test_a_requested_poll_happens_once(self):
         self.joining.poll_soon()
         await self.clock.advance_ms(10)
-        before = self.tables.asked
+        before = self.tables.call_count
         await self.clock.advance_ms(10)
-        self.assertEqual(self.tables.asked, before)
+        self.assertEqual(self.tables.call_count, before)
 
-    async def test_other_rows_of_the_table_are_passed_on(self):
+    async def test_other_rows_of_the_table_are_forwarded(self):
         row = TableRow("suspect/a", b"{}", at(5))
-        self.tables.rows_to_tell = (row,)
+        self.tables.next_rows = (row,)
         self.joining.poll_soon()
         await self.clock.advance_ms(10)
-        self.assertEqual(self.heard[-1].rows, (row,))
+        self.assertEqual(self.updates[-1].rows, (row,))
 
     async def read_key(self, key, version):
-        self.tables.rows_to_tell = (TableRow("key", key, at(version)),)
+        self.tables.next_rows = (TableRow("key", key, at(version)),)
         self.joining.poll_soon()
         for _ in range(5):
             await asyncio.sleep(0.01)
             await self.clock.advance_ms(10)
 
-    async def test_a_key_that_replaced_another_is_spoken_with(self):
-        """Guards against a node that is heard by nobody after a drill."""
+    async def test_a_key_that_replaced_another_seals_messages(self):
+        """Guards against messages that no other node accepts after a restore."""
         for version, key in enumerate((b"o" * 32, b"n" * 32), start=5):
             await self.read_key(key, version)
             sealed = self.joining._codec.seal(_ENVELOPE)
--- a/tests/fleet/test_leaving_replicas.py
+++ b/tests/fleet/test_leaving_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that say in their answers that they leave, over sockets."""
+"""Replicas that announce in responses that they are leaving; over sockets."""
 
 import asyncio
 import contextlib
@@ -12,8 +12,8 @@
 LEAVING = ("Server-Leaving", "1")
 
 
-class LeavingTests(FleetTestCase):
-    """Three nodes; the list of replicas says of none that it leaves."""
+class LeavingReplicaTests(FleetTestCase):
+    """Three nodes; the list of replicas doesn't show that a replica is leaving."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -21,105 +21,105 @@
         await self.start_nodes()
         self.leaving, self.other = self.plain
 
-    async def ask_until_told(self):
-        """Have a node pass on an answer that says so."""
+    async def fetch_until_notified(self):
+        """Let one node get a response with the announcement."""
         self.leaving.notices = [LEAVING]
-        await self.ask_until(lambda: self.leaving.ran)
+        await self.fetch_until(lambda: self.leaving.ran)
 
-    async def test_nothing_is_sent_to_a_replica_that_said_that_it_leaves(self):
-        """Guards against waiting for the list, which is behind while the store is."""
-        await self.ask_until_told()
-        before = self.runs([self.leaving])
+    async def test_a_leaving_replica_gets_no_requests(self):
+        """Guards against waiting for the list, which lags when the store does."""
+        await self.fetch_until_notified()
+        before = self.run_count([self.leaving])
         for _ in range(20):
-            status, _, _ = await self.ask("GET", "/r/x")
+            status, _, _ = await self.fetch("GET", "/r/x")
             self.assertEqual(status, 200)
-        self.assertEqual(self.runs([self.leaving]), before)
+        self.assertEqual(self.run_count([self.leaving]), before)
 
-    async def until_known(self, nodes):
-        def knows(node):
+    async def until_known_as_leaving(self, nodes):
+        def is_known(node):
             state = node._directory.find("p-1")
             return state is not None and state.is_leaving
 
-        await self.until(lambda: all(map(knows, nodes)))
+        await self.until(lambda: all(map(is_known, nodes)))
 
-    async def ask_all_nodes(self, method="GET", path="/r/x", **options):
-        """Ask each node a few times; return the statuses."""
+    async def fetch_from_all_nodes(self, method="GET", path="/r/x", **options):
+        """Send a few requests to each node; return the statuses of the responses."""
         statuses = set()
         for number in range(12):
             node = self.nodes[number % len(self.nodes)]
-            status, _, _ = await self.ask(method, path, node=node, **options)
+            status, _, _ = await self.fetch(method, path, node=node, **options)
             statuses.add(status)
         return statuses
 
-    async def test_nodes_that_got_no_such_answer_know_of_it(self):
-        await self.ask_until_told()
-        await self.until_known(self.nodes)
-        before = self.runs([self.leaving])
-        self.assertEqual(await self.ask_all_nodes(), {200})
-        self.assertEqual(self.runs([self.leaving]), before)
-
-    async def test_a_node_that_starts_while_the_list_is_behind_knows_of_it(self):
-        """Guards against a restart that forgets who leaves."""
-        await self.ask_until_told()
-        late = await self.start_another("entry-4")
-        await self.until_known([late])
-
-    async def test_an_entry_that_does_not_say_so_changes_nothing(self):
-        """Guards against a list that is behind and takes the replica back."""
-        await self.ask_until_told()
-        await self.until_known(self.nodes)
-        before = self.runs([self.leaving])
+    async def test_nodes_without_such_a_response_know_of_it(self):
+        await self.fetch_until_notified()
+        await self.until_known_as_leaving(self.nodes)
+        before = self.run_count([self.leaving])
+        self.assertEqual(await self.fetch_from_all_nodes(), {200})
+        self.assertEqual(self.run_count([self.leaving]), before)
+
+    async def test_a_node_that_starts_while_the_list_lags_knows_of_it(self):
+        """Guards against a restarted node that uses a leaving replica."""
+        await self.fetch_until_notified()
+        late = await self.start_additional_node("entry-4")
+        await self.until_known_as_leaving([late])
+
+    async def test_an_entry_that_does_not_show_it_changes_nothing(self):
+        """Guards against a lagging list that makes the replica usable again."""
+        await self.fetch_until_notified()
+        await self.until_known_as_leaving(self.nodes)
+        before = self.run_count([self.leaving])
         entry = self.leaving.entry("plain")
         self.store.put("servers", "p-1", entry.replace(b'"v1"', b'"v2"'))
         await asyncio.sleep(0.3)
-        self.assertEqual(await self.ask_all_nodes(), {200})
-        self.assertEqual(self.runs([self.leaving]), before)
+        self.assertEqual(await self.fetch_from_all_nodes(), {200})
+        self.assertEqual(self.run_count([self.leaving]), before)
 
-    async def test_it_holds_while_the_store_is_away(self):
+    async def test_it_applies_while_the_store_is_unavailable(self):
         self.store.manner = StoreManner.BUSY
-        await self.ask_until_told()
-        await self.until_known(self.nodes)
-        before = self.runs([self.leaving])
-        self.assertEqual(await self.ask_all_nodes("POST", "/w/x"), {200})
-        self.assertEqual(self.runs([self.leaving]), before)
-
-    async def test_second_sends_do_not_go_there(self):
-        """Guards against retries that reach the one replica not tried yet."""
-        await self.ask_until_told()
-        await self.until_known(self.nodes)
-        before = self.runs([self.leaving])
+        await self.fetch_until_notified()
+        await self.until_known_as_leaving(self.nodes)
+        before = self.run_count([self.leaving])
+        self.assertEqual(await self.fetch_from_all_nodes("POST", "/w/x"), {200})
+        self.assertEqual(self.run_count([self.leaving]), before)
+
+    async def test_retries_are_not_sent_to_a_leaving_replica(self):
+        """Guards against retries at the only replica that has not been tried."""
+        await self.fetch_until_notified()
+        await self.until_known_as_leaving(self.nodes)
+        before = self.run_count([self.leaving])
         self.other.manners = [Manner.FAILS] * 40
-        await self.ask_all_nodes()
-        self.assertEqual(self.runs([self.leaving]), before)
+        await self.fetch_from_all_nodes()
+        self.assertEqual(self.run_count([self.leaving]), before)
 
-    async def test_a_stream_that_broke_off_does_not_resume_there(self):
-        await self.ask("POST", "/s/x", headers=STREAM)
+    async def test_a_broken_stream_does_not_resume_at_a_leaving_replica(self):
+        await self.fetch("POST", "/s/x", headers=STREAM)
         leaving, other = sorted(self.engines, key=lambda engine: not engine.ran)
         leaving.notices = [LEAVING]
-        await self.ask("POST", "/s/x", headers=STREAM)
-        before = self.runs([leaving])
+        await self.fetch("POST", "/s/x", headers=STREAM)
+        before = self.run_count([leaving])
         other.manners = [Manner.CUTS_STREAM] * 10
         with contextlib.suppress(aiohttp.ClientPayloadError):
-            await self.ask("POST", "/s/x", headers=STREAM)
-        self.assertEqual(self.runs([leaving]), before)
-        self.assertEqual(self.runs([other]), 1)
+            await self.fetch("POST", "/s/x", headers=STREAM)
+        self.assertEqual(self.run_count([leaving]), before)
+        self.assertEqual(self.run_count([other]), 1)
 
-    async def test_with_all_replicas_leaving_callers_are_refused_at_once(self):
+    async def test_with_all_replicas_leaving_requests_are_rejected_at_once(self):
         self.other.notices = [LEAVING]
-        await self.ask_until_told()
-        await self.ask_until(lambda: self.other.ran)
-        ran = self.runs(self.plain)
+        await self.fetch_until_notified()
+        await self.fetch_until(lambda: self.other.ran)
+        ran = self.run_count(self.plain)
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
             async with asyncio.timeout(10):
-                status, headers, _ = await self.ask(method, path)
+                status, headers, _ = await self.fetch(method, path)
             self.assertEqual(status, 503)
             self.assertGreater(float(headers["Retry-After"]), 0)
-        self.assertEqual(self.runs(self.plain), ran)
+        self.assertEqual(self.run_count(self.plain), ran)
 
-    async def test_another_start_under_the_same_name_is_used(self):
-        """Guards against a replica that is left out for good."""
-        await self.ask_until_told()
+    async def test_a_new_incarnation_with_the_same_name_is_used(self):
+        """Guards against a replica that is never used again."""
+        await self.fetch_until_notified()
         self.leaving.start_again()
         self.leaving.notices = []
         self.store.put("servers", "p-1", self.leaving.entry("plain"))
-        await self.ask_until(lambda: self.leaving.ran)
+        await self.fetch_until(lambda: self.leaving.ran)
--- a/tests/fleet/test_light_imports.py
+++ b/tests/fleet/test_light_imports.py
@@ -1,4 +1,4 @@
-"""What a node loads before it serves."""
+"""The modules and certificate authorities that a node loads at its start."""
 
 import subprocess
 import sys
@@ -17,16 +17,16 @@
 
 class LightImportsTests(unittest.TestCase):
     def setUp(self):
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-c", _LOADED], capture_output=True, text=True, check=True
         )
-        modules, self.authorities = done.stdout.splitlines()
+        modules, self.authorities = process.stdout.splitlines()
         self.modules = set(modules.split())
 
-    def test_a_node_loads_neither_parsers_of_definitions_nor_clients(self):
-        """Symptom: 195 nodes take 16 s to be ready after a loss of power.
+    def test_a_node_loads_neither_thrift_parsers_nor_unused_clients(self):
+        """Symptom: 195 nodes needed 16 s to be ready after a loss of power.
 
-        Each start parsed the Thrift definitions, read the VM's certificate
+        At its start each node parsed the Thrift definitions, read the VM's certificate
         authorities and imported clients that no node of a fleet uses.
         """
         unused = {
--- a/tests/fleet/test_logs.py
+++ b/tests/fleet/test_logs.py
@@ -1,4 +1,4 @@
-"""Structured lines: what stands in them, and their bounded volume."""
+"""Structured log lines: their content and their limited volume."""
 
 import logging
 import os
@@ -10,7 +10,7 @@
 from fireflyward.fleet._logs import LineHandler
 
 
-class LineTests(unittest.TestCase):
+class LineHandlerTests(unittest.TestCase):
     def setUp(self):
         self.reading, writing = os.pipe()
         self.clock = ManualClock(5_000)
@@ -27,7 +27,7 @@
         text = os.read(self.reading, 1 << 20)
         return [msgspec.json.decode(line) for line in text.splitlines()]
 
-    def test_part_message_and_fields(self):
+    def test_a_line_has_part_message_and_fields(self):
         fields = {"request": "r1", "detail": "", "took_ms": 0}
         self.logger.info("callers: %s", "answered", extra={"fields": fields})
         (line,) = self.lines()
@@ -36,7 +36,7 @@
         self.assertNotIn("detail", line)
         self.assertEqual(line["ms"], 5_000)
 
-    def test_what_is_over_the_limit_is_counted_and_warnings_pass(self):
+    def test_lines_above_the_limit_are_counted_except_warnings(self):
         for number in range(100):
             self.logger.info("x: %d", number)
         self.logger.warning("x: last")
@@ -45,10 +45,10 @@
         self.assertEqual(lines[-1]["message"], "last")
         self.assertEqual(lines[-1]["dropped_before"], 100 - (len(lines) - 1))
 
-    def test_a_reader_that_is_slow_holds_nothing_up(self):
-        """Symptom: requests wait while nobody reads the log.
+    def test_a_slow_reader_does_not_block_the_process(self):
+        """Symptom: requests wait while no process reads the log.
 
-        The pipe is full, and a write that waits stops the event loop.
+        The pipe is full, and a blocking write stops the event loop.
         """
         for _ in range(200):
             self.clock._now_ms += 1_000
--- a/tests/fleet/test_paces.py
+++ b/tests/fleet/test_paces.py
@@ -1,4 +1,4 @@
-"""How often tables are read, against what deployments allow."""
+"""The paces at which tables are read, compared with the deployments' bounds."""
 
 import unittest
 
@@ -7,17 +7,17 @@
 
 
 class PaceTests(unittest.TestCase):
-    def test_an_aggregator_reads_more_often_than_its_neighbours_ask(self):
+    def test_an_aggregator_polls_more_often_than_its_neighbours(self):
         own = configuration_pace(is_shared=True, is_for_others=True)
         theirs = configuration_pace(is_shared=True, is_for_others=False)
         self.assertLess(own.wait_ms, theirs.wait_ms)
 
-    def test_one_lost_answer_on_the_way_leaves_time_within_the_drain_time(self):
-        """Symptom: a replica gets requests after it said that it is leaving.
+    def test_one_lost_response_still_fits_into_the_drain_time(self):
+        """Symptom: a replica gets requests after it has announced that it is leaving.
 
-        Its word ends the wait at the root, at the aggregator and at the node, and
-        each adds its pause. On one of the three a connection has gone silent, so
-        that its wait and the feed's slack pass first.
+        The announcement ends the wait at the root, at the aggregator and at the node,
+        and each adds its pause. At one of the three a connection has become silent,
+        so its wait and the feed's limit for a call's overhead pass first.
         """
         for drain_ms in (2_000, 3_000, 4_000):
             for is_shared, is_for_others in ((True, True), (True, False)):
--- a/tests/fleet/test_random_restores.py
+++ b/tests/fleet/test_random_restores.py
@@ -1,4 +1,4 @@
-"""Drills at random moments among what operators and replicas say, over sockets.
+"""Restores of the store at random times between operators' and replicas' writes.
 
 More seeds by hand: ``python -m tests.fleet.test_random_restores 20``.
 """
@@ -15,16 +15,16 @@
 from .node_fixtures import FleetTestCase
 
 _STEPS = 14
-# Operators write again at once here.
-_CARRIED_MS = 1_500
+# In this test operators write their lost rows again at once.
+_RETENTION_MS = 1_500
 _KEYS = [f"key-{number}" for number in range(1, 6)]
-# Seeds that CI plays. 2: an evacuation that was taken back just before and again just
-# after a drill held for good, since no row told of it.
+# The seeds that CI runs. With seed 2, an evacuation that was withdrawn just before and
+# again just after a restore stayed in force permanently, since no row showed it.
 _SEEDS = (1, 2)
 
 
-class _Play:
-    """Draws what happens to three nodes, and checks that nothing said is undone."""
+class _RandomRun:
+    """Chooses random events for three nodes, and checks that none is reverted."""
 
     def __init__(self, case, seed):
         self.case = case
@@ -33,7 +33,7 @@
         self.leaving = set()
         self.is_evacuated = False
         self.weights = 1
-        self.seen, self.known_leaving = {}, {}
+        self.seen, self.leaving_by_node = {}, {}
 
     @property
     def nodes(self):
@@ -47,22 +47,22 @@
             self.evacuate,
             self.name_weights,
             self.configure,
-            self.drill,
-            self.drill,
-            self.drill,
+            self.restore_store,
+            self.restore_store,
+            self.restore_store,
         )
         for _ in range(_STEPS):
             self.random.choice(steps)()
-            # Most steps are not known everywhere yet when the next one comes.
+            # Most steps have not reached all nodes before the next one.
             await asyncio.sleep(self.random.choice((0.0, 0.05, 0.3)))
-            self.check_nothing_is_undone()
+            self.check_nothing_is_reverted()
         self.case.store.manner = StoreManner.WELL
         self.case.store.write_again()
         self.configure()
-        await self.case.until(self.all_know_everything)
-        # What was held for want of a row has been let go by then.
-        await asyncio.sleep(2 * _CARRIED_MS / 1_000)
-        self.case.assertTrue(self.all_know_everything())
+        await self.case.until(self.is_all_applied)
+        # State that was retained without a row has expired after this wait.
+        await asyncio.sleep(2 * _RETENTION_MS / 1_000)
+        self.case.assertTrue(self.is_all_applied())
         await self.check_keys()
 
     def configure(self):
@@ -75,10 +75,12 @@
         self.configure()
 
     def leave(self):
-        left = [one for one in self.case.plain if one.incarnation not in self.leaving]
-        if len(left) < 2:
+        staying = [
+            one for one in self.case.plain if one.incarnation not in self.leaving
+        ]
+        if len(staying) < 2:
             return
-        replica = self.random.choice(left)
+        replica = self.random.choice(staying)
         self.leaving.add(replica.incarnation)
         entry = json.loads(replica.entry("plain")) | {"state": "draining"}
         value = json.dumps(entry).encode()
@@ -95,41 +97,41 @@
         self.weights += 1
         self.case.operator.name_weights("m", self.weights)
 
-    def drill(self):
+    def restore_store(self):
         store = self.case.store
         manners = (StoreManner.WELL, StoreManner.BUSY, StoreManner.LOSES_ANSWERS)
         store.manner = self.random.choice(manners)
-        # Operators write again before they write anything else.
+        # Operators write their lost rows again before they write new ones.
         store.write_again()
         store.come_back_from_before(self.random.randrange(40), written_again=True)
 
-    def check_nothing_is_undone(self):
+    def check_nothing_is_reverted(self):
         for node in self.nodes:
             version = node._routes.version
             self.case.assertGreaterEqual(version, self.seen.get(node, 0))
             self.seen[node] = version
-            for name in self.known_leaving.setdefault(node, set()):
+            for name in self.leaving_by_node.setdefault(node, set()):
                 state = node._directory.find(name)
                 self.case.assertTrue(state is None or state.is_leaving, name)
-            self.known_leaving[node] |= {
+            self.leaving_by_node[node] |= {
                 state.entry.incarnation
                 for state in node._directory.all()
                 if state.is_leaving
             }
 
-    def all_know_everything(self):
+    def is_all_applied(self):
         version = self.case.operator.configuration["version"]
         evacuated = {"b"} if self.is_evacuated else set()
         return all(
             node._routes.version == version
             and node._directory.evacuated == evacuated
             and node._weights.targets().get("m", 1) == self.weights
-            and self.leaves_at(node) == self.leaving
+            and self.leaving_replicas_of(node) == self.leaving
             and node.is_ready
             for node in self.nodes
         ) and all(engine.version == self.weights for engine in self.case.engines)
 
-    def leaves_at(self, node):
+    def leaving_replicas_of(self, node):
         states = (node._directory.find(one.incarnation) for one in self.case.plain)
         return {state.entry.incarnation for state in states if state.is_leaving}
 
@@ -137,7 +139,7 @@
         for key in _KEYS:
             headers = {"Authorization": f"Bearer {key}"}
             for node in self.nodes:
-                status, _, _ = await self.case.ask(
+                status, _, _ = await self.case.fetch(
                     "GET", "/r/x", headers=headers, node=node
                 )
                 self.case.assertEqual(status == 200, key in self.keys, (key, status))
@@ -150,36 +152,36 @@
             self.case.assertEqual(len(holders), len(set(tokens)))
 
 
-class RandomDrillTests(FleetTestCase):
+class RandomRestoreTests(FleetTestCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
         for module in ("fireflyward.fleet._views", "fireflyward.feeds._copy"):
-            patched = mock.patch(f"{module}.CARRIED_MS", _CARRIED_MS)
+            patched = mock.patch(f"{module}.CARRIED_MS", _RETENTION_MS)
             patched.start()
             self.addCleanup(patched.stop)
 
-    async def play(self, seed):
+    async def run_seed(self, seed):
         self.set_timeouts_ms(60_000)
         await self.start_nodes()
-        play = _Play(self, seed)
-        await play.run()
-        await play.check_orders()
+        random_run = _RandomRun(self, seed)
+        await random_run.run()
+        await random_run.check_orders()
 
 
-def _test_of(seed):
+def _make_test(seed):
     async def test(self):
-        await self.play(seed)
+        await self.run_seed(seed)
 
     return test
 
 
 for _seed in _SEEDS:
-    setattr(RandomDrillTests, f"test_seed_{_seed}", _test_of(_seed))
+    setattr(RandomRestoreTests, f"test_seed_{_seed}", _make_test(_seed))
 
 
 if __name__ == "__main__":
     for _seed in range(int(sys.argv[1])):
         name = f"test_seed_{10_000 + _seed}"
-        setattr(RandomDrillTests, name, _test_of(10_000 + _seed))
+        setattr(RandomRestoreTests, name, _make_test(10_000 + _seed))
     del sys.argv[1:]
     unittest.main()
--- a/tests/fleet/test_replica_backoff.py
+++ b/tests/fleet/test_replica_backoff.py
@@ -1,4 +1,4 @@
-"""Replicas that turn requests away and ask for rest, over sockets."""
+"""Replicas that reject requests and request a backoff; over sockets."""
 
 import asyncio
 import contextlib
@@ -10,84 +10,84 @@
 from .node_fixtures import STREAM, NodeTestCase
 
 
-class RestTests(NodeTestCase):
+class BackoffTests(NodeTestCase):
     """One node and two plain replicas."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.set_timeouts_ms(60_000)
         await self.start_ready()
-        self.resting, self.other = self.plain
+        self.backing_off, self.other = self.plain
 
-    async def ask_until_turned_away(self, replica):
+    async def fetch_until_rejected(self, replica):
         replica.manners = [Manner.RESTS]
-        await self.ask_until(lambda: not replica.manners)
+        await self.fetch_until(lambda: not replica.manners)
 
-    async def test_nothing_is_sent_to_a_replica_that_rests(self):
-        """Guards against a pause of our own choice in place of the one asked for."""
-        self.resting.rest = "30"
-        await self.ask_until_turned_away(self.resting)
-        before = self.runs([self.resting])
+    async def test_a_replica_gets_no_requests_during_its_backoff(self):
+        """Guards against a pause other than the one that the replica requested."""
+        self.backing_off.rest = "30"
+        await self.fetch_until_rejected(self.backing_off)
+        before = self.run_count([self.backing_off])
         await asyncio.sleep(0.2)
-        asked = [self.ask("GET", "/r/x") for _ in range(20)]
-        statuses = {status for status, _, _ in await asyncio.gather(*asked)}
+        requests = [self.fetch("GET", "/r/x") for _ in range(20)]
+        statuses = {status for status, _, _ in await asyncio.gather(*requests)}
         self.assertEqual(statuses, {200})
-        self.assertEqual(self.runs([self.resting]), before)
+        self.assertEqual(self.run_count([self.backing_off]), before)
 
-    async def test_it_is_used_again_afterwards(self):
-        """Guards against a replica that rests for good."""
-        self.resting.rest = "0.4"
-        await self.ask_until_turned_away(self.resting)
-        await self.ask_until(lambda: self.resting.ran)
-        refused, first = self.resting.requests[-2:]
-        self.assertGreaterEqual(first.arrived_s - refused.arrived_s, 0.39)
+    async def test_a_replica_is_used_again_after_its_backoff(self):
+        """Guards against a replica that is never used again."""
+        self.backing_off.rest = "0.4"
+        await self.fetch_until_rejected(self.backing_off)
+        await self.fetch_until(lambda: self.backing_off.ran)
+        rejected, first = self.backing_off.requests[-2:]
+        self.assertGreaterEqual(first.arrived_s - rejected.arrived_s, 0.39)
 
-    async def test_second_sends_do_not_go_there(self):
-        """Guards against retries that reach the one replica not tried yet."""
-        self.resting.rest = "30"
-        await self.ask_until_turned_away(self.resting)
-        before = len(self.resting.requests)
+    async def test_retries_are_not_sent_there_during_the_backoff(self):
+        """Guards against retries at the only replica that has not been tried."""
+        self.backing_off.rest = "30"
+        await self.fetch_until_rejected(self.backing_off)
+        before = len(self.backing_off.requests)
         self.other.manners = [Manner.FAILS] * 20
         for _ in range(10):
-            await self.ask("GET", "/r/x")
-        self.assertEqual(len(self.resting.requests), before)
+            await self.fetch("GET", "/r/x")
+        self.assertEqual(len(self.backing_off.requests), before)
 
-    async def test_a_stream_that_broke_off_does_not_resume_there(self):
-        await self.ask("POST", "/s/x", headers=STREAM)
-        resting, other = sorted(self.engines, key=lambda engine: not engine.ran)
-        resting.rest, resting.manners = "30", [Manner.RESTS]
-        await self.ask("POST", "/s/x", headers=STREAM)
-        self.assertEqual(resting.manners, [])
-        before = self.runs([resting])
+    async def test_a_broken_stream_does_not_resume_there(self):
+        await self.fetch("POST", "/s/x", headers=STREAM)
+        backing_off, other = sorted(self.engines, key=lambda engine: not engine.ran)
+        backing_off.rest, backing_off.manners = "30", [Manner.RESTS]
+        await self.fetch("POST", "/s/x", headers=STREAM)
+        self.assertEqual(backing_off.manners, [])
+        before = self.run_count([backing_off])
         other.manners = [Manner.CUTS_STREAM] * 10
         with contextlib.suppress(aiohttp.ClientPayloadError):
-            await self.ask("POST", "/s/x", headers=STREAM)
-        self.assertEqual(self.runs([resting]), before)
+            await self.fetch("POST", "/s/x", headers=STREAM)
+        self.assertEqual(self.run_count([backing_off]), before)
 
-    async def test_with_all_replicas_resting_callers_are_refused_at_once(self):
-        """Guards against callers that wait, or come back while replicas still rest."""
+    async def test_with_all_replicas_in_backoff_requests_are_rejected_at_once(self):
+        """Guards against callers that wait, or retry before the backoff is over."""
         for replica in self.plain:
             replica.rest = "60"
             replica.manners = [Manner.RESTS]
-        await self.ask_until(lambda: not any(item.manners for item in self.plain))
+        await self.fetch_until(lambda: not any(item.manners for item in self.plain))
         sent = [len(replica.requests) for replica in self.plain]
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
             async with asyncio.timeout(10):
-                status, headers, _ = await self.ask(method, path)
+                status, headers, _ = await self.fetch(method, path)
             self.assertEqual(status, 503)
             self.assertGreater(float(headers["Retry-After"]), 30)
         self.assertEqual([len(item.requests) for item in self.plain], sent)
 
-    async def test_a_replica_that_starts_again_does_not_rest(self):
-        self.resting.rest = "30"
-        await self.ask_until_turned_away(self.resting)
-        self.resting.start_again()
-        self.store.put("servers", "p-1", self.resting.entry("plain"))
-        await self.ask_until(lambda: self.resting.ran)
+    async def test_a_restarted_replica_has_no_backoff(self):
+        self.backing_off.rest = "30"
+        await self.fetch_until_rejected(self.backing_off)
+        self.backing_off.start_again()
+        self.store.put("servers", "p-1", self.backing_off.entry("plain"))
+        await self.fetch_until(lambda: self.backing_off.ran)
 
-    async def test_an_unreadable_time_is_logged_and_changes_nothing(self):
-        """Guards against garbage that ends a node or keeps a replica out."""
-        self.resting.rest = "Wed, 21 Oct 2026 07:28:00 GMT"
+    async def test_a_malformed_backoff_is_logged_and_ignored(self):
+        """Guards against malformed headers that crash a node or exclude a replica."""
+        self.backing_off.rest = "Wed, 21 Oct 2026 07:28:00 GMT"
         with self.assertLogs("fireflyward.notices", "WARNING"):
-            await self.ask_until_turned_away(self.resting)
-        await self.ask_until(lambda: self.resting.ran)
+            await self.fetch_until_rejected(self.backing_off)
+        await self.fetch_until(lambda: self.backing_off.ran)
--- a/tests/fleet/test_settings_watch.py
+++ b/tests/fleet/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings that change while a node runs."""
+"""Reloads of the settings while a node runs."""
 
 import tempfile
 import unittest
@@ -9,7 +9,7 @@
 from tests.platform_standins import settings_text
 
 
-class WatchTests(unittest.IsolatedAsyncioTestCase):
+class SettingsWatchTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -22,7 +22,7 @@
         bounds = {"grace-s": grace_s}
         self.path.write_text(settings_text("10.0.0.1:80", (1, 2, 3), bounds=bounds))
 
-    async def test_a_change_without_a_signal_is_taken_up(self):
+    async def test_a_change_without_a_signal_is_loaded(self):
         self.watch.check(self.loaded.append)
         self.assertEqual(self.loaded, [])
         self.write(11)
@@ -31,12 +31,12 @@
         self.watch.check(self.loaded.append)
         self.assertEqual(len(self.loaded), 1)
 
-    async def test_a_signal_has_the_file_read(self):
+    async def test_a_signal_reloads_the_file(self):
         self.watch.request_reload()
         self.watch.check(self.loaded.append)
         self.assertEqual(len(self.loaded), 1)
 
-    async def test_wrong_settings_change_nothing(self):
+    async def test_invalid_settings_are_ignored(self):
         self.path.write_text("{")
         with self.assertLogs("fireflyward.settings", "ERROR"):
             self.watch.check(self.loaded.append)
--- a/tests/fleet/test_start_gate.py
+++ b/tests/fleet/test_start_gate.py
@@ -1,4 +1,4 @@
-"""How long the first requests of a node wait."""
+"""How long a node's first requests wait at the gate."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
         self.clock = ManualClock()
         self.gate = StartGate(self.clock)
 
-    async def test_what_waits_passes_when_the_gate_opens(self):
+    async def test_waiting_requests_pass_when_the_gate_opens(self):
         waiting = asyncio.create_task(self.gate.wait_until_open())
         await self.clock.advance_ms(300)
         self.assertFalse(waiting.done())
@@ -20,7 +20,7 @@
         await self.clock.advance_ms(1)
         self.assertTrue(waiting.done())
 
-    async def test_a_node_that_learns_nothing_holds_nobody_for_long(self):
+    async def test_requests_wait_no_longer_than_the_limit(self):
         """Symptom: callers waited at a node that could not reach the store."""
         waiting = asyncio.create_task(self.gate.wait_until_open())
         await self.clock.advance_ms(499)
@@ -28,7 +28,7 @@
         await self.clock.advance_ms(1)
         self.assertTrue(waiting.done())
 
-    async def test_once_open_nothing_waits(self):
+    async def test_no_request_waits_after_the_gate_has_opened(self):
         self.gate.open()
         waiting = asyncio.create_task(self.gate.wait_until_open())
         await asyncio.sleep(0)
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -1,4 +1,4 @@
-"""What rows of the operator's table mean for a node."""
+"""How a node applies the rows of operators and the list of replicas."""
 
 import json
 import types
@@ -27,8 +27,8 @@
             on_configuration=lambda configuration: None,
         )
 
-    def take(self, *rows, is_whole):
-        self.view.on_table_update(Followed(rows, is_whole, 0))
+    def apply(self, *rows, is_snapshot):
+        self.view.on_table_update(Followed(rows, is_snapshot, 0))
         return self.directory.evacuated
 
     def row(self, domain, *, is_deleted=False):
@@ -36,106 +36,106 @@
 
 
 class EvacuationRowTests(EvacuationTestCase):
-    def test_a_change_adds_to_what_is_evacuated(self):
-        self.take(self.row("a"), is_whole=False)
-        self.assertEqual(self.take(self.row("b"), is_whole=False), {"a", "b"})
+    def test_a_new_row_adds_an_evacuation(self):
+        self.apply(self.row("a"), is_snapshot=False)
+        self.assertEqual(self.apply(self.row("b"), is_snapshot=False), {"a", "b"})
 
-    def test_a_removed_row_takes_it_back(self):
-        self.take(self.row("a"), self.row("b"), is_whole=True)
+    def test_a_removed_row_ends_the_evacuation(self):
+        self.apply(self.row("a"), self.row("b"), is_snapshot=True)
         removed = self.row("a", is_deleted=True)
-        self.assertEqual(self.take(removed, is_whole=False), {"b"})
+        self.assertEqual(self.apply(removed, is_snapshot=False), {"b"})
 
-    def test_a_whole_table_without_the_row_takes_it_back(self):
-        """Symptom: a failure domain stayed evacuated for good.
+    def test_a_snapshot_without_the_row_ends_the_evacuation(self):
+        """Symptom: a failure domain stayed evacuated permanently.
 
-        The row was removed while the store lost its history, so that no change told
-        of it and only the table read anew did not have it any more.
+        The row was removed while the store lost its history, so no change showed the
+        removal, only the next full read.
         """
-        self.take(self.row("a"), is_whole=False)
-        self.assertEqual(self.take(self.row("b"), is_whole=True), {"b"})
+        self.apply(self.row("a"), is_snapshot=False)
+        self.assertEqual(self.apply(self.row("b"), is_snapshot=True), {"b"})
 
-    def test_news_of_other_rows_change_nothing(self):
-        self.take(self.row("a"), is_whole=True)
-        self.assertEqual(self.take(is_whole=False), {"a"})
+    def test_updates_of_other_rows_change_nothing(self):
+        self.apply(self.row("a"), is_snapshot=True)
+        self.assertEqual(self.apply(is_snapshot=False), {"a"})
 
 
-class EvacuationInDrillTests(EvacuationTestCase):
-    """The store comes back from an older copy of the operator's table."""
+class RestoredEvacuationTests(EvacuationTestCase):
+    """The store is restored from an older snapshot of the operators' table."""
 
-    def come_back(self, *rows):
+    def restore(self, *rows):
         update = Followed(rows, True, 0, position=at(9, 2), is_new_era=True)
         self.view.on_table_update(update)
         return self.directory.evacuated
 
-    def copied(self, domain):
+    def restored_row(self, domain):
         return TableRow(f"evacuate/{domain}", b"{}", at(1, 2), is_copied=True)
 
-    def test_a_copy_that_lacks_the_row_takes_nothing_back(self):
-        self.take(self.row("a"), is_whole=False)
-        self.assertEqual(self.come_back(), {"a"})
+    def test_a_restored_table_without_the_row_ends_nothing(self):
+        self.apply(self.row("a"), is_snapshot=False)
+        self.assertEqual(self.restore(), {"a"})
 
-    def test_a_row_that_nobody_writes_again_holds_for_so_long(self):
-        """Guards against one that was taken back before the reading, and stays."""
-        self.take(self.row("a"), is_whole=False)
-        self.come_back()
+    def test_an_evacuation_not_written_again_ends_after_the_retention(self):
+        """Guards against a permanent evacuation that was withdrawn before the read."""
+        self.apply(self.row("a"), is_snapshot=False)
+        self.restore()
         self.clock._now_ms = 9_999
-        self.assertEqual(self.take(is_whole=False), {"a"})
+        self.assertEqual(self.apply(is_snapshot=False), {"a"})
         self.clock._now_ms = 10_000
-        self.assertEqual(self.take(is_whole=False), set())
+        self.assertEqual(self.apply(is_snapshot=False), set())
 
-    def test_one_that_is_written_again_holds_for_longer(self):
-        self.take(self.row("a"), is_whole=False)
-        self.come_back()
-        self.take(self.row("a"), is_whole=False)
+    def test_an_evacuation_written_again_outlasts_the_retention(self):
+        self.apply(self.row("a"), is_snapshot=False)
+        self.restore()
+        self.apply(self.row("a"), is_snapshot=False)
         self.clock._now_ms = 10_000
-        self.assertEqual(self.take(is_whole=False), {"a"})
-
-    def test_nor_does_a_second_reading_of_it(self):
-        self.take(self.row("a"), is_whole=False)
-        self.come_back()
-        self.assertEqual(self.take(is_whole=True), {"a"})
-
-    def test_a_row_that_was_written_again_and_removed_takes_it_back(self):
-        self.take(self.row("a"), is_whole=False)
-        self.come_back()
-        self.take(self.row("a"), is_whole=False)
-        self.assertEqual(self.take(is_whole=True), set())
-
-    def test_a_removal_takes_it_back(self):
-        self.take(self.row("a"), is_whole=False)
-        self.come_back()
+        self.assertEqual(self.apply(is_snapshot=False), {"a"})
+
+    def test_a_second_read_of_the_restored_table_ends_nothing(self):
+        self.apply(self.row("a"), is_snapshot=False)
+        self.restore()
+        self.assertEqual(self.apply(is_snapshot=True), {"a"})
+
+    def test_a_row_written_again_and_removed_ends_the_evacuation(self):
+        self.apply(self.row("a"), is_snapshot=False)
+        self.restore()
+        self.apply(self.row("a"), is_snapshot=False)
+        self.assertEqual(self.apply(is_snapshot=True), set())
+
+    def test_a_removal_in_the_new_era_ends_the_evacuation(self):
+        self.apply(self.row("a"), is_snapshot=False)
+        self.restore()
         removed = self.row("a", is_deleted=True)
-        self.assertEqual(self.take(removed, is_whole=False), set())
-
-    def test_a_copy_that_has_the_row_again_evacuates_nothing(self):
-        self.take(self.row("a"), is_whole=False)
-        self.take(self.row("a", is_deleted=True), is_whole=False)
-        self.assertEqual(self.come_back(self.copied("a")), set())
-
-    def test_a_row_of_the_copy_that_is_known_holds(self):
-        self.take(self.row("a"), is_whole=False)
-        self.assertEqual(self.come_back(self.copied("a")), {"a"})
-        self.assertEqual(self.take(self.copied("a"), is_whole=True), {"a"})
-
-    def test_a_row_that_an_aggregator_carries_is_not_written_again_yet(self):
-        self.take(self.row("a"), is_whole=False)
-        self.come_back(self.row("a"))
-        self.assertEqual(self.take(is_whole=True), {"a"})
-
-    def test_a_row_that_the_copy_has_holds_for_as_long_as_it_stands_there(self):
-        """Guards against an evacuation from long ago that ends soon after a drill."""
-        self.take(self.row("a"), is_whole=False)
-        self.come_back(self.copied("a"))
+        self.assertEqual(self.apply(removed, is_snapshot=False), set())
+
+    def test_a_restored_row_that_was_removed_evacuates_nothing(self):
+        self.apply(self.row("a"), is_snapshot=False)
+        self.apply(self.row("a", is_deleted=True), is_snapshot=False)
+        self.assertEqual(self.restore(self.restored_row("a")), set())
+
+    def test_a_restored_row_in_force_stays_in_force(self):
+        self.apply(self.row("a"), is_snapshot=False)
+        self.assertEqual(self.restore(self.restored_row("a")), {"a"})
+        self.assertEqual(self.apply(self.restored_row("a"), is_snapshot=True), {"a"})
+
+    def test_a_row_retained_by_an_aggregator_is_not_yet_written_again(self):
+        self.apply(self.row("a"), is_snapshot=False)
+        self.restore(self.row("a"))
+        self.assertEqual(self.apply(is_snapshot=True), {"a"})
+
+    def test_a_restored_row_stays_in_force_until_it_is_removed(self):
+        """Guards against an old evacuation that ends soon after a restore."""
+        self.apply(self.row("a"), is_snapshot=False)
+        self.restore(self.restored_row("a"))
         self.clock._now_ms = 10_000
-        self.assertEqual(self.take(is_whole=False), {"a"})
-        self.assertEqual(self.take(is_whole=True), set())
+        self.assertEqual(self.apply(is_snapshot=False), {"a"})
+        self.assertEqual(self.apply(is_snapshot=True), set())
 
-    def test_a_row_that_the_operator_wrote_in_the_new_era_counts(self):
-        self.assertEqual(self.come_back(self.row("b")), {"b"})
+    def test_a_row_written_in_the_new_era_is_applied(self):
+        self.assertEqual(self.restore(self.row("b")), {"b"})
 
 
-class ListInDrillTests(unittest.TestCase):
-    """What a first reading of the list of replicas in a new era changes."""
+class RestoredReplicaListTests(unittest.TestCase):
+    """How the first read of the replica list in a new era is applied."""
 
     def setUp(self):
         self.directory = ReplicaDirectory()
@@ -161,24 +161,24 @@
     def listed(self):
         return [state.entry.incarnation for state in self.directory.of_service("s")]
 
-    def test_a_row_that_this_node_never_saw_does_not_unsay_that_one_leaves(self):
-        """Guards against a node that started between the copy and the drill."""
+    def test_an_unknown_older_row_does_not_cancel_leaving(self):
+        """Guards against a node that started between the snapshot and the restore."""
         self.read(self.row("draining", 45, 1), is_new_era=False)
         self.read(self.row("ready", 30, 2))
         self.assertEqual(self.listed, [])
 
-    def test_a_row_of_the_copy_does_not_either(self):
+    def test_a_restored_row_does_not_cancel_leaving(self):
         self.read(self.row("draining", 45, 1), is_new_era=False)
         self.read(self.row("ready", 30, 2, is_copied=True))
         self.assertEqual(self.listed, [])
 
-    def test_one_that_leaves_in_the_new_era_is_believed(self):
+    def test_a_replica_that_leaves_in_the_new_era_is_not_used(self):
         self.read(self.row("ready", 30, 1), is_new_era=False)
         self.read(self.row("draining", 31, 2))
         self.assertEqual(self.listed, [])
 
-    def test_an_entry_that_the_copy_lacks_may_be_written_again(self):
-        """Guards against a service without replicas where no outage was noticed."""
+    def test_a_replica_missing_in_the_snapshot_stays_listed(self):
+        """Guards against a service without replicas if no outage was detected."""
         self.read(self.row("ready", 30, 1), is_new_era=False)
         self.read()
         self.assertEqual((self.listed, self.gone), (["r1"], []))
