--- a/fireflyward/backing/_eras.py
+++ b/fireflyward/backing/_eras.py
@@ -1,4 +1,4 @@
-"""Which era of a store is the latest that is known."""
+"""Tracks the latest known era of a store."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -7,63 +7,68 @@
 
 log = logging.getLogger("fireflyward.store")
 
-# A number that is further ahead cannot be a count of drills. Believed, it would make
-# every later answer one of an earlier era.
-_MOST_MISSED = 1_000
+# The store begins a new era whenever it is restored from an older snapshot. A number
+# that is further ahead than this cannot be a count of restores. If it were accepted,
+# every later answer would count as one of an earlier era.
+_MAX_ERA_JUMP = 1_000
 
 
 class Eras:
-    """Judges answers and conditions by the era that they belong to; no I/O.
+    """Detects outdated answers and conditions by their era; no I/O.
 
-    An answer of an earlier era than the latest is late: what it tells may have been
-    lost by the store. A condition of an earlier era may hold by chance, since versions
-    are given out again. ``on_new`` is called when the store has come back from an older
-    copy.
+    An answer of an earlier era than the latest is outdated: the store may have lost
+    the rows in it. A condition of an earlier era may match by coincidence, because the
+    store assigns versions again in a new era. ``on_new_era`` is called when the store
+    has been restored from an older snapshot.
 
     >>> eras = Eras()
-    >>> eras.of_answer(1), eras.of_answer(2), eras.of_answer(None)
+    >>> eras.era_of_answer(1), eras.era_of_answer(2), eras.era_of_answer(None)
     (1, 2, 2)
-    >>> eras.is_late(1), eras.may_hold_by_chance([Position(1, 40)])
+    >>> eras.is_outdated(1), eras.may_match_reused_version([Position(1, 40)])
     (True, True)
     """
 
-    __slots__ = ("_latest", "on_new")
+    __slots__ = ("_latest", "on_new_era")
 
     def __init__(self) -> None:
         self._latest: int | None = None
-        self.on_new: Callable[[], None] = lambda: None
+        self.on_new_era: Callable[[], None] = lambda: None
 
     @property
     def latest(self) -> int:
-        """Return the latest era, 0 where none was told yet."""
+        """Return the latest era, or 0 if no era has been reported yet."""
         return self._latest or 0
 
-    def note(self, era: int) -> None:
-        """Take the era in which the store, or another node, was seen to be."""
+    def observe(self, era: int) -> None:
+        """Record an era that the store or another node reported."""
         before = self._latest
         if before is None:
             self._latest = era
-            log.info("store: it is in era %d", era)
+            log.info("store: current era is %d", era)
         elif era > before:
             self._latest = era
             log.warning(
                 "store: it came back from an older copy: era %d after %d", era, before
             )
-            self.on_new()
+            self.on_new_era()
 
-    def of_answer(self, told: int | None) -> int:
-        """Take the era of an answer; one that tells none is of the latest."""
-        era = self.latest if told is None else told
-        if self._latest is not None and era > self._latest + _MOST_MISSED:
-            log.error("store: an answer tells era %d after %d", era, self._latest)
+    def era_of_answer(self, reported_era: int | None) -> int:
+        """Record and return an answer's era; without one it counts as the latest."""
+        era = self.latest if reported_era is None else reported_era
+        if self._latest is not None and era > self._latest + _MAX_ERA_JUMP:
+            log.error(
+                "store: implausible era %d in an answer, after era %d",
+                era,
+                self._latest,
+            )
             era = self._latest
-        self.note(era)
+        self.observe(era)
         return era
 
-    def is_late(self, era: int) -> bool:
-        """Tell whether an answer of this era comes after one of a later era."""
+    def is_outdated(self, era: int) -> bool:
+        """Return whether a later era than this one is known."""
         return era < self.latest
 
-    def may_hold_by_chance(self, expected: Iterable[Position]) -> bool:
-        """Tell whether a condition rests on readings of an earlier era."""
-        return any(self.is_late(read.era) for read in expected)
+    def may_match_reused_version(self, expected: Iterable[Position]) -> bool:
+        """Return whether a condition refers to positions of an earlier era."""
+        return any(self.is_outdated(position.era) for position in expected)
--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -6,7 +6,7 @@
 from fireflyward.aggregators import Aggregators
 from fireflyward.clock import Clock, within_ms
 from fireflyward.deployment import FleetSettings
-from fireflyward.feeds import FeedFollower, Followed, Pace, SharedTables
+from fireflyward.feeds import FeedFollower, Pace, SharedTables, TableUpdate
 from fireflyward.peers import Address, PeerCodec, PeerLink
 
 from ._paces import nodes_pace
@@ -36,7 +36,7 @@
         tables: SharedTables,
         aggregators: Aggregators,
         on_nodes: Callable[[Collection[str]], None],
-        on_rows: Callable[[Followed], None],
+        on_rows: Callable[[TableUpdate], None],
         on_link: Callable[[PeerLink], Callable[[], None]],
     ) -> None:
         self.link: PeerLink | None = None
@@ -54,8 +54,8 @@
             NODE_TABLE,
             reader=tables,
             clock=clock,
-            on_news=tables.kept(
-                NODE_TABLE, self._on_table_update, old_ms=MAX_LIST_AGE_MS
+            on_update=tables.caching_listener(
+                NODE_TABLE, self._on_table_update, max_age_ms=MAX_LIST_AGE_MS
             ),
             pace=self._pace,
         )
@@ -83,7 +83,7 @@
         await within_ms(self._clock, pause_ms, self._poll_requested.wait())
         self._poll_requested.clear()
 
-    def _on_table_update(self, update: Followed) -> None:
+    def _on_table_update(self, update: TableUpdate) -> None:
         self._register.on_table_update(update)
         self._on_rows(update)
 
--- a/fireflyward/fleet/_lost_rows.py
+++ b/fireflyward/fleet/_lost_rows.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from fireflyward.clock import Clock
-from fireflyward.feeds import Followed, SharedTables
+from fireflyward.feeds import SharedTables, TableUpdate
 
 log = logging.getLogger("fireflyward.feeds")
 
@@ -28,7 +28,7 @@
         *,
         tables: SharedTables,
         clock: Clock,
-        on_update: Callable[[Followed], None],
+        on_update: Callable[[TableUpdate], None],
     ) -> None:
         self._table = table
         self._tables = tables
@@ -37,7 +37,7 @@
         self._era = 0
         self._is_fetch_pending = asyncio.Event()
 
-    def on_table_update(self, update: Followed) -> None:
+    def on_table_update(self, update: TableUpdate) -> None:
         """Apply an update of the table; request the lost rows once for each new era."""
         self._on_update(update)
         if update.position.era > self._era:
@@ -54,7 +54,7 @@
                 await self._fetch()
 
     async def _fetch(self) -> None:
-        for update in await self._tables.carried(self._table):
+        for update in await self._tables.fetch_retained_rows(self._table):
             keys = ", ".join(row.key for row in update.rows)
             log.info("feeds: %s has rows that the store lacks: %s", self._table, keys)
             self._on_update(update)
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -8,10 +8,10 @@
 from fireflyward.aggregators import Aggregators
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, FleetSettings
-from fireflyward.feeds import FeedFollower, Followed, Pace, SharedTables
+from fireflyward.feeds import FeedFollower, Pace, SharedTables, TableUpdate
 from fireflyward.forwarding import Forwarder, WeightVersions
 from fireflyward.http1 import ConnectionPool
-from fireflyward.leases import Gained, LeaseNews, LeaseTask, Lost
+from fireflyward.leases import Gained, LeaseAnnouncer, LeaseTask, Lost
 from fireflyward.observe import Metrics
 from fireflyward.peers import PeerLink
 from fireflyward.platform import (
@@ -93,7 +93,7 @@
         self._load_announcer = LoadAnnouncer(
             clock=clock,
             directory=self._directory,
-            peer_addresses=self._aggregators.everyone,
+            peer_addresses=self._aggregators.all_addresses,
         )
         self._quarantine = Quarantine(
             clock=clock,
@@ -102,7 +102,7 @@
             store=self._store,
             table=NODE_TABLE,
             node=settings.node,
-            peer_addresses=self._aggregators.everyone,
+            peer_addresses=self._aggregators.all_addresses,
             poll_soon=lambda: self._joining.poll_soon(),
         )
         self._forwarder = self._make_forwarder()
@@ -146,7 +146,7 @@
         )
         # A new era may lack the rows that nodes wrote about themselves, and all nodes
         # read these rows.
-        self._store.eras.on_new = self._joining.poll_soon
+        self._store.eras.on_new_era = self._joining.poll_soon
         self._lost_rows = LostRowRecovery(
             CONFIGURATION_TABLE,
             tables=self._tables,
@@ -158,7 +158,7 @@
                 CONFIGURATION_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._caching_listener(
+                on_update=self._caching_listener(
                     CONFIGURATION_TABLE, self._lost_rows.on_table_update
                 ),
                 pace=self._configuration_pace,
@@ -167,14 +167,14 @@
                 REPLICA_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_news=self._caching_listener(
+                on_update=self._caching_listener(
                     REPLICA_TABLE, self._replicas.on_table_update
                 ),
                 pace=self._replicas_pace,
             ),
         )
         self._lease = self._make_lease()
-        self._lease_news = LeaseNews(
+        self._lease_announcer = LeaseAnnouncer(
             self._lease,
             contenders=lambda: self._peers.addresses_of_first(_MAX_CONTENDERS, _LEASE),
         )
@@ -319,8 +319,10 @@
             lease_ms=self._settings.bounds.lease_ms,
             contends=self._contends,
             on_change=self._on_lease,
-            on_row=lambda row, position: self._lease_news.tell(row, position),
-            look_ms=lambda: self._weight_task.lease_poll_ms(),
+            on_row_written=lambda row, position: self._lease_announcer.announce(
+                row, position
+            ),
+            poll_interval_ms=lambda: self._weight_task.lease_poll_ms(),
         )
 
     def _on_lease(self, change: Gained | Lost) -> None:
@@ -333,29 +335,31 @@
     def _configuration_pace(self) -> Pace:
         return configuration_pace(
             is_shared=self._aggregators.are_needed,
-            is_for_others=self._tables.is_for_others,
+            serves_other_nodes=self._tables.serves_other_nodes,
         )
 
     def _replicas_pace(self) -> Pace:
         return replicas_pace(
             self._settings.bounds.drain_ms,
             is_shared=self._aggregators.are_needed,
-            is_for_others=self._tables.is_for_others,
+            serves_other_nodes=self._tables.serves_other_nodes,
         )
 
     def _caching_listener(
-        self, table: str, on_update: Callable[[Followed], None]
-    ) -> Callable[[Followed], None]:
+        self, table: str, on_update: Callable[[TableUpdate], None]
+    ) -> Callable[[TableUpdate], None]:
         """Return a listener that caches a table's updates for other nodes.
 
         It also opens the start gate once the node is ready.
         """
         is_configuration = table == CONFIGURATION_TABLE
-        apply_update = self._tables.kept(table, on_update, carries=is_configuration)
+        apply_update = self._tables.caching_listener(
+            table, on_update, retains_rows=is_configuration
+        )
 
-        def record_era_and_apply(update: Followed) -> None:
+        def record_era_and_apply(update: TableUpdate) -> None:
             # An aggregator may report a new era to this node before the store does.
-            self._store.eras.note(update.position.era)
+            self._store.eras.observe(update.position.era)
             apply_update(update)
 
         return self._gate.opening_listener(
@@ -373,7 +377,7 @@
         )
 
     def _on_link(self, link: PeerLink) -> Callable[[], None]:
-        senders = (self._load_announcer, self._tables, self._lease_news)
+        senders = (self._load_announcer, self._tables, self._lease_announcer)
         for part in (*senders, self._quarantine, self._replica_components):
             part.use(link)
         return lambda: self._start(
--- a/fireflyward/fleet/_peers.py
+++ b/fireflyward/fleet/_peers.py
@@ -7,7 +7,7 @@
 
 from fireflyward.aggregators import Member
 from fireflyward.backing import Committed, Position
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.platform import StoreClient
 from fireflyward.rendezvous import rendezvous_rank
 
@@ -119,10 +119,10 @@
         self._own = own
         self._first_by_duty.clear()
 
-    def on_table_update(self, update: Followed) -> None:
+    def on_table_update(self, update: TableUpdate) -> None:
         """Apply an update of the table."""
         self._era = update.position.era
-        if update.is_whole:
+        if update.is_snapshot:
             self._position_by_key.clear()
             if update.is_new_era:
                 self._written_ms_by_key.clear()
@@ -176,7 +176,7 @@
         name = row.key.removeprefix(_NODE_PREFIX)
         if name == row.key:
             return
-        if row.is_copied and name != self._name and name in self._row_by_name:
+        if row.is_restored and name != self._name and name in self._row_by_name:
             # The store lost the newer row of that node, which will write it again.
             return
         self._row_by_name.pop(name, None)
--- a/fireflyward/fleet/_start_gate.py
+++ b/fireflyward/fleet/_start_gate.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from fireflyward.clock import Clock, within_ms
-from fireflyward.feeds import Followed
+from fireflyward.feeds import TableUpdate
 
 # A node has normally read its tables 100 ms after it starts to listen. If that takes
 # longer, the remaining time is unknown, and callers should try another node.
@@ -26,11 +26,11 @@
         self._is_open = asyncio.Event()
 
     def opening_listener(
-        self, on_update: Callable[[Followed], None], *, is_ready: Callable[[], bool]
-    ) -> Callable[[Followed], None]:
+        self, on_update: Callable[[TableUpdate], None], *, is_ready: Callable[[], bool]
+    ) -> Callable[[TableUpdate], None]:
         """Return a listener that opens the gate once this node is ready."""
 
-        def apply_and_check(update: Followed) -> None:
+        def apply_and_check(update: TableUpdate) -> None:
             on_update(update)
             if is_ready():
                 self.open()
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -6,7 +6,7 @@
 
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, ReplicaEntry
-from fireflyward.feeds import CARRIED_MS, Followed, TableRow
+from fireflyward.feeds import RETENTION_MS, TableRow, TableUpdate
 from fireflyward.forwarding import WeightVersions
 from fireflyward.http1 import ConnectionPool
 from fireflyward.platform import (
@@ -51,7 +51,7 @@
         self._retained_evacuations: set[str] = set()
         self._retained_until_ms = 0
 
-    def on_table_update(self, update: Followed) -> None:
+    def on_table_update(self, update: TableUpdate) -> None:
         """Apply newer rows and record when the configuration was last confirmed."""
         for row in update.rows:
             if not row.is_deleted:
@@ -66,22 +66,22 @@
         elif row.key.startswith(WEIGHTS_PREFIX):
             self._apply_weight_target(row, at_start=at_start)
 
-    def _update_evacuations(self, update: Followed) -> None:
+    def _update_evacuations(self, update: TableUpdate) -> None:
         """Stop or resume sending to failure domains as their rows change."""
         before = self._directory.evacuated
         now_ms = self._clock.now_ms()
         if update.is_new_era:
             self._retained_evacuations = set(before)
-            self._retained_until_ms = now_ms + CARRIED_MS
+            self._retained_until_ms = now_ms + RETENTION_MS
         # A snapshot without the row means that the evacuation was withdrawn unobserved.
         evacuated = (
-            self._retained_evacuations & before if update.is_whole else set(before)
+            self._retained_evacuations & before if update.is_snapshot else set(before)
         )
         for row in update.rows:
             if not row.key.startswith(EVACUATION_PREFIX):
                 continue
             domain = row.key.removeprefix(EVACUATION_PREFIX)
-            if row.is_copied:
+            if row.is_restored:
                 if domain in before:
                     evacuated.add(domain)
                     self._retained_evacuations.discard(domain)
@@ -91,7 +91,7 @@
                 self._retained_evacuations.discard(domain)
             else:
                 self._retained_evacuations.add(domain)
-                self._retained_until_ms = now_ms + CARRIED_MS
+                self._retained_until_ms = now_ms + RETENTION_MS
             if row.is_deleted:
                 continue
             if decode_evacuation(domain, row.value) is None:
@@ -148,13 +148,13 @@
         self._outage_end_ms: int | None = None
         self.is_known = False
 
-    def on_table_update(self, update: Followed) -> None:
+    def on_table_update(self, update: TableUpdate) -> None:
         """Update the directory."""
         now_ms = self._clock.now_ms()
-        if update.away_ms or update.is_new_era:
+        if update.unavailable_ms or update.is_new_era:
             self._outage_end_ms = now_ms
-        found = _classify_rows(row for row in update.rows if not row.is_copied)
-        copied = _classify_rows(row for row in update.rows if row.is_copied).entries
+        found = _classify_rows(row for row in update.rows if not row.is_restored)
+        copied = _classify_rows(row for row in update.rows if row.is_restored).entries
         if update.is_new_era:
             # This node may never have read the row that the replica had written before
             # it announced that it leaves.
@@ -165,7 +165,7 @@
             self._outage_end_ms is not None
             and now_ms - self._outage_end_ms < _OUTAGE_AFTERMATH_MS
         )
-        if update.is_whole:
+        if update.is_snapshot:
             gone = self._directory.on_full_read(
                 now_ms,
                 found.entries,
--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -173,7 +173,7 @@
         so a condition of an earlier era may hold by chance: such a write is not sent,
         and a write that met another era than that of its conditions is ``Uncertain``.
         """
-        if self.eras.may_hold_by_chance(expected.values()):
+        if self.eras.may_match_reused_version(expected.values()):
             return Conflict()
         where = {"table": table, "part": part}
         body = {
@@ -198,7 +198,7 @@
             return Uncertain(
                 f"the store checked the conditions in another era, {response.era}"
             )
-        if self.eras.is_late(response.era):
+        if self.eras.is_outdated(response.era):
             return Uncertain(_EARLIER_ERA_DETAIL)
         page = decode_json(response.body, _Rows)
         if page is None:
@@ -216,7 +216,7 @@
             return Unavailable(response.detail)
         if isinstance(response, Unavailable):
             return response
-        if self.eras.is_late(response.era):
+        if self.eras.is_outdated(response.era):
             return Unavailable(_EARLIER_ERA_DETAIL)
         if response.status == _GONE:
             return HistoryLost()
@@ -256,12 +256,12 @@
         )
         if header.isascii() and header.isdigit() and len(header) <= _MAX_ERA_DIGITS:
             self._invalid_era_text = None
-            return self.eras.of_answer(int(header))
+            return self.eras.era_of_answer(int(header))
         if header != self._invalid_era_text:
             # Logged once for each change, and never if no response had the header.
             self._invalid_era_text = header
             log.warning("platform: response has no valid era: %r", header[:80])
-        return self.eras.of_answer(None)
+        return self.eras.era_of_answer(None)
 
 
 def _rejected(response: _Response) -> Unavailable:
--- a/fireflyward/prefixes/_publisher.py
+++ b/fireflyward/prefixes/_publisher.py
@@ -49,7 +49,7 @@
         """Return how this node currently follows stores."""
         if not self._aggregators.are_needed:
             return FollowMode.INDEPENDENT
-        if self._aggregators.own(self._clock.now_ms()) is None:
+        if self._aggregators.own_aggregator(self._clock.now_ms()) is None:
             return FollowMode.AS_AGGREGATOR
         return FollowMode.FROM_AGGREGATOR
 
@@ -83,7 +83,7 @@
     def publish(self, link: PeerLink) -> None:
         """Send the neighbours what was read since the last call."""
         unpublished, self._unpublished = self._unpublished, []
-        neighbours = self._aggregators.neighbours()
+        neighbours = self._aggregators.neighbour_addresses()
         for group in _split(unpublished):
             message = StoresNews(stores=[encode(*item) for item in group])
             link.send_all(neighbours, _KIND, message)
--- a/tests/fleet/test_end_to_end.py
+++ b/tests/fleet/test_end_to_end.py
@@ -263,7 +263,7 @@
         )
 
     async def test_the_weight_task_sets_the_poll_interval_of_its_lease(self):
-        poll_interval_ms = self.node._lease._look_ms
+        poll_interval_ms = self.node._lease._poll_interval_ms
         self.node._weight_task.lease_poll_ms = lambda: 123.0
         self.assertEqual(poll_interval_ms(), 123.0)
 
@@ -298,7 +298,7 @@
         await self.until(lambda: {e.version for e in self.engines} == {2})
         self.assertEqual({len(e.orders) for e in self.engines}, {1})
         orders = [e.orders[0] for e in self.engines]
-        first = Position(self.store.era, 1).number
+        first = Position(self.store.era, 1).ordinal
         self.assertEqual({order["fence"] for order in orders}, {first})
         self.assertEqual({order["holder"] for order in orders}, {"entry-1"})
         status, _, _ = await self.fetch("POST", "/s/x", headers=STREAM)
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -22,8 +22,8 @@
         self.call_count = 0
         self.next_rows = ()
 
-    def kept(self, table, on_news, *, old_ms=None):
-        return on_news
+    def caching_listener(self, table, on_update, *, max_age_ms=None):
+        return on_update
 
     async def rows(self, table, *, part="", limit_ms=1_000):
         self.call_count += 1
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from fireflyward.backing import Committed
-from fireflyward.feeds import Followed, TableRow
+from fireflyward.feeds import TableRow, TableUpdate
 from fireflyward.fleet._peers import NodeRegistry, NodeRow
 from tests.positions import at
 
@@ -31,7 +31,7 @@
     registry = NodeRegistry(store or _Store(), name)
     if own is not None:
         registry.announce(own)
-    registry.on_table_update(Followed(tuple(rows), True, 0))
+    registry.on_table_update(TableUpdate(tuple(rows), True, 0))
     return registry
 
 
@@ -134,7 +134,7 @@
         registry = register("n0", [KEY, listed("n1", row)])
         with self.assertLogs("fireflyward.peers", "ERROR"):
             update = (TableRow("node/n1", b"no row", at(3)),)
-            registry.on_table_update(Followed(update, False, 0))
+            registry.on_table_update(TableUpdate(update, False, 0))
         self.assertEqual(registry.others(), [])
 
     async def test_a_key_that_no_node_created_is_replaced(self):
@@ -165,7 +165,7 @@
         self.registry = register("n0", table, own=self.own, store=self.store)
 
     def restore(self, *rows):
-        update = Followed(rows, True, 0, position=at(9, 2), is_new_era=True)
+        update = TableUpdate(rows, True, 0, position=at(9, 2), is_new_era=True)
         self.registry.on_table_update(update)
 
     async def test_this_nodes_row_is_written_again(self):
@@ -202,14 +202,14 @@
     async def test_an_older_row_of_another_node_is_ignored(self):
         old = NodeRow("10.0.0.9", 9, "a", 100)
         value = msgspec.json.encode(old)
-        row = TableRow("node/n1", value, at(2, 2), is_copied=True)
+        row = TableRow("node/n1", value, at(2, 2), is_restored=True)
         self.restore(KEY, row)
         (member,) = self.registry.others()
         self.assertEqual(member.address, ("10.0.0.2", 2))
 
     async def test_an_older_row_of_this_node_is_replaced(self):
         old = msgspec.json.encode(NodeRow("10.0.0.9", 9, "a", 100))
-        row = TableRow("node/n0", old, at(2, 2), is_copied=True)
+        row = TableRow("node/n0", old, at(2, 2), is_restored=True)
         self.restore(KEY, row)
         await self.registry.write_missing(0)
         ((expected, _),) = self.store.writes
--- a/tests/fleet/test_random_restores.py
+++ b/tests/fleet/test_random_restores.py
@@ -155,8 +155,8 @@
 class RandomRestoreTests(FleetTestCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        for module in ("fireflyward.fleet._views", "fireflyward.feeds._copy"):
-            patched = mock.patch(f"{module}.CARRIED_MS", _RETENTION_MS)
+        for module in ("fireflyward.fleet._views", "fireflyward.feeds._cached_table"):
+            patched = mock.patch(f"{module}.RETENTION_MS", _RETENTION_MS)
             patched.start()
             self.addCleanup(patched.stop)
 
--- a/tests/fleet/test_restored_store.py
+++ b/tests/fleet/test_restored_store.py
@@ -2,7 +2,7 @@
 
 import json
 
-from fireflyward.feeds import Followed
+from fireflyward.feeds import TableUpdate
 from fireflyward.reach._reach_structs import SilenceNews
 from tests.platform_standins import StoreManner
 from tests.positions import at
@@ -109,13 +109,13 @@
 
     async def test_an_era_reported_by_an_aggregator_applies_to_writes(self):
         """Guards against sending conditions of an earlier era."""
-        update = Followed((), False, 0, position=at(1, 5))
-        self.node._followers[0]._on_news(update)
+        update = TableUpdate((), False, 0, position=at(1, 5))
+        self.node._followers[0]._on_update(update)
         self.assertEqual(self.node._store.eras.latest, 5)
 
     async def test_the_list_of_nodes_is_read_without_delay(self):
         """Guards against seconds in which the table has no node's row."""
-        self.node._store.eras.note(2)
+        self.node._store.eras.observe(2)
         self.assertTrue(self.node._joining._poll_requested.is_set())
 
     async def test_versions_above_the_cursor_before_the_next_read(self):
