--- a/fireflyward/deployment/__init__.py
+++ b/fireflyward/deployment/__init__.py
@@ -1,4 +1,4 @@
-"""Typed values that describe a deployment; this package takes no decisions."""
+"""Typed values that describe a deployment; this package makes no decisions."""
 
 from ._configuration import (
     ClientAccount,
--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -32,7 +32,7 @@
         settings: FleetSettings,
         *,
         clock: Clock,
-        register: NodeRegistry,
+        registry: NodeRegistry,
         tables: SharedTables,
         aggregators: Aggregators,
         on_nodes: Callable[[Collection[str]], None],
@@ -43,7 +43,7 @@
         self._codec: PeerCodec | None = None
         self._settings = settings
         self._clock = clock
-        self._register = register
+        self._registry = registry
         self._aggregators = aggregators
         self._on_nodes = on_nodes
         self._on_rows = on_rows
@@ -64,7 +64,7 @@
         """Follow the table, and write the rows of this node that it lacks."""
         port = self._settings.peer_ports[0]
         if port:
-            self._register.announce(self._own_row((self._settings.ip, port)))
+            self._registry.announce(self._own_row((self._settings.ip, port)))
         while True:
             if await self._follower.step():
                 await self._apply_node_table()
@@ -84,22 +84,22 @@
         self._poll_requested.clear()
 
     def _on_table_update(self, update: TableUpdate) -> None:
-        self._register.on_table_update(update)
+        self._registry.on_table_update(update)
         self._on_rows(update)
 
     def _pace(self) -> Pace:
         return nodes_pace(
-            is_complete=self._register.is_complete,
+            is_complete=self._registry.is_complete,
             is_shared=self._aggregators.are_needed,
         )
 
     async def _apply_node_table(self) -> None:
-        self._on_nodes(self._register.names())
-        self._aggregators.set_members(self._register.others())
-        if self._register.key is not None:
-            await self._use_key(self._register.key)
-        await self._register.write_missing(self._clock.now_ms())
-        if self._register.is_complete:
+        self._on_nodes(self._registry.names())
+        self._aggregators.set_members(self._registry.others())
+        if self._registry.key is not None:
+            await self._use_key(self._registry.key)
+        await self._registry.write_missing(self._clock.now_ms())
+        if self._registry.is_complete:
             self._joined.set()
 
     async def _use_key(self, key: bytes) -> None:
@@ -125,7 +125,7 @@
         on_open = self._on_link(link)
         await link.start()
         self.link = link
-        self._register.announce(self._own_row(link.address))
+        self._registry.announce(self._own_row(link.address))
         on_open()
 
     def _own_row(self, address: Address) -> NodeRow:
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -80,7 +80,7 @@
             extra=bounds.retry_extra,
             window_ms=bounds.retry_window_ms,
         )
-        self._peers = NodeRegistry(self._store, settings.node)
+        self._node_registry = NodeRegistry(self._store, settings.node)
         self._planner = PartPlanner()
         self._api = ReplicaApi(self._pool, clock=clock)
         self._aggregators = Aggregators(
@@ -137,7 +137,7 @@
         self._joining = Joining(
             settings,
             clock=clock,
-            register=self._peers,
+            registry=self._node_registry,
             tables=self._tables,
             aggregators=self._aggregators,
             on_nodes=self._on_nodes,
@@ -176,7 +176,9 @@
         self._lease = self._make_lease()
         self._lease_announcer = LeaseAnnouncer(
             self._lease,
-            contenders=lambda: self._peers.addresses_of_first(_MAX_CONTENDERS, _LEASE),
+            contenders=lambda: self._node_registry.addresses_of_first(
+                _MAX_CONTENDERS, _LEASE
+            ),
         )
         self._weight_task = WeightTask(
             clock=clock,
@@ -270,8 +272,8 @@
         """Stop without cutting requests: first leave the balancer, then drain.
 
         Callers reach this node until the balancer has removed it, and later on open
-        connections. The node therefore continues to serve, and closes each connection
-        after its next response.
+        connections. The node therefore continues to serve at first, and closes each
+        connection after its next response.
         """
         started_ms = self._clock.now_ms()
         end_ms = started_ms + self._settings.bounds.grace_ms - _EXIT_MARGIN_MS
@@ -372,7 +374,7 @@
         self._replica_components.set_nodes(names)
 
     def _contends(self) -> bool:
-        return not self._is_stopping and self._peers.is_among_first(
+        return not self._is_stopping and self._node_registry.is_among_first(
             _MAX_CONTENDERS, _LEASE
         )
 
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -154,11 +154,13 @@
         if update.unavailable_ms or update.is_new_era:
             self._outage_end_ms = now_ms
         found = _classify_rows(row for row in update.rows if not row.is_restored)
-        copied = _classify_rows(row for row in update.rows if row.is_restored).entries
+        restored_entries = _classify_rows(
+            row for row in update.rows if row.is_restored
+        ).entries
         if update.is_new_era:
             # This node may never have read the row that the replica had written before
             # it announced that it leaves.
-            copied += [
+            restored_entries += [
                 entry for entry in found.entries if self._predates_leaving(entry)
             ]
         after_outage = (
@@ -169,7 +171,7 @@
             gone = self._directory.on_full_read(
                 now_ms,
                 found.entries,
-                restored=copied,
+                restored=restored_entries,
                 after_outage=after_outage,
             )
         else:
--- a/fireflyward/platform/__init__.py
+++ b/fireflyward/platform/__init__.py
@@ -1,6 +1,6 @@
 """Adapter for the users' platform: its wire names, its formats and its calls.
 
-This package only encodes and decodes; it takes no decisions.
+This package only encodes and decodes; it makes no decisions.
 """
 
 from ._configuration import (
--- a/fireflyward/platform/_notices.py
+++ b/fireflyward/platform/_notices.py
@@ -35,7 +35,7 @@
     """What a response requests of the nodes; ``limit`` is None if it names none.
 
     ``leaving`` means that the replica is leaving and is to get no more requests.
-    ``backoff_ms`` is how long the node that got the response is to send none.
+    ``backoff_ms`` is how long the node that got the response is to send no requests.
     """
 
     limit: RateLimit | InvalidHeader | None = None
--- a/tests/fleet/test_end_to_end.py
+++ b/tests/fleet/test_end_to_end.py
@@ -255,7 +255,7 @@
             self.store.put(
                 "fireflyward-nodes", f"node/{name}", msgspec.json.encode(row)
             )
-        await self.until(lambda: len(self.node._peers.names()) == 4)
+        await self.until(lambda: len(self.node._node_registry.names()) == 4)
         late_limit = self.node._forwarder._deps.late_limit
         await self.until(lambda: late_limit._nodes == 4)
         self.assertEqual(
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -34,7 +34,7 @@
         return Changes(self.next_rows, after)
 
 
-class _Register(NodeRegistry):
+class _Registry(NodeRegistry):
     """Writes nothing."""
 
     async def write_missing(self, now_ms):
@@ -54,7 +54,7 @@
         self.joining = Joining(
             settings,
             clock=self.clock,
-            register=_Register(None, "n1"),
+            registry=_Registry(None, "n1"),
             tables=self.tables,
             aggregators=Aggregators("n1", "a", link_mbps=100),
             on_nodes=lambda names: None,
--- a/tests/fleet/test_restored_store.py
+++ b/tests/fleet/test_restored_store.py
@@ -199,10 +199,10 @@
         link = self.nodes[1]._joining.link
         received_from = []
 
-        async def heard(sender, message):
+        async def on_message(sender, message):
             received_from.append(sender)
 
-        late._joining.link.register("probe", SilenceNews, heard)
+        late._joining.link.register("probe", SilenceNews, on_message)
         address = late._joining.link.address
 
         def is_received():
