--- a/fireflyward/daemon/_kept_work.py
+++ b/fireflyward/daemon/_kept_work.py
@@ -10,12 +10,12 @@
     Exported,
     Exporter,
     ExportPlan,
-    ImportAsk,
     Imported,
     Importer,
+    ImportRequest,
     ShardLookUp,
+    SlotRequest,
     StoreClient,
-    Wanted,
     shard_of,
 )
 from fireflyward.observe import Metrics
@@ -76,7 +76,7 @@
 
     async def look_up(self, shape: RunShape) -> None:
         """Query a holder of the prompt's index shard, unless this node is one."""
-        await self._look_up.ask(shape.block_keys)
+        await self._look_up.fetch(shape.block_keys)
         self._cached = None
 
     def _find(self, shape: RunShape) -> PrefixLocations:
@@ -221,7 +221,7 @@
         # run from its first block. The engine reads only the blocks that it lacks.
         first = self.prefixes.run_start(shape, plan)
         keys = shape.block_keys[first : plan.first + plan.blocks]
-        import_request = ImportAsk(
+        import_request = ImportRequest(
             call.run_id,
             call.model,
             call.version,
@@ -304,7 +304,7 @@
         owner = self._names.owner_tag(shape.account)
         shard = shard_of(shape.block_keys[0])
         wanted = tuple(
-            Wanted(shape.block_keys[position], position + 1, shard, owner)
+            SlotRequest(shape.block_keys[position], position + 1, shard, owner)
             for position in positions
         )
         order_id = f"{shape.run_id}-{store.name}-{positions.start}"
--- a/fireflyward/entry/_prefixes.py
+++ b/fireflyward/entry/_prefixes.py
@@ -27,7 +27,7 @@
     when the object store is unavailable; its response then has no reference.
     """
     if prompt.prefix_text and prompt.keep:
-        ref = await context.prefixes.name(
+        ref = await context.prefixes.store_text(
             _scope(identity), prompt.keep, prompt.prefix_text
         )
         if isinstance(ref, str):
--- a/fireflyward/kept/__init__.py
+++ b/fireflyward/kept/__init__.py
@@ -1,32 +1,32 @@
-"""Kept work: KV blocks of prompts that will return."""
+"""Stores KV blocks of prompts, so that later prompts need not recompute them."""
 
 from fireflyward.upstreams import BlockRef
 
+from ._eviction import choose_victims
 from ._export import Exported, Exporter, ExportPlan, ExportStep, NotExported
-from ._import import ImportAsk, Imported, Importer, ImportLimit, ImportStep
+from ._import import Imported, Importer, ImportLimit, ImportRequest, ImportStep
 from ._index import INDEX_STRIDE, HeldRun, PrefixIndex
 from ._keys import BlockNames
 from ._look_up import ShardLookUp
-from ._owners import ALL_SHARDS, holders_of, shards_held_by
 from ._prefix_texts import PrefixScope, PrefixText, PrefixTexts, UnknownPrefix
 from ._readers import EngineReader, StoreReader
-from ._room import choose_victims
+from ._shard_holders import ALL_SHARDS, holders_of, shards_held_by
 from ._store_http import HttpStore
 from ._stores import (
     SHARDS,
-    Cold,
-    Done,
+    AppliedRefs,
+    ColdBlock,
     Fenced,
     Listing,
     ListQuery,
     Reserved,
-    Room,
+    SlotRequest,
     SlotState,
-    StoreAway,
     StoreChange,
     StoreClient,
+    StoreUnavailable,
+    StoreUsage,
     Unfinished,
-    Wanted,
     shard_of,
 )
 from ._sweep import FreeStep, HeldLease, NotSwept, Sweeper, Swept
@@ -37,8 +37,8 @@
     "SHARDS",
     "BlockNames",
     "BlockRef",
-    "Cold",
-    "Done",
+    "ColdBlock",
+    "AppliedRefs",
     "EngineReader",
     "ExportPlan",
     "ExportStep",
@@ -49,7 +49,7 @@
     "HeldLease",
     "HeldRun",
     "HttpStore",
-    "ImportAsk",
+    "ImportRequest",
     "ImportLimit",
     "ImportStep",
     "Imported",
@@ -63,10 +63,10 @@
     "PrefixText",
     "PrefixTexts",
     "Reserved",
-    "Room",
+    "StoreUsage",
     "ShardLookUp",
     "SlotState",
-    "StoreAway",
+    "StoreUnavailable",
     "StoreChange",
     "StoreClient",
     "StoreReader",
@@ -74,7 +74,7 @@
     "Swept",
     "Unfinished",
     "UnknownPrefix",
-    "Wanted",
+    "SlotRequest",
     "choose_victims",
     "holders_of",
     "shard_of",
--- a/tests/backing/test_guard.py
+++ b/tests/backing/test_guard.py
@@ -93,7 +93,7 @@
 
     async def test_unavailable_service_gets_few_calls(self):
         inner = MemoryTable()
-        inner.away = True
+        inner.unavailable = True
         calls = []
         get = inner.get
 
@@ -109,7 +109,7 @@
                 self.assertIsInstance(result, Unavailable)
                 await self.clock.advance_ms(40)
         self.assertLess(len(calls), 20)
-        inner.away = False
+        inner.unavailable = False
         await self.clock.advance_ms(10_000)
         with self.assertLogs("fireflyward.backing") as logs:
             self.assertEqual(await self.run_to_completion(table.get("k")), Missing("k"))
@@ -117,12 +117,12 @@
 
     async def test_write_that_the_breaker_rejects_is_not_applied(self):
         inner = MemoryTable()
-        inner.away = True
+        inner.unavailable = True
         table = GuardedTable(inner, self.make_guard())
         with self.assertLogs("fireflyward.backing"):
             for _ in range(3):
                 await table.get("k")
-        inner.away = False
+        inner.unavailable = False
         result = await table.commit(expected={}, puts={"k": b"v"})
         self.assertIsInstance(result, Unavailable)
         self.assertEqual(inner.row_by_key, {})
--- a/tests/daemon/test_bundle_duty.py
+++ b/tests/daemon/test_bundle_duty.py
@@ -121,7 +121,7 @@
         )
 
     def set_platform(self, *, is_unavailable):
-        self.table.away = self.objects.away = is_unavailable
+        self.table.unavailable = self.objects.unavailable = is_unavailable
 
     @property
     def number(self):
--- a/tests/faults/_stores.py
+++ b/tests/faults/_stores.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from fireflyward.checker import BlockFreed, BlockRead, BlockSealed
-from fireflyward.kept import Wanted
+from fireflyward.kept import SlotRequest
 from fireflyward.standins import EngineKv, StoreCosts, StoreModel, kv_payload
 from fireflyward.upstreams import block_checksum
 
@@ -44,7 +44,7 @@
     def fill(self, blocks: int) -> None:
         """Keep so many other blocks."""
         now_ms = self.world.clock.now_ms()
-        wanted = tuple(Wanted(f"{number:032x}", 1) for number in range(blocks))
+        wanted = tuple(SlotRequest(f"{number:032x}", 1) for number in range(blocks))
         for ref in self.reserve(now_ms, wanted).refs:
             payload = kv_payload(ref.key)
             self.write(ref, payload)
@@ -61,13 +61,13 @@
         super().__init__(engine, clock, store_of, 0.0)
         self.world = world
 
-    async def _load(self, store, ref):
+    async def _load_block(self, store, ref):
         payload = await store.read(ref)
         self.read_at_ms = self.clock.now_ms()
         return payload
 
-    async def _fetch(self, order, ref, until_ms):
-        payload = await super()._fetch(order, ref, until_ms)
+    async def _fetch(self, order, ref, deadline_ms):
+        payload = await super()._fetch(order, ref, deadline_ms)
         if isinstance(payload, bytes):
             owner = self.world.owner_by_key.get(ref.key, ("", ""))
             checksum = block_checksum(ref.key, ref.generation, payload)
--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -134,7 +134,7 @@
         engine.hold_orders = True
         await self.begin(simulation)
         await simulation.run(1_500)
-        engine._held.clear()
+        engine._held_orders.clear()
         engine.hold_orders = False
         await simulation.finish()
         self.assert_done(simulation)
@@ -147,7 +147,7 @@
         await simulation.run(1_500)
         engine.hold_orders = False
         await simulation.finish()
-        engine.let_go()
+        engine.deliver_held_orders()
         await simulation.run(5_000)
         self.assert_done(simulation)
 
@@ -157,11 +157,11 @@
                 simulation = self.make_simulation()
 
                 def leave(simulation=simulation):
-                    simulation.table.away = True
+                    simulation.table.unavailable = True
 
                 await self.begin(simulation, at(step, leave))
                 await simulation.run(15_000)
-                simulation.table.away = False
+                simulation.table.unavailable = False
                 await simulation.finish()
                 self.assert_done(simulation)
 
@@ -187,14 +187,14 @@
             fencing_at_pause.append(simulation.row.fencing)
             simulation.clock.paused_ms += 30_000
             for orders in simulation.fleet.orders_by_name.values():
-                orders.taken.clear()
+                orders.applied_orders.clear()
 
         await self.begin(simulation, at(step, pause))
         simulation.add_driver("b")
         await simulation.finish()
         self.assertEqual(len(fencing_at_pause), 1)
         for orders in simulation.fleet.orders_by_name.values():
-            for order in orders.taken:
+            for order in orders.applied_orders:
                 self.assertGreater(order.fencing, fencing_at_pause[0])
         self.assert_done(simulation)
 
@@ -206,7 +206,7 @@
         driver = await self.begin(simulation)
         await simulation.run(750)
         await driver.stop()
-        self.assertEqual(len({order.order_id for order in engine._held}), 1)
+        self.assertEqual(len({order.order_id for order in engine._held_orders}), 1)
         return simulation, engine
 
     async def test_engine_that_honours_fencing_rejects_the_order_of_a_former_holder(
@@ -217,7 +217,7 @@
         simulation.add_driver("b")
         simulation.accept(3, "v3")
         await simulation.finish()
-        for result in engine.let_go():
+        for result in engine.deliver_held_orders():
             self.assertIsInstance(result, OrderRefused)
             self.assertEqual(result.reason, OrderReason.OLD_FENCING)
         self.assertEqual(simulation.versions, {"v3"})
@@ -237,9 +237,13 @@
         while simulation.row.fencing < 2:
             await simulation.run(250)
         await simulation.run(4_000)
-        taken = [o.taken for o in simulation.fleet.orders_by_name.values()]
-        self.assertTrue(all(o.fencing == 1 for orders in taken for o in orders))
-        engine.let_go()
+        applied_orders = [
+            o.applied_orders for o in simulation.fleet.orders_by_name.values()
+        ]
+        self.assertTrue(
+            all(o.fencing == 1 for orders in applied_orders for o in orders)
+        )
+        engine.deliver_held_orders()
         await simulation.finish()
         self.assertEqual(simulation.versions, {"v3"})
 
@@ -253,16 +257,16 @@
         """
         simulation, engine = await self.stop_driver_with_order_in_flight(False)
         engine.hold_orders = False
-        engine.orders.remembers_ids = False
+        engine.orders.deduplicates_orders = False
         simulation.add_driver("b")
         while simulation.row.fencing < 2:
             await simulation.run(250)
         await simulation.run(2_500)
         simulation.accept(3, "v3")
         await simulation.run(2_000)
-        engine.let_go()
+        engine.deliver_held_orders()
         await simulation.finish()
-        versions = [o.version_by_model[MODEL] for o in engine.orders.taken]
+        versions = [o.version_by_model[MODEL] for o in engine.orders.applied_orders]
         self.assertEqual(versions, sorted(versions))
         self.assertEqual(simulation.versions, {"v3"})
 
@@ -279,10 +283,10 @@
         simulation.add_driver("b")
         simulation.accept(3, "v3")
         await simulation.finish()
-        engine.let_go()
+        engine.deliver_held_orders()
         await simulation.run(500)
         self.assertEqual(
-            simulation.fleet.serving(simulation.clock.now_ms(), MODEL, "v3"), 5
+            simulation.fleet.count_serving(simulation.clock.now_ms(), MODEL, "v3"), 5
         )
         await simulation.run(20_000)
         self.assertEqual(simulation.versions, {"v3"})
