--- a/fireflyward/demo/_demo.py
+++ b/fireflyward/demo/_demo.py
@@ -6,7 +6,7 @@
 import aiohttp
 import msgspec
 
-from fireflyward.checker import Checker, Ending
+from fireflyward.checker import AttemptStatus, Checker
 from fireflyward.clock import Clock
 from fireflyward.load import LoadCaller, LoadPlan, LoadRequest, RequestMode, make_report
 from fireflyward.standins import EngineCosts
@@ -60,8 +60,8 @@
     ) -> None:
         self._deployment = deployment
         self._clock = Clock()
-        self._checker = Checker(sees_platform=False)
-        self._count_by_ending: Counter[Ending | None] = Counter()
+        self._checker = Checker(observes_platform=False)
+        self._count_by_ending: Counter[AttemptStatus | None] = Counter()
         self._plan = LoadPlan(0, 0, KEY_BY_ACCOUNT)
         self._caller = LoadCaller(
             session,
@@ -113,8 +113,8 @@
         """Combine the counts of the callers, the engines and the service."""
         load = make_report(
             requests=self._count_by_ending.total(),
-            answers=self._count_by_ending[Ending.ANSWERED],
-            unknown=self._count_by_ending[Ending.UNKNOWN],
+            answers=self._count_by_ending[AttemptStatus.ANSWERED],
+            unknown=self._count_by_ending[AttemptStatus.UNKNOWN],
             retries=self._caller.retries,
             seconds=0.0,
             first_token_ms=self._caller.first_token_ms,
--- a/fireflyward/load/_caller.py
+++ b/fireflyward/load/_caller.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from fireflyward.checker import (
-    Asked,
+    AttemptEnded,
+    AttemptStatus,
     BundleServed,
     Checker,
-    Ended,
-    Ending,
+    RequestSent,
 )
 from fireflyward.clock import Clock
 
@@ -51,7 +51,7 @@
     If ``is_connected`` is false, the node was unreachable and got no request.
     """
 
-    ending: Ending = Ending.CUT
+    ending: AttemptStatus = AttemptStatus.CUT
     text: str = ""
     run_id: str = ""
     bundle: int = 0
@@ -85,7 +85,7 @@
 
     async def send_until_final(
         self, request: LoadRequest, start_index: int = 0
-    ) -> Ending | None:
+    ) -> AttemptStatus | None:
         """Send a request, and retry it until its outcome is final.
 
         Returns None if the time limit passed without a final outcome. The first
@@ -94,8 +94,8 @@
         start_ms = self.clock.now_ms()
         is_call = request.mode is RequestMode.CALL
         answers = request.expected_answers(self.plan)
-        self.checker.see(
-            Asked(start_ms, request.name, request.account, answers, is_call)
+        self.checker.observe(
+            RequestSent(start_ms, request.name, request.account, answers, is_call)
         )
         result, unknown = AttemptResult(), 0
         for attempt in itertools.count(start_index):
@@ -103,9 +103,9 @@
             url = self.urls[attempt % len(self.urls)]
             result = await self._attempt(url, request, result)
             is_timed_out = self.clock.now_ms() - start_ms > self.time_limit_ms
-            unknown += result.ending is Ending.UNKNOWN
+            unknown += result.ending is AttemptStatus.UNKNOWN
             is_given_up = is_call and (is_timed_out or unknown >= _MAX_UNKNOWN_ANSWERS)
-            is_final = result.ending is Ending.ANSWERED or is_given_up
+            is_final = result.ending is AttemptStatus.ANSWERED or is_given_up
             if result.is_connected or is_final:
                 self._report_attempt(url, request, result, attempt_start_ms, is_final)
             if result.first_ms and attempt == start_index:
@@ -125,8 +125,8 @@
         is_final: bool,
     ) -> None:
         now_ms = self.clock.now_ms()
-        self.checker.see(
-            Ended(
+        self.checker.observe(
+            AttemptEnded(
                 now_ms,
                 request.name,
                 result.ending,
@@ -137,14 +137,14 @@
                 start_ms,
             )
         )
-        self.checker.see(BundleServed(now_ms, url, result.bundle, start_ms))
+        self.checker.observe(BundleServed(now_ms, url, result.bundle, start_ms))
 
     async def _attempt(
         self, url: str, request: LoadRequest, previous: AttemptResult
     ) -> AttemptResult:
         """Send one HTTP request, and read its response until it ends or breaks off."""
         result = AttemptResult()
-        if request.mode is RequestMode.STREAM and previous.ending is Ending.CUT:
+        if request.mode is RequestMode.STREAM and previous.ending is AttemptStatus.CUT:
             result.text, result.event_id = previous.text, previous.event_id
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=_CONNECT_TIMEOUT_S, sock_read=_READ_TIMEOUT_S
@@ -161,7 +161,7 @@
         except aiohttp.ClientConnectorError:
             result.is_connected = False
         except (aiohttp.ClientError, TimeoutError, OSError):
-            result.ending = Ending.CUT
+            result.ending = AttemptStatus.CUT
         return result
 
     def _body(self, request: LoadRequest) -> tuple[str, bytes]:
@@ -194,9 +194,9 @@
         result.run_id = headers.get("X-Request-Id", "")
         result.bundle = int(headers.get("X-Bundle", "0"))
         tag = headers.get("X-Outcome", "")
-        if tag != Ending.ANSWERED:
+        if tag != AttemptStatus.ANSWERED:
             result.code = _error_code(await response.read())
-            result.ending = Ending(tag) if tag else Ending.CUT
+            result.ending = AttemptStatus(tag) if tag else AttemptStatus.CUT
             after_s = float(headers.get("Retry-After", "0"))
             result.retry_after_ms = int(after_s * _MS_PER_SECOND)
         elif request.mode is RequestMode.STREAM:
@@ -209,7 +209,7 @@
                 if request.mode is RequestMode.CALL
                 else _answer_text(data)
             )
-            result.ending = Ending.ANSWERED
+            result.ending = AttemptStatus.ANSWERED
 
     async def _read_stream(
         self, response: aiohttp.ClientResponse, result: AttemptResult
@@ -222,12 +222,12 @@
             elif name == b"event":
                 is_error = value == b"error"
             elif name == b"data" and is_error:
-                result.ending = Ending(
+                result.ending = AttemptStatus(
                     msgspec.json.decode(value, type=_Error).error.type
                 )
                 return
             elif name == b"data" and value == _END_MARKER:
-                result.ending = Ending.ANSWERED
+                result.ending = AttemptStatus.ANSWERED
                 return
             elif name == b"data":
                 result.first_ms = result.first_ms or self.clock.now_ms()
@@ -247,6 +247,6 @@
 
 
 def _retry_delay_ms(result: AttemptResult) -> int:
-    if result.ending is Ending.CUT:
+    if result.ending is AttemptStatus.CUT:
         return _MIN_RETRY_DELAY_MS
     return min(max(result.retry_after_ms, _MIN_RETRY_DELAY_MS), _MAX_RETRY_DELAY_MS)
--- a/fireflyward/load/_run.py
+++ b/fireflyward/load/_run.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from fireflyward.checker import Checker, Ending
+from fireflyward.checker import AttemptStatus, Checker
 from fireflyward.clock import Clock
 
 from ._caller import LoadCaller
@@ -34,8 +34,8 @@
         checker: Checker | None = None,
         clock: Clock | None = None,
     ) -> None:
-        self.checker = checker or Checker(sees_platform=False)
-        self.count_by_ending: Counter[Ending | None] = Counter()
+        self.checker = checker or Checker(observes_platform=False)
+        self.count_by_ending: Counter[AttemptStatus | None] = Counter()
         self._plan = plan
         self._urls = urls
         self._callers = callers
@@ -66,8 +66,8 @@
         now_ms = self._clock.now_ms()
         return make_report(
             requests=self.count_by_ending.total(),
-            answers=self.count_by_ending[Ending.ANSWERED],
-            unknown=self.count_by_ending[Ending.UNKNOWN],
+            answers=self.count_by_ending[AttemptStatus.ANSWERED],
+            unknown=self.count_by_ending[AttemptStatus.UNKNOWN],
             retries=caller.retries,
             seconds=(now_ms - start_ms) / _MS_PER_SECOND,
             first_token_ms=caller.first_token_ms,
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -11,7 +11,13 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
-from fireflyward.checker import Asked, BundleServed, CallerLeft, Ended, Ending
+from fireflyward.checker import (
+    AttemptEnded,
+    AttemptStatus,
+    BundleServed,
+    CallerDisconnected,
+    RequestSent,
+)
 from fireflyward.standins import answer_text
 
 TOKENS = 6
@@ -151,7 +157,7 @@
 
     def __init__(self, world, ask: Ask) -> None:
         self.ask = ask
-        self.ending: Ending | None = None
+        self.ending: AttemptStatus | None = None
         self._world = world
         self._clock = world.clock
         self._writer: _Writer | None = None
@@ -164,7 +170,7 @@
         if self.ending is None and not self._has_left:
             self._has_left = True
             self._transport.is_gone = True
-            self._world.see(CallerLeft(self._clock.now_ms(), self.ask.name))
+            self._world.observe(CallerDisconnected(self._clock.now_ms(), self.ask.name))
 
     def slow_down(self, slow_ms: int) -> None:
         """Read each piece late."""
@@ -178,7 +184,9 @@
         only_once = ask.is_call or ask.is_once
         versions = self._world.versions
         answers = ask.answers(versions)
-        self._world.see(Asked(begun_ms, ask.name, ask.account, answers, only_once))
+        self._world.observe(
+            RequestSent(begun_ms, ask.name, ask.account, answers, only_once)
+        )
         while not self._has_left and self.ending is None:
             is_late = self._clock.now_ms() - begun_ms > _PATIENCE_MS
             node = self._world.ready_node()
@@ -206,18 +214,20 @@
         if b'"code":"internal"' in writer.data:
             self._world.errors.append(f"{self.ask.name}: internal error")
         is_final = not is_beside and (
-            ending is Ending.ANSWERED
-            or (only_once and (ending is Ending.UNKNOWN or is_late))
+            ending is AttemptStatus.ANSWERED
+            or (only_once and (ending is AttemptStatus.UNKNOWN or is_late))
         )
         run_id = writer.headers.get("X-Request-Id", "")
         now_ms, name = self._clock.now_ms(), node.settings["node_name"]
-        self._world.see(
-            Ended(now_ms, self.ask.name, ending, text, run_id, name, is_final, begun_ms)
+        self._world.observe(
+            AttemptEnded(
+                now_ms, self.ask.name, ending, text, run_id, name, is_final, begun_ms
+            )
         )
         self.ending = ending if is_final else self.ending
-        if ending is not Ending.CUT:
+        if ending is not AttemptStatus.CUT:
             number = int(writer.headers.get("X-Bundle", 0))
-            self._world.see(BundleServed(now_ms, name, number, begun_ms))
+            self._world.observe(BundleServed(now_ms, name, number, begun_ms))
 
     async def _send(self, node) -> _Writer:
         writer = _Writer(self._clock, self._transport)
@@ -252,28 +262,28 @@
     await response.write_eof()
 
 
-def _read(ask: Ask, writer: _Writer) -> tuple[Ending, str]:
+def _read(ask: Ask, writer: _Writer) -> tuple[AttemptStatus, str]:
     """Read a response as far as it came."""
     tag = writer.headers.get("X-Outcome", "")
-    if not tag or (tag != Ending.ANSWERED and not writer.is_ended):
-        return Ending.CUT, ""
-    if tag != Ending.ANSWERED:
-        return Ending(tag), ""
+    if not tag or (tag != AttemptStatus.ANSWERED and not writer.is_ended):
+        return AttemptStatus.CUT, ""
+    if tag != AttemptStatus.ANSWERED:
+        return AttemptStatus(tag), ""
     if ask.is_stream:
         return _read_stream(writer.data)
     if not writer.is_ended:
-        return Ending.CUT, ""
+        return AttemptStatus.CUT, ""
     if ask.is_call:
-        return Ending.ANSWERED, writer.data.decode()
-    return Ending.ANSWERED, json.loads(writer.data)["choices"][0]["text"]
+        return AttemptStatus.ANSWERED, writer.data.decode()
+    return AttemptStatus.ANSWERED, json.loads(writer.data)["choices"][0]["text"]
 
 
-def _read_stream(data: bytes) -> tuple[Ending, str]:
+def _read_stream(data: bytes) -> tuple[AttemptStatus, str]:
     text = ""
     for event in data.split(b"\n\n"):
         line = event.rpartition(b"data: ")[2]
         if event.startswith(b"event: error"):
-            return Ending(json.loads(line)["error"]["type"]), text
+            return AttemptStatus(json.loads(line)["error"]["type"]), text
         if line and line != b"[DONE]" and b"data: " in event:
             text += json.loads(line)["choices"][0].get("text") or ""
-    return (Ending.ANSWERED if data.endswith(_DONE) else Ending.CUT), text
+    return (AttemptStatus.ANSWERED if data.endswith(_DONE) else AttemptStatus.CUT), text
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -11,7 +11,7 @@
     BundleAccepted,
     Checker,
     NodeLost,
-    Reachable,
+    ReachabilityChanged,
     StopBegan,
 )
 from fireflyward.clock import Clock
@@ -56,7 +56,7 @@
         """Run for the given time and return the figures."""
         with tempfile.TemporaryDirectory() as folder:
             async with self._deployment:
-                self._checker.see(BundleAccepted(self._clock.now_ms(), 1, "1"))
+                self._checker.observe(BundleAccepted(self._clock.now_ms(), 1, "1"))
                 try:
                     return await self._run(Path(folder))
                 finally:
@@ -136,24 +136,24 @@
         return self._drawn.choice(self._nodes[0 if may_be_first else 1 :])
 
     def _see(self, kind, *fields) -> None:
-        self._checker.see(kind(self._clock.now_ms(), *fields))
+        self._checker.observe(kind(self._clock.now_ms(), *fields))
 
     async def _kill(self) -> None:
         node = self._pick(may_be_first=False)
         self._see(NodeLost, node.url)
-        self._see(Reachable, node.url, False)
+        self._see(ReachabilityChanged, node.url, False)
         node.send(signal.SIGKILL)
         await node.ended()
         await node.start()
-        self._see(Reachable, node.url, True)
+        self._see(ReachabilityChanged, node.url, True)
 
     async def _pause(self) -> None:
         node = self._pick(may_be_first=True)
-        self._see(Reachable, node.url, False)
+        self._see(ReachabilityChanged, node.url, False)
         node.send(signal.SIGSTOP)
         await asyncio.sleep(_PAUSE_S)
         node.send(signal.SIGCONT)
-        self._see(Reachable, node.url, True)
+        self._see(ReachabilityChanged, node.url, True)
 
     async def _stop(self) -> None:
         node = self._pick(may_be_first=False)
@@ -173,12 +173,12 @@
     async def _table_away(self) -> None:
         platform = self._deployment.platform
         for node in self._nodes:
-            self._see(Reachable, node.url, False)
+            self._see(ReachabilityChanged, node.url, False)
         platform.table.unavailable = platform.objects.unavailable = True
         await asyncio.sleep(_AWAY_S)
         platform.table.unavailable = platform.objects.unavailable = False
         for node in self._nodes:
-            self._see(Reachable, node.url, True)
+            self._see(ReachabilityChanged, node.url, True)
 
     async def _stores_slow(self) -> None:
         faults = [server.model.faults for server in self._stores()]
--- a/tests/membership/test_membership_states.py
+++ b/tests/membership/test_membership_states.py
@@ -23,7 +23,7 @@
         for name in NAMES:
             self.net.seed(name, SEEDS)
         self.cut = set()
-        self.net.is_cut = lambda one, other: frozenset((one, other)) in self.cut
+        self.net.is_blocked = lambda one, other: frozenset((one, other)) in self.cut
         self.highest_by_view = {}
 
     @rule(duration_ms=st.integers(50, 20_000))
@@ -76,7 +76,7 @@
     def replay(self, index, name):
         if self.net.sent and name in self.net.node_by_name:
             _, _, packet = self.net.sent[index % len(self.net.sent)]
-            self.net.tell(name, Received(packet))
+            self.net.deliver(name, Received(packet))
 
     @invariant()
     def incarnations_never_decrease(self):
