--- a/fireflyward/fleet/_callers.py
+++ b/fireflyward/fleet/_callers.py
@@ -1,4 +1,4 @@
-"""The door for callers: HTTP in, outcomes out."""
+"""The HTTP server for callers."""
 
 import asyncio
 import logging
@@ -16,9 +16,9 @@
 from fireflyward.outcomes import Answered, NotRun, Outcome, Reason, Unknown
 from fireflyward.platform import (
     CallerRequest,
-    answer_headers,
     decode_request,
-    refusal_headers,
+    rejection_headers,
+    response_headers,
     status_of,
 )
 from fireflyward.routes import Allowed, RouteTable
@@ -27,28 +27,29 @@
 
 log = logging.getLogger("fireflyward.callers")
 
-# Longest line and header that are read; the configuration's own limit is checked
-# on what was read.
-_HEADER_BYTES = 65_536
-# Idle connections live at least as long as callers reuse them: four fifths of the
-# configured idle limit, which the first configuration tells after the start.
+# Longest line and header that the HTTP parser accepts. The configured limit on the size
+# of all headers is checked after parsing.
+_MAX_LINE_BYTES = 65_536
+# Callers reuse an idle connection for up to four fifths of the configured idle limit.
+# The server starts before the node has the first configuration, so this value is
+# fixed and must be at least as long.
 _KEEP_ALIVE_S = 75.0
-_BODY_MS = 10_000
-# Two spaces, the protocol's version and a line's end; a colon, a space and a line's
-# end for each header.
-_LINE_REST_BYTES = 12
-_FIELD_REST_BYTES = 4
-# Nobody gets this one; it is only what aiohttp asks a handler to return.
+_BODY_TIMEOUT_MS = 10_000
+# A request line also has two spaces, the protocol version and a line end. Each header
+# also has a colon, a space and a line end.
+_REQUEST_LINE_OVERHEAD_BYTES = 12
+_HEADER_OVERHEAD_BYTES = 4
+# This status is never sent; aiohttp requires a handler to return a response.
 _CALLER_GONE_STATUS = 499
 
 
 class _AiohttpReply:
-    """The way back to one caller; headers go out with the first event."""
+    """Sends the response to one caller; a stream's headers precede its first event."""
 
-    __slots__ = ("_door", "_request", "response")
+    __slots__ = ("_request", "_server", "response")
 
-    def __init__(self, door: "CallerDoor", request: BaseRequest) -> None:
-        self._door = door
+    def __init__(self, server: "CallerServer", request: BaseRequest) -> None:
+        self._server = server
         self._request = request
         self.response: StreamResponse | None = None
 
@@ -56,20 +57,20 @@
         response = Response(
             status=head.status,
             reason=head.reason,
-            headers=CIMultiDict(answer_headers(head)),
+            headers=CIMultiDict(response_headers(head)),
             body=body,
         )
         self.response = response
-        await self._door.send(self._request, response)
+        await self._server.send(self._request, response)
 
     async def begin_stream(self, head: Head) -> None:
         self.response = StreamResponse(
             status=head.status,
             reason=head.reason,
-            headers=CIMultiDict(answer_headers(head)),
+            headers=CIMultiDict(response_headers(head)),
         )
         self.response.enable_chunked_encoding()
-        self._door.close_if_stopping(self.response)
+        self._server.close_if_stopping(self.response)
         await self.response.prepare(self._request)
 
     async def send_event(self, data: bytes) -> None:
@@ -79,8 +80,8 @@
         await self.response.write_eof()
 
 
-class CallerDoor:
-    """Reads requests, has them decided and forwarded, and answers each once."""
+class CallerServer:
+    """Reads requests, authorizes and forwards them, and sends one response to each."""
 
     def __init__(
         self,
@@ -101,8 +102,8 @@
             handler_cancellation=True,
             access_log=None,
             logger=log,
-            max_line_size=_HEADER_BYTES,
-            max_field_size=_HEADER_BYTES,
+            max_line_size=_MAX_LINE_BYTES,
+            max_field_size=_MAX_LINE_BYTES,
             keepalive_timeout=_KEEP_ALIVE_S,
             auto_decompress=False,
         )
@@ -120,30 +121,30 @@
         return address_of(self._listener)
 
     def begin_stop(self) -> None:
-        """Ask callers from now on to open their next connection elsewhere."""
+        """Send ``Connection: close`` with all responses from now on."""
         self._is_stopping = True
 
     def close_listener(self) -> None:
-        """Accept no new connection."""
+        """Stop accepting new connections."""
         if self._listener is not None:
             self._listener.close()
 
     async def drain(self, limit_ms: float) -> None:
-        """Close idle connections, and each other one after its response.
+        """Close idle connections at once, and each other one after its response.
 
-        Marked first, an idle connection ends at once. Otherwise it would stay open
-        until the limit without being read, and a request sent on it be lost.
+        ``pre_shutdown`` is necessary for the idle ones. Without it they would stay
+        open until the limit without being read, and requests sent on them be lost.
         """
         self._server.pre_shutdown()
         await self._server.shutdown(limit_ms / 1_000)
 
     def close_if_stopping(self, response: StreamResponse) -> None:
-        """Have a response end its connection while the process stops."""
+        """Let a response close its connection if the process is stopping."""
         if self._is_stopping:
             response.force_close()
 
     async def send(self, request: BaseRequest, response: StreamResponse) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         self.close_if_stopping(response)
         await response.prepare(request)
         await response.write_eof()
@@ -160,12 +161,14 @@
             caller = decode_request(
                 request.method, request.raw_path, request.headers.items()
             )
-            outcome = await self._served(request, caller, reply, arrived_ms, trace)
+            outcome = await self._serve_safely(
+                request, caller, reply, arrived_ms, trace
+            )
             response = await self._finish(request, caller, reply, outcome)
             return response
         except ConnectionError:
-            # The caller went away while its answer was written; what is returned
-            # here finds the connection closed too.
+            # The caller closed the connection while its response was written, so the
+            # response that is returned here is not sent either.
             return reply.response or Response(status=_CALLER_GONE_STATUS)
         finally:
             self.in_flight -= 1
@@ -173,9 +176,9 @@
                 "status": response.status if response is not None else None,
                 "made_by": "replica" if reply.response is not None else "node",
             }
-            self._note(caller, outcome, arrived_ms, trace, fields)
+            self._record(caller, outcome, arrived_ms, trace, fields)
 
-    async def _served(
+    async def _serve_safely(
         self,
         request: BaseRequest,
         caller: CallerRequest | NotRun,
@@ -183,13 +186,13 @@
         arrived_ms: int,
         trace: Trace,
     ) -> Outcome:
-        """Serve a request; a fault of the program fails just that one, loudly."""
+        """Serve a request; log an unexpected exception and fail only this request."""
         try:
             return await self._serve(request, caller, reply, arrived_ms, trace)
         except ConnectionError:
             return Unknown(Reason.CALLER_GONE)
         except Exception:
-            log.exception("callers: a request failed by a fault of the program")
+            log.exception("callers: a request failed with an unexpected exception")
             return Unknown(Reason.INTERNAL)
 
     async def _serve(
@@ -203,12 +206,13 @@
         if isinstance(caller, NotRun):
             return caller
         if _header_bytes(request) > self._limits.max_header_bytes:
-            return NotRun(Reason.HEADERS_TOO_LARGE, "headers over the limit")
+            return NotRun(Reason.HEADERS_TOO_LARGE, "headers exceed the limit")
         body = await self._read_body(request)
         if isinstance(body, NotRun):
             return body
-        await self._gate.passed()
-        # Decided after the body is in: a key that was withdrawn meanwhile is seen.
+        await self._gate.wait_until_open()
+        # The key is checked after the body has arrived, so that a key withdrawn during
+        # that time is rejected.
         allowed = self._routes.decide(
             self._clock.now_ms(),
             host=caller.host,
@@ -232,15 +236,15 @@
         if isinstance(outcome, Answered):
             return reply.response
         if reply.response is not None:
-            # Without the end mark the caller sees that its stream is not whole; on
-            # a closing connection none is written.
+            # Closing the connection keeps aiohttp from writing the last chunk, so that
+            # the caller detects that its stream is incomplete.
             if request.transport is not None:
                 request.transport.close()
             return reply.response
         request_id = caller.request_id if isinstance(caller, CallerRequest) else None
         response = Response(
             status=status_of(outcome),
-            headers=CIMultiDict(refusal_headers(request_id, outcome)),
+            headers=CIMultiDict(rejection_headers(request_id, outcome)),
             text=outcome.reason.value,
         )
         await self.send(request, response)
@@ -256,17 +260,19 @@
         if not request.body_exists:
             return b""
         if (request.content_length or 0) > limit:
-            return NotRun(Reason.TOO_LARGE, "body over the limit")
+            return NotRun(Reason.TOO_LARGE, "body exceeds the limit")
         if request.headers.get("Expect", "").lower() == "100-continue":
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        read = await within_ms(self._clock, _BODY_MS, _up_to(request, limit))
+        read = await within_ms(
+            self._clock, _BODY_TIMEOUT_MS, _read_up_to(request, limit)
+        )
         if isinstance(read, TimedOut):
-            return NotRun(Reason.BODY_TIMEOUT, "body did not come")
+            return NotRun(Reason.BODY_TIMEOUT, "body did not arrive in time")
         if len(read) > limit:
-            return NotRun(Reason.TOO_LARGE, "body over the limit")
+            return NotRun(Reason.TOO_LARGE, "body exceeds the limit")
         return read
 
-    def _note(
+    def _record(
         self,
         caller: CallerRequest | NotRun | None,
         outcome: Outcome,
@@ -274,10 +280,10 @@
         trace: Trace,
         answer: dict[str, object],
     ) -> None:
-        """Count a request, and write its one line.
+        """Count a request in the metrics and log it in one line.
 
-        ``answer`` holds the status that the caller got and who made it: a
-        replica's own failure is an answer too.
+        ``answer`` holds the status of the response and whether a replica or the node
+        created it; a replica's error response counts as an answer too.
         """
         now_ms = self._clock.now_ms()
         took_ms = now_ms - arrived_ms
@@ -304,19 +310,19 @@
 
 
 def address_of(listener: asyncio.Server) -> str:
-    """Return ``IP:PORT`` of a listener."""
+    """Return the ``IP:PORT`` of a listener."""
     host, port = listener.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
 
 
 def _header_bytes(request: BaseRequest) -> int:
-    """Return the size of a request's first line and headers on the wire."""
-    line = len(request.method) + len(request.raw_path) + _LINE_REST_BYTES
+    """Return the size of a request line and its headers on the wire."""
+    line = len(request.method) + len(request.raw_path) + _REQUEST_LINE_OVERHEAD_BYTES
     fields = sum(len(name) + len(value) for name, value in request.raw_headers)
-    return line + fields + _FIELD_REST_BYTES * len(request.raw_headers)
+    return line + fields + _HEADER_OVERHEAD_BYTES * len(request.raw_headers)
 
 
-async def _up_to(request: BaseRequest, limit: int) -> bytes:
+async def _read_up_to(request: BaseRequest, limit: int) -> bytes:
     parts, size = [], 0
     async for part in request.content.iter_any():
         parts.append(part)
--- a/fireflyward/fleet/_logs.py
+++ b/fireflyward/fleet/_logs.py
@@ -1,4 +1,4 @@
-"""Structured lines on standard output that never hold the process up."""
+"""Writes structured log lines to standard output without blocking the process."""
 
 import logging
 import os
@@ -7,14 +7,17 @@
 
 from fireflyward.clock import Clock
 
-# Lines a second beyond which only warnings pass; a full pipe and the processor
-# time of writing must not become the callers' latency when load is at its worst.
-_LINES_PER_SECOND = 60
-_OWN = frozenset(logging.makeLogRecord({}).__dict__) | {"message", "asctime"}
+# Above this rate only warnings and errors are written. A full pipe and the processor
+# time of logging must not add to the callers' latency at peak load.
+_MAX_LINES_PER_SECOND = 60
+_STANDARD_ATTRIBUTES = frozenset(logging.makeLogRecord({}).__dict__) | {
+    "message",
+    "asctime",
+}
 
 
 class LineHandler(logging.Handler):
-    """Writes one JSON object a line; what does not fit is counted and dropped."""
+    """Writes one JSON object per line; counts the lines that it must drop."""
 
     def __init__(self, descriptor: int, *, clock: Clock) -> None:
         super().__init__()
@@ -31,7 +34,7 @@
         if now_ms // 1_000 != self._second:
             self._second, self._lines = now_ms // 1_000, 0
         self._lines += 1
-        if self._lines > _LINES_PER_SECOND and record.levelno < logging.WARNING:
+        if self._lines > _MAX_LINES_PER_SECOND and record.levelno < logging.WARNING:
             self._dropped += 1
             return
         self._write(self._line(record, now_ms))
@@ -52,18 +55,23 @@
             os.write(self._descriptor, line)
             self._dropped = 0
         except OSError:
-            # A reader that is slower than we are; it learns how many it missed.
+            # The reader is slower than this process. The next line reports how many
+            # lines were dropped before it.
             self._dropped += 1
 
 
 def _extra(record: logging.LogRecord) -> dict[str, object]:
-    """Return what was logged beside the message, without what is empty."""
-    extra = {key: item for key, item in record.__dict__.items() if key not in _OWN}
+    """Return the fields that were logged beside the message, without empty ones."""
+    extra = {
+        key: item
+        for key, item in record.__dict__.items()
+        if key not in _STANDARD_ATTRIBUTES
+    }
     extra |= extra.pop("fields", {})
     return {key: item for key, item in extra.items() if item not in ("", None)}
 
 
-def set_up_lines(clock: Clock) -> None:
+def set_up_logging(clock: Clock) -> None:
     """Send the package's logs to standard output as JSON lines."""
     logger = logging.getLogger("fireflyward")
     logger.handlers[:] = [LineHandler(1, clock=clock)]
--- a/fireflyward/forwarding/_request_run.py
+++ b/fireflyward/forwarding/_request_run.py
@@ -170,7 +170,7 @@
                 return await self._send_over(connection, choice)
             # The replica's limit, backoff or leaving state changed while the connection
             # was opened, so the choice is no longer valid.
-            self._deps.pool.give_back(connection)
+            self._deps.pool.release(connection)
             self._stop_late_wait(None)
 
     def _no_replica(self) -> NoReplica:
@@ -180,7 +180,7 @@
     async def _connect(
         self, replica: ReplicaState, left_ms: float
     ) -> HttpConnection | NotConnected:
-        return await self._deps.pool.take(
+        return await self._deps.pool.acquire(
             replica.entry.address,
             connect_ms=min(_CONNECT_TIMEOUT_MS, left_ms),
             fresh=replica.is_suspect(self._clock.now_ms()),
--- a/fireflyward/platform/__init__.py
+++ b/fireflyward/platform/__init__.py
@@ -1,11 +1,14 @@
-"""The users' platform: its names, formats and calls; nothing here decides."""
+"""Adapter for the users' platform: its wire names, its formats and its calls.
+
+This package only encodes and decodes; it makes no decisions.
+"""
 
 from ._configuration import (
     decode_configuration,
     decode_evacuation,
     decode_weight_target,
 )
-from ._notices import RateLimit, ReplicaNotices, Unreadable
+from ._notices import InvalidHeader, RateLimit, ReplicaNotices
 from ._replica_api import OrderResult, ReplicaApi, ReplicaReport
 from ._replica_list import decode_replica
 from ._requests import (
@@ -14,11 +17,11 @@
     ReplicaHeaders,
     ReplicaLoad,
     ResponseFacts,
-    answer_headers,
     decode_request,
     decode_response,
     encode_request,
-    refusal_headers,
+    rejection_headers,
+    response_headers,
     status_of,
 )
 from ._settings import SETTINGS_VARIABLE, BadSettings, load_settings
@@ -54,8 +57,8 @@
     "ReplicaReport",
     "ResponseFacts",
     "StoreClient",
-    "Unreadable",
-    "answer_headers",
+    "InvalidHeader",
+    "response_headers",
     "decode_configuration",
     "decode_evacuation",
     "decode_replica",
@@ -64,6 +67,6 @@
     "decode_weight_target",
     "encode_request",
     "load_settings",
-    "refusal_headers",
+    "rejection_headers",
     "status_of",
 ]
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -42,12 +42,12 @@
         self.taken = []
         self.given_back = []
 
-    async def take(self, address, *, connect_ms, fresh=False):
+    async def acquire(self, address, *, connect_ms, fresh=False):
         self.taken.append(SilentConnection(address))
         await self.may_open.wait()
         return self.taken[-1]
 
-    def give_back(self, connection):
+    def release(self, connection):
         self.given_back.append(connection)
 
 
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -9,7 +9,7 @@
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, Evacuation, ReplicaEntry, WeightTarget
 from fireflyward.feeds import Changes, HistoryLost, Snapshot, TableRow, TableUpdate
-from fireflyward.fleet._peers import PeerRegister
+from fireflyward.fleet._peers import NodeRegistry
 from fireflyward.fleet._views import OperatorView, ReplicaView
 from fireflyward.forwarding import WeightVersions
 from fireflyward.http1 import ConnectionPool
@@ -142,13 +142,13 @@
         )
         clock = Clock()
         directory = ReplicaDirectory()
-        routes = RouteTable(revoke_ms=5_000, closes_without_contact=True)
+        routes = RouteTable(revoke_ms=5_000, fails_closed=True)
         ReplicaView(
             clock=clock,
             directory=directory,
             pool=ConnectionPool(clock),
             on_gone=lambda state: None,
-        ).on_news(news)
+        ).on_table_update(news)
         OperatorView(
             clock=clock,
             routes=routes,
@@ -156,8 +156,8 @@
             directory=directory,
             failure_domains=("a",),
             on_configuration=lambda configuration: None,
-        ).on_news(news)
-        PeerRegister(None, "n").on_news(news)
+        ).on_table_update(news)
+        NodeRegistry(None, "n").on_table_update(news)
 
     @fuzz(150)
     @given(bodies() | suspect_bodies())
