--- a/fireflyward/checker/_bundles.py
+++ b/fireflyward/checker/_bundles.py
@@ -71,8 +71,8 @@
         node, number = observation.node, observation.number
         if not number:
             return
-        begun_ms = observation.begun_ms if observation.begun_ms >= 0 else None
-        highest = self._highest_at(node, begun_ms)
+        started_ms = observation.started_ms if observation.started_ms >= 0 else None
+        highest = self._highest_at(node, started_ms)
         if number < highest:
             self._add(observation.at_ms, f"{node} went from {highest} to {number}")
         seen = self._served_by_node.setdefault(node, [])
@@ -95,7 +95,7 @@
     def _check_in_force(self, observation: BundleServed) -> None:
         reachable_ms = self._reachable_since_ms.get(observation.node, 0)
         served_ms = (
-            observation.begun_ms if observation.begun_ms >= 0 else observation.at_ms
+            observation.started_ms if observation.started_ms >= 0 else observation.at_ms
         )
         for number, accepted_ms in self._accepted_ms_by_number.items():
             due_ms = max(accepted_ms, reachable_ms) + self._in_force_limit_ms
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -39,7 +39,7 @@
 
     ``AttemptStatus.CUT`` means that the connection was lost without an outcome.
     ``node`` is the node that the caller was connected to. ``is_final`` is false when
-    the caller is going to retry. ``begun_ms`` is when the attempt began, or -1 if
+    the caller is going to retry. ``started_ms`` is when the attempt began, or -1 if
     that is not known.
     """
 
@@ -50,7 +50,7 @@
     run_id: str = ""
     node: str = ""
     is_final: bool = True
-    begun_ms: int = -1
+    started_ms: int = -1
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,14 +142,14 @@
     """A node served a caller under bundle ``number`` (the ``X-Bundle`` header).
 
     A node fixes the number when a request arrives, so a long request may end with a
-    lower number than a short one that was sent later. ``begun_ms`` is when the
+    lower number than a short one that was sent later. ``started_ms`` is when the
     request was sent, or -1 if that is not known.
     """
 
     at_ms: int
     node: str
     number: int
-    begun_ms: int = -1
+    started_ms: int = -1
 
 
 @dataclass(frozen=True, slots=True)
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -167,8 +167,8 @@
     """Return whether a run belongs to an attempt, by run id or by node and time."""
     if run.run_id == ended.run_id:
         return True
-    has_window = ended.begun_ms >= 0 and run.node == ended.node != ""
-    return has_window and ended.begun_ms <= run.at_ms <= ended.at_ms
+    has_window = ended.started_ms >= 0 and run.node == ended.node != ""
+    return has_window and ended.started_ms <= run.at_ms <= ended.at_ms
 
 
 def _may_have_caused(attempt: AttemptEnded, run: RunStarted) -> bool:
@@ -177,7 +177,7 @@
         return False
     if attempt.run_id == run.run_id:
         return True
-    return attempt.node == run.node != "" and attempt.begun_ms <= run.at_ms
+    return attempt.node == run.node != "" and attempt.started_ms <= run.at_ms
 
 
 def _false_refusal(at_ms: int, name: str) -> Violation:
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -60,8 +60,12 @@
     "a run of an earlier attempt still in flight": [
         SENT,
         RunStarted(1, "e", "r", "key", node="n1"),
-        AttemptEnded(4, "r", AttemptStatus.NOT_RUN, run_id="id", node="n2", begun_ms=0),
-        AttemptEnded(6, "r", AttemptStatus.NOT_RUN, run_id="id", node="n1", begun_ms=5),
+        AttemptEnded(
+            4, "r", AttemptStatus.NOT_RUN, run_id="id", node="n2", started_ms=0
+        ),
+        AttemptEnded(
+            6, "r", AttemptStatus.NOT_RUN, run_id="id", node="n1", started_ms=5
+        ),
     ],
     "a block freed after it was read": [SEALED, BlockFreed(9, "store", "b", 1), read()],
     "a run that continues across a weight swap": [
@@ -84,8 +88,8 @@
     "a long request that ends after a short one of a newer bundle": [
         BundleAccepted(0, 1, "d1"),
         BundleAccepted(1, 2, "d2"),
-        BundleServed(5, "n1", 2, begun_ms=4),
-        BundleServed(20_000, "n1", 1, begun_ms=3),
+        BundleServed(5, "n1", 2, started_ms=4),
+        BundleServed(20_000, "n1", 1, started_ms=3),
     ],
     "a node that could not reach the platform": [
         BundleAccepted(0, 1, "d1"),
@@ -147,7 +151,7 @@
             SENT,
             RunStarted(2, "e", "r", "key", node="n1"),
             AttemptEnded(
-                3, "r", AttemptStatus.NOT_RUN, run_id="id", node="n1", begun_ms=1
+                3, "r", AttemptStatus.NOT_RUN, run_id="id", node="n1", started_ms=1
             ),
         ],
     ),
@@ -212,8 +216,8 @@
         [
             BundleAccepted(0, 1, "d1"),
             BundleAccepted(1, 2, "d2"),
-            BundleServed(5, "n1", 2, begun_ms=4),
-            BundleServed(9, "n1", 1, begun_ms=6),
+            BundleServed(5, "n1", 2, started_ms=4),
+            BundleServed(9, "n1", 1, started_ms=6),
         ],
     ),
     "a node that keeps an older bundle past the limit": (
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -180,15 +180,15 @@
 
     async def run(self) -> None:
         """Ask until there is an answer, or an outcome that forbids asking again."""
-        ask, begun_ms = self.ask, self._clock.now_ms()
+        ask, started_ms = self.ask, self._clock.now_ms()
         only_once = ask.is_call or ask.is_once
         versions = self._world.versions
         answers = ask.answers(versions)
         self._world.observe(
-            RequestSent(begun_ms, ask.name, ask.account, answers, only_once)
+            RequestSent(started_ms, ask.name, ask.account, answers, only_once)
         )
         while not self._has_left and self.ending is None:
-            is_late = self._clock.now_ms() - begun_ms > _PATIENCE_MS
+            is_late = self._clock.now_ms() - started_ms > _PATIENCE_MS
             node = self._world.ready_node()
             if node is not None:
                 await self._attempt(node, only_once, is_late)
@@ -206,7 +206,7 @@
     async def _attempt(
         self, node, only_once: bool, is_late: bool, *, is_beside: bool = False
     ) -> None:
-        begun_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         writer = await self._send(node)
         if self._has_left:
             return
@@ -221,13 +221,13 @@
         now_ms, name = self._clock.now_ms(), node.settings["node_name"]
         self._world.observe(
             AttemptEnded(
-                now_ms, self.ask.name, ending, text, run_id, name, is_final, begun_ms
+                now_ms, self.ask.name, ending, text, run_id, name, is_final, started_ms
             )
         )
         self.ending = ending if is_final else self.ending
         if ending is not AttemptStatus.CUT:
             number = int(writer.headers.get("X-Bundle", 0))
-            self._world.observe(BundleServed(now_ms, name, number, begun_ms))
+            self._world.observe(BundleServed(now_ms, name, number, started_ms))
 
     async def _send(self, node) -> _Writer:
         writer = _Writer(self._clock, self._transport)
