--- a/fireflyward/checker/__init__.py
+++ b/fireflyward/checker/__init__.py
@@ -15,7 +15,7 @@
     ReachabilityChanged,
     RequestSent,
     RunStarted,
-    StopBegan,
+    StopStarted,
     UpstreamLeaving,
 )
 from ._promises import Promise, Violation
@@ -36,7 +36,7 @@
     "Promise",
     "RunStarted",
     "ReachabilityChanged",
-    "StopBegan",
+    "StopStarted",
     "UpstreamLeaving",
     "Violation",
 ]
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -17,7 +17,7 @@
     ReachabilityChanged,
     RequestSent,
     RunStarted,
-    StopBegan,
+    StopStarted,
     UpstreamLeaving,
 )
 from ._promises import Promise, Violation
@@ -74,7 +74,7 @@
         raise TypeError(f"no check handles {observation!r}")
 
     @observe.register(
-        RequestSent | AttemptEnded | CallerDisconnected | StopBegan | NodeLost
+        RequestSent | AttemptEnded | CallerDisconnected | StopStarted | NodeLost
     )
     def _(self, observation: Observation) -> None:
         self._requests.observe(observation)
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -162,7 +162,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopBegan:
+class StopStarted:
     """A node received the order for a planned stop."""
 
     at_ms: int
@@ -189,6 +189,6 @@
     | BundleAccepted
     | BundleServed
     | ReachabilityChanged
-    | StopBegan
+    | StopStarted
     | NodeLost
 )
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -11,7 +11,7 @@
     Observation,
     RequestSent,
     RunStarted,
-    StopBegan,
+    StopStarted,
 )
 from ._promises import Promise, Violation
 
@@ -83,7 +83,7 @@
         self._request_by_name[observation.request].is_finished = True
 
     @observe.register
-    def _(self, observation: StopBegan) -> None:
+    def _(self, observation: StopStarted) -> None:
         self._stopping_nodes.add(observation.node)
 
     @observe.register
--- a/tests/checker/test_checker.py
+++ b/tests/checker/test_checker.py
@@ -15,7 +15,7 @@
     ReachabilityChanged,
     RequestSent,
     RunStarted,
-    StopBegan,
+    StopStarted,
     UpstreamLeaving,
 )
 
@@ -80,7 +80,7 @@
     ],
     "a crash during a planned stop": [
         SENT,
-        StopBegan(1, "n1"),
+        StopStarted(1, "n1"),
         NodeLost(2, "n1"),
         AttemptEnded(3, "r", AttemptStatus.CUT, "whole", "id", "n1", is_final=False),
         ANSWERED,
@@ -198,7 +198,7 @@
         Promise.GRACEFUL_STOP,
         [
             SENT,
-            StopBegan(1, "n1"),
+            StopStarted(1, "n1"),
             AttemptEnded(2, "r", AttemptStatus.CUT, "whole", "id", "n1"),
         ],
     ),
--- a/tests/faults/_world.py
+++ b/tests/faults/_world.py
@@ -25,7 +25,7 @@
     Checker,
     NodeLost,
     ReachabilityChanged,
-    StopBegan,
+    StopStarted,
 )
 from fireflyward.clock import ManualClock
 from fireflyward.daemon import Node
@@ -246,7 +246,7 @@
 
     def stop_node(self, name: str) -> asyncio.Task:
         node = self.node_by_name[name]
-        self.observe(StopBegan(self.clock.now_ms(), name))
+        self.observe(StopStarted(self.clock.now_ms(), name))
         return node.process.spawn(node.stop())
 
     def see_reachable(self) -> None:
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -12,7 +12,7 @@
     Checker,
     NodeLost,
     ReachabilityChanged,
-    StopBegan,
+    StopStarted,
 )
 from fireflyward.clock import Clock
 from fireflyward.demo import DemoDeployment
@@ -157,7 +157,7 @@
 
     async def _stop(self) -> None:
         node = self._pick(may_be_first=False)
-        self._see(StopBegan, node.url)
+        self._see(StopStarted, node.url)
         node.send(signal.SIGTERM)
         code = await node.ended()
         self._count_by_event[f"planned stop ended with {code}"] += 1
