--- a/benchmarks/capacity/_states.py
+++ b/benchmarks/capacity/_states.py
@@ -91,7 +91,7 @@
 
 
 def _full_record() -> PrefixRecord:
-    """Return a record that has the most entries that it can have."""
+    """Return a record with the maximum number of entries."""
     record = PrefixRecord()
     highest = index = 0
     while len(record) >= highest:
--- a/fireflyward/bench/_balancing.py
+++ b/fireflyward/bench/_balancing.py
@@ -207,7 +207,7 @@
 
     @property
     def runs(self) -> list[EngineRun]:
-        """The runs that the replicas accepted."""
+        """Return the runs that the replicas accepted."""
         return [run for _, _, run in self._runs]
 
     def _schedule(
--- a/fireflyward/bench/_load_mesh.py
+++ b/fireflyward/bench/_load_mesh.py
@@ -82,7 +82,7 @@
         }
 
     def run(self, duration_ms: int) -> None:
-        """Advance the clock and run all events up to that time."""
+        """Advance the clock by ``duration_ms`` and run all events that are due."""
         until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             self.now_ms += _TICK_MS
--- a/fireflyward/bench/_membership_net.py
+++ b/fireflyward/bench/_membership_net.py
@@ -97,7 +97,7 @@
         self._handle(name, message)
 
     def run_ms(self, duration_ms: int) -> None:
-        """Advance the clock and run all events up to that time."""
+        """Advance the clock by ``duration_ms`` and run all events that are due."""
         until_ms = self.now_ms + duration_ms
         while self._events and self._events[0][0] <= until_ms:
             self.now_ms, _, name, message = heapq.heappop(self._events)
@@ -110,7 +110,7 @@
     def run_until(
         self, done: Callable[[], bool], limit_ms: int, *, step_ms: int = 50
     ) -> int | None:
-        """Advance the clock until ``done``; return the duration, None at the limit."""
+        """Advance the clock until ``done``; return the duration, or None at the limit."""
         began_ms = self.now_ms
         while not done():
             if self.now_ms - began_ms >= limit_ms:
--- a/fireflyward/bench/measures/bundle_spread.py
+++ b/fireflyward/bench/measures/bundle_spread.py
@@ -188,8 +188,8 @@
     in_force_ms = 0
     for _ in range(_ACCEPTANCES):
         spread.head_number += 1
-        took_ms = spread.run_until_in_force(list(spread.follower_by_name), 60_000)
-        in_force_ms = max(in_force_ms, took_ms)
+        duration_ms = spread.run_until_in_force(list(spread.follower_by_name), 60_000)
+        in_force_ms = max(in_force_ms, duration_ms)
         spread.run(_BETWEEN_CHANGES_MS)
     counts, elapsed_s = spread.counts, (spread.now_ms - began_ms) / 1_000
     without_announcements = SpreadSimulation(nodes, domains, seed=nodes, lost_share=1.0)
@@ -213,7 +213,7 @@
 
 
 def _partition_figures(nodes: int, domains: int) -> list[Figure]:
-    """Accept a bundle while one domain is partitioned; heal it after a minute."""
+    """Accept a bundle while one domain is partitioned for a minute, then reconnect it."""
     spread = SpreadSimulation(nodes, domains, seed=nodes + 1)
     spread.run(_SETTLING_MS)
     spread.partitioned_domains = {0}
@@ -222,14 +222,14 @@
     spread.head_number += 1
     outside_ms = spread.run_until_in_force(outside, 60_000)
     spread.run(_OUTAGE_MS - outside_ms)
-    ahead = sum(spread.follower_by_name[name].number > 1 for name in inside)
+    updated_inside = sum(spread.follower_by_name[name].number > 1 for name in inside)
     spread.partitioned_domains = set()
     after_healing_ms = spread.run_until_in_force(list(inside), 60_000)
     prefix = "bundle_spread.cut_off"
     return [
         Figure(f"{prefix}.others_in_force_ms", outside_ms, "ms"),
         Figure(f"{prefix}.in_force_after_healing_ms", after_healing_ms, "ms"),
-        Figure(f"{prefix}.nodes_inside_ahead_of_their_time", ahead, ""),
+        Figure(f"{prefix}.nodes_inside_ahead_of_their_time", updated_inside, ""),
     ]
 
 
--- a/fireflyward/bench/measures/kept_index.py
+++ b/fireflyward/bench/measures/kept_index.py
@@ -20,20 +20,20 @@
 _BLOCKS_PER_PROMPT = 40
 _PROMPTS_PER_ACCOUNT = 17
 # Largest share of the index at one of 35 nodes, from the measurement kept_shards.
-_MAX_HELD_SHARE = 0.09
+_MAX_INDEX_SHARE = 0.09
 _PROMPTS_PER_REGION = 320_000 / 3
 _KEY_DIGITS = 32
 
 
 def run() -> list[Figure]:
-    """Return the costs per prompt and per entry, and those of a node as planned."""
+    """Return the costs per prompt and per entry, and those of a node at the planned size."""
     small, large = _changes(_SMALL_PROMPTS), _changes(_LARGE_PROMPTS)
     prompts = _LARGE_PROMPTS - _SMALL_PROMPTS
     bytes_per_prompt = (_index_bytes(large) - _index_bytes(small)) / prompts
     entries_per_prompt = (len(large) - len(small)) / prompts
     listing_bytes_per_entry = len(msgspec.json.encode(large)) / len(large)
     seconds_per_entry = _rebuild_s(large) / len(large)
-    prompts_per_node = _PROMPTS_PER_REGION * _MAX_HELD_SHARE
+    prompts_per_node = _PROMPTS_PER_REGION * _MAX_INDEX_SHARE
     entries_per_node = prompts_per_node * entries_per_prompt
     megabytes_per_node = prompts_per_node * bytes_per_prompt / 1e6
     return [
--- a/fireflyward/bench/measures/kept_shards.py
+++ b/fireflyward/bench/measures/kept_shards.py
@@ -13,11 +13,11 @@
     """Return shares of the index in a failure domain of 35 nodes."""
     members = _members(_DOMAIN_NODES)
     before = _holders_by_shard(members)
-    max_held = max(
+    max_shards = max(
         sum(member.name in names for names in before.values()) for member in members
     )
     return [
-        Figure("kept_shards.most_held_of_35", max_held / len(ALL_SHARDS), ""),
+        Figure("kept_shards.most_held_of_35", max_shards / len(ALL_SHARDS), ""),
         Figure("kept_shards.moved_when_one_goes", _moved(before, members[1:]), ""),
         Figure(
             "kept_shards.moved_when_half_go", _moved(before, members[_LOST_NODES:]), ""
@@ -40,7 +40,7 @@
 
 
 def _moved(before: dict[int, set[str]], remaining: tuple[Member, ...]) -> float:
-    """Return the share of all copies that the remaining nodes must read then."""
+    """Return the share of all shard copies that the remaining nodes must rebuild."""
     after = _holders_by_shard(remaining)
     gained = sum(len(after[shard] - before[shard]) for shard in ALL_SHARDS)
     return gained / (_HOLDERS_PER_SHARD * len(ALL_SHARDS))
--- a/fireflyward/bench/measures/lease_table.py
+++ b/fireflyward/bench/measures/lease_table.py
@@ -45,7 +45,7 @@
 
 
 async def _takeover_ms(leases: list[LeaseTask], clock: ManualClock) -> int:
-    """Stop the holder and return how long no node holds the lease."""
+    """Stop the steps of the holder, as in a crash; return the time without a holder."""
     others = [lease for lease in leases if lease.claim() is None]
     stopped_ms = clock.now_ms()
     while all(lease.claim() is None for lease in others):
@@ -56,7 +56,7 @@
 
 
 def run() -> list[Figure]:
-    """Hold a lease for four minutes at each size, then stop its holder."""
+    """Hold a lease for four minutes at each size, then let its holder crash."""
     figures = []
     for nodes in _NODES:
         figures += asyncio.run(_measure(nodes))
--- a/fireflyward/bench/measures/load_sharing_cpu.py
+++ b/fireflyward/bench/measures/load_sharing_cpu.py
@@ -1,4 +1,4 @@
-"""Measures the processor time of load sharing at a node, by size."""
+"""Measures the processor time of load sharing at a node, by nodes and replicas."""
 
 from fireflyward.bench._bench import Bench, Figure
 from fireflyward.bench._load_mesh import LoadMesh
--- a/fireflyward/bench/measures/membership.py
+++ b/fireflyward/bench/measures/membership.py
@@ -19,7 +19,7 @@
 
 _SIZES = {9: (3, 3), 35: (1, 35), 100: (4, 25), 350: (10, 35)}
 _UDP_HEADER_BYTES = 28
-_QUIET_MS = 5_000
+_MEASURED_MS = 5_000
 _LIMIT_MS = 60_000
 _LOSS = 0.2
 _LOSS_MS = 60_000
@@ -41,15 +41,13 @@
     net.start_many(domains, per_domain)
     net.run_ms(2_000)
     net.sent.clear()
-    net.run_ms(_QUIET_MS)
-    per_second = 1_000 / _QUIET_MS / nodes
-    quiet_bytes_per_s = (
-        sum(_datagram_bytes(packet) for _, _, packet in net.sent) * per_second
-    )
+    net.run_ms(_MEASURED_MS)
+    per_second = 1_000 / _MEASURED_MS / nodes
+    bytes_per_s = sum(_datagram_bytes(packet) for _, _, packet in net.sent) * per_second
     packets_per_s = len(net.sent) * per_second
     name = f"membership.nodes_{nodes}"
     figures = [
-        Figure(f"{name}.bytes_per_node_s", quiet_bytes_per_s, "B/s"),
+        Figure(f"{name}.bytes_per_node_s", bytes_per_s, "B/s"),
         Figure(f"{name}.datagrams_per_node_s", packets_per_s, "1/s"),
     ]
     net.deliver("entry-0-0", BundleChanged(7))
@@ -60,13 +58,13 @@
     leaving_ms = _time_until_ms(net, "entry-0-0", _has_state(MemberState.LEAVING))
     killed_ms = net.now_ms
     net.kill("entry-1-0")
-    known_ms = _time_until_ms(net, "entry-1-0", _has_state(MemberState.DEAD))
+    death_ms = _time_until_ms(net, "entry-1-0", _has_state(MemberState.DEAD))
     first_ms = min(at for at, _, alarm in net.alarms if alarm.name == "entry-1-0")
     figures += [
         Figure(f"{name}.bundle_number_known_ms", bundle_ms, "ms"),
         Figure(f"{name}.leaving_known_ms", leaving_ms, "ms"),
         Figure(f"{name}.death_suspected_ms", first_ms - killed_ms, "ms"),
-        Figure(f"{name}.death_known_ms", known_ms, "ms"),
+        Figure(f"{name}.death_known_ms", death_ms, "ms"),
     ]
     return figures
 
@@ -81,14 +79,16 @@
     """Return the time until a member meets the condition in every node's list."""
     nodes = list(net.node_by_name.values())
 
-    def holds_everywhere() -> bool:
-        return all(_holds_at_node(node, name, condition) for node in nodes)
+    def is_met_everywhere() -> bool:
+        return all(_is_met_at_node(node, name, condition) for node in nodes)
 
-    took_ms = net.run_until(holds_everywhere, _LIMIT_MS)
-    return float("inf") if took_ms is None else took_ms
+    duration_ms = net.run_until(is_met_everywhere, _LIMIT_MS)
+    return float("inf") if duration_ms is None else duration_ms
 
 
-def _holds_at_node(node: Membership, name: str, condition: Callable[..., bool]) -> bool:
+def _is_met_at_node(
+    node: Membership, name: str, condition: Callable[..., bool]
+) -> bool:
     member = node.members.stored(name)
     return member is not None and condition(member)
 
@@ -124,7 +124,7 @@
 
 
 def _rejoin_figures() -> list[Figure]:
-    """Partition a failure domain for a minute and measure its reconnection."""
+    """Partition a failure domain for a minute and measure the cost of its return."""
     net = MembershipNet(seed=4)
     net.start_many(4, 9)
     net.is_blocked = lambda one, other: one.endswith("-0") != other.endswith("-0")
@@ -135,15 +135,15 @@
         if name.endswith("-0")
     ]
     net.sent.clear()
-    net.run_ms(_QUIET_MS)
+    net.run_ms(_MEASURED_MS)
     before = len(net.sent)
     net.sent.clear()
     net.is_blocked = lambda one, other: False
     nodes = list(net.node_by_name.values())
-    took_ms = net.run_until(
+    duration_ms = net.run_until(
         lambda: all(len(node.members.all_live()) == 36 for node in nodes), _LIMIT_MS
     )
-    net.run_ms(_QUIET_MS - (took_ms or 0))
+    net.run_ms(_MEASURED_MS - (duration_ms or 0))
     return [
         Figure("membership.cut_off.live_inside", statistics.mean(live_counts), ""),
         Figure(
@@ -153,7 +153,7 @@
         ),
         Figure(
             "membership.rejoin.whole_ms",
-            float("inf") if took_ms is None else took_ms,
+            float("inf") if duration_ms is None else duration_ms,
             "ms",
         ),
         Figure("membership.rejoin.datagrams_to_before", len(net.sent) / before, "×"),
--- a/fireflyward/bench/measures/platform_return.py
+++ b/fireflyward/bench/measures/platform_return.py
@@ -1,4 +1,4 @@
-"""Measures the table calls per second when the table is back after an hour."""
+"""Measures the table calls per second after an hour in which it was unavailable."""
 
 import heapq
 import itertools
@@ -53,24 +53,24 @@
     calls_by_second = [0] * (_OBSERVED_MS // 1_000 + 2)
     answers: list[tuple[int, int, _Node]] = []
     order = itertools.count()
-    for passed_ms in range(0, _OBSERVED_MS, _TICK_MS):
-        while answers and answers[0][0] <= passed_ms:
+    for since_return_ms in range(0, _OBSERVED_MS, _TICK_MS):
+        while answers and answers[0][0] <= since_return_ms:
             at_ms, _, node = heapq.heappop(answers)
             _on_answer(node, at_ms)
         for node, _ in itertools.product(all_nodes, range(_WANTED_CALLS_PER_TICK)):
-            now_ms = _OUTAGE_MS + passed_ms
+            now_ms = _OUTAGE_MS + since_return_ms
             if not node.breaker.may_call(now_ms):
                 continue
             wait_ms = node.budget.reserve(now_ms)
             if wait_ms is not None:
-                calls_by_second[(passed_ms + wait_ms) // 1_000] += 1
-                heapq.heappush(answers, (passed_ms + wait_ms, next(order), node))
+                calls_by_second[(since_return_ms + wait_ms) // 1_000] += 1
+                heapq.heappush(answers, (since_return_ms + wait_ms, next(order), node))
     return calls_by_second[: _OBSERVED_MS // 1_000]
 
 
-def _on_answer(node: _Node, passed_ms: int) -> None:
-    if node.breaker.on_success(_OUTAGE_MS + passed_ms):
-        node.budget.begin_ramp(_OUTAGE_MS + passed_ms)
+def _on_answer(node: _Node, since_return_ms: int) -> None:
+    if node.breaker.on_success(_OUTAGE_MS + since_return_ms):
+        node.budget.begin_ramp(_OUTAGE_MS + since_return_ms)
 
 
 def _run_outage(node: _Node) -> int:
--- a/fireflyward/bench/measures/replay_day.py
+++ b/fireflyward/bench/measures/replay_day.py
@@ -18,7 +18,7 @@
     load = workload(name)
     prompts = load.prompts(_SEED)
     result = {row: replay(load, prompts, row, _SEED) for row in (*Policy, *Setting)}
-    ours, least = result[Policy.OURS], result[Policy.LEAST_LOADED]
+    ours, least_loaded = result[Policy.OURS], result[Policy.LEAST_LOADED]
     bound, no_store = result[Policy.BOUND], result[Setting.NO_STORE]
     prefix = f"replay_day.{name.replace('-', '_')}"
     figures = [
@@ -29,12 +29,12 @@
         ),
         Figure(
             f"{prefix}.recomputed_to_least_loaded",
-            ours.recomputed_share / least.recomputed_share,
+            ours.recomputed_share / least_loaded.recomputed_share,
             "×",
         ),
         Figure(
             f"{prefix}.p95_to_least_loaded",
-            ours.quantile_ms(95) / least.quantile_ms(95),
+            ours.quantile_ms(95) / least_loaded.quantile_ms(95),
             "×",
         ),
     ]
--- a/fireflyward/bench/measures/replay_small.py
+++ b/fireflyward/bench/measures/replay_small.py
@@ -1,4 +1,4 @@
-"""Measures the small replay of both deployments; its counts never vary."""
+"""Measures the small replay of both deployments; its counts are always the same."""
 
 from fireflyward.bench import Bench, Figure
 from fireflyward.workloads import Policy, replay, workload
--- a/fireflyward/bench/measures/restarts.py
+++ b/fireflyward/bench/measures/restarts.py
@@ -91,7 +91,8 @@
     before = {key: assign(key, _MEMBERS) for key in _KEYS}
     for at_ms, stopped in events:
         live = [item for index, item in enumerate(_MEMBERS) if index != stopped]
-        # Live nodes are visible at all times: update the list just before the event.
+        # ``SteadyMembers`` must see live nodes until they stop, not only at events:
+        # the grace time counts from the last update with the node.
         members_at(at_ms - 1, live_before)
         live_before = live
         members = members_at(at_ms, live)
--- a/fireflyward/checker/_blocks.py
+++ b/fireflyward/checker/_blocks.py
@@ -47,7 +47,7 @@
             detail = f"kept for {sealed.account}, read for {observation.account}"
             self._add(Promise.OWN_ACCOUNT, observation, detail)
         if sealed.version != observation.version and not observation.is_continued:
-            detail = f"kept by {sealed.version}, read by {observation.version}"
+            detail = f"kept for {sealed.version}, read for {observation.version}"
             self._add(Promise.OWN_VERSION, observation, detail)
 
     def _add(self, promise: Promise, observation: BlockRead, detail: str) -> None:
--- a/fireflyward/checker/_bundles.py
+++ b/fireflyward/checker/_bundles.py
@@ -26,7 +26,7 @@
         "_in_force_limit_ms",
         "_reachable_since_ms",
         "_served_by_node",
-        "_sees_platform",
+        "_observes_platform",
         "violations",
     )
 
@@ -35,7 +35,7 @@
     ) -> None:
         self.violations: list[Violation] = []
         self._in_force_limit_ms = in_force_limit_ms
-        self._sees_platform = observes_platform
+        self._observes_platform = observes_platform
         self._accepted_ms_by_number: dict[int, int] = {}
         self._digest_by_number: dict[int, str] = {}
         self._served_by_node: dict[str, list[tuple[int, int]]] = {}
@@ -51,11 +51,15 @@
     def _(self, observation: BundleAccepted) -> None:
         number = observation.number
         highest = max(self._accepted_ms_by_number, default=number - 1)
-        known = self._digest_by_number.setdefault(number, observation.digest)
-        if known != observation.digest:
-            self._add(observation.at_ms, f"number {number} was accepted twice")
+        first_digest = self._digest_by_number.setdefault(number, observation.digest)
+        if first_digest != observation.digest:
+            self._add(
+                observation.at_ms, f"two different bundles {number} were accepted"
+            )
         elif number < highest:
-            self._add(observation.at_ms, f"{number} was accepted after {highest}")
+            self._add(
+                observation.at_ms, f"bundle {number} was accepted after {highest}"
+            )
         self._accepted_ms_by_number.setdefault(number, observation.at_ms)
 
     @observe.register
@@ -74,11 +78,11 @@
         started_ms = observation.started_ms if observation.started_ms >= 0 else None
         highest = self._highest_at(node, started_ms)
         if number < highest:
-            self._add(observation.at_ms, f"{node} went from {highest} to {number}")
-        seen = self._served_by_node.setdefault(node, [])
-        if not seen or number > seen[-1][1]:
-            seen.append((observation.at_ms, number))
-        if self._sees_platform and number not in self._accepted_ms_by_number:
+            self._add(observation.at_ms, f"{node} serves {number} after {highest}")
+        served = self._served_by_node.setdefault(node, [])
+        if not served or number > served[-1][1]:
+            served.append((observation.at_ms, number))
+        if self._observes_platform and number not in self._accepted_ms_by_number:
             self._add(
                 observation.at_ms, f"{node} serves {number}, which was never accepted"
             )
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -82,11 +82,14 @@
     @observe.register
     def _(self, observation: RunStarted) -> None:
         self._requests.observe(observation)
-        left_ms = self._leaving_ms.get(observation.upstream)
-        if left_ms is None or observation.at_ms <= left_ms + self._leaving_limit_ms:
+        leaving_ms = self._leaving_ms.get(observation.upstream)
+        if (
+            leaving_ms is None
+            or observation.at_ms <= leaving_ms + self._leaving_limit_ms
+        ):
             return
-        late_ms = observation.at_ms - left_ms
-        detail = f"{observation.upstream} got {observation.request} {late_ms} ms after"
+        late_ms = observation.at_ms - leaving_ms
+        detail = f"{observation.upstream} got {observation.request} after {late_ms} ms"
         self._requests.violations.append(
             Violation(Promise.LEAVING_UPSTREAM, observation.at_ms, detail)
         )
--- a/fireflyward/checker/_observations.py
+++ b/fireflyward/checker/_observations.py
@@ -39,7 +39,7 @@
 
     ``AttemptStatus.CUT`` means that the connection was lost without an outcome.
     ``node`` is the node that the caller was connected to. ``is_final`` is false when
-    the caller is going to retry. ``started_ms`` is when the attempt began, or -1 if
+    the caller is going to retry. ``started_ms`` is when the attempt started, or -1 if
     that is not known.
     """
 
@@ -112,7 +112,7 @@
 class BlockRead:
     """An engine read a block for a run.
 
-    ``is_continued`` is true if the run had begun before its weight version was
+    ``is_continued`` is true if the run had started before its weight version was
     swapped. ``read_at_ms`` is when the store returned the bytes.
     """
 
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -181,4 +181,4 @@
 
 
 def _false_refusal(at_ms: int, name: str) -> Violation:
-    return Violation(Promise.TRUE_REFUSAL, at_ms, f"{name} was refused and did run")
+    return Violation(Promise.TRUE_REFUSAL, at_ms, f"{name} was refused but ran")
--- a/fireflyward/demo/_demo.py
+++ b/fireflyward/demo/_demo.py
@@ -61,7 +61,7 @@
         self._deployment = deployment
         self._clock = Clock()
         self._checker = Checker(observes_platform=False)
-        self._count_by_ending: Counter[AttemptStatus | None] = Counter()
+        self._count_by_status: Counter[AttemptStatus | None] = Counter()
         self._plan = LoadPlan(0, 0, KEY_BY_ACCOUNT)
         self._caller = LoadCaller(
             session,
@@ -80,15 +80,15 @@
         """
         print(f"\n{title}")
         requests = _requests(title)
-        endings = await asyncio.gather(
+        statuses = await asyncio.gather(
             *(
                 self._caller.send_until_final(request, start_index)
                 for start_index, request in enumerate(requests)
             )
         )
-        for request, ending in zip(requests, endings, strict=True):
-            self._count_by_ending[ending] += 1
-            outcome = ending.value if ending else "lost"
+        for request, status in zip(requests, statuses, strict=True):
+            self._count_by_status[status] += 1
+            outcome = status.value if status else "lost"
             print(f"  {request.account:<12} {request.mode:<7} {outcome}")
         computed, cached = self._tokens()
         computed_before, cached_before = self._tokens_before
@@ -112,9 +112,9 @@
     def report(self) -> DemoReport:
         """Combine the counts of the callers, the engines and the service."""
         load = make_report(
-            requests=self._count_by_ending.total(),
-            answers=self._count_by_ending[AttemptStatus.ANSWERED],
-            unknown=self._count_by_ending[AttemptStatus.UNKNOWN],
+            requests=self._count_by_status.total(),
+            answers=self._count_by_status[AttemptStatus.ANSWERED],
+            unknown=self._count_by_status[AttemptStatus.UNKNOWN],
             retries=self._caller.retries,
             seconds=0.0,
             first_token_ms=self._caller.first_token_ms,
--- a/fireflyward/demo/_deployment.py
+++ b/fireflyward/demo/_deployment.py
@@ -54,8 +54,8 @@
 class DemoDeployment:
     """Starts and stops all stand-ins and nodes.
 
-    Users may stop single nodes and engines of ``node_by_name`` and
-    ``engine_by_name`` in between.
+    While it runs, the user of this class may stop single nodes of ``node_by_name``
+    and single engines of ``engine_by_name``.
     """
 
     def __init__(
--- a/fireflyward/load/_caller.py
+++ b/fireflyward/load/_caller.py
@@ -46,12 +46,12 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """The outcome and text of one attempt, and the event to resume its stream after.
+    """The outcome and text of one attempt, and the id of its last received event.
 
     If ``is_connected`` is false, the node was unreachable and got no request.
     """
 
-    ending: AttemptStatus = AttemptStatus.CUT
+    status: AttemptStatus = AttemptStatus.CUT
     text: str = ""
     run_id: str = ""
     bundle: int = 0
@@ -69,8 +69,8 @@
     After a connection was cut, the caller repeats the request at the next node after
     a short delay, with the same ``Idempotency-Key`` and, in a stream, with the id of
     the last event that it received. After a refusal it waits for the time in
-    ``Retry-After``, within bounds. It gives up after ``time_limit_ms``. It gives up
-    a non-idempotent call also after ``_MAX_UNKNOWN_ANSWERS`` answers that its
+    ``Retry-After``, within bounds. It gives up after ``time_limit_ms``. It also
+    gives up a non-idempotent call after ``_MAX_UNKNOWN_ANSWERS`` answers that its
     outcome is unknown.
     """
 
@@ -103,15 +103,15 @@
             url = self.urls[attempt % len(self.urls)]
             result = await self._attempt(url, request, result)
             is_timed_out = self.clock.now_ms() - start_ms > self.time_limit_ms
-            unknown += result.ending is AttemptStatus.UNKNOWN
+            unknown += result.status is AttemptStatus.UNKNOWN
             is_given_up = is_call and (is_timed_out or unknown >= _MAX_UNKNOWN_ANSWERS)
-            is_final = result.ending is AttemptStatus.ANSWERED or is_given_up
+            is_final = result.status is AttemptStatus.ANSWERED or is_given_up
             if result.is_connected or is_final:
                 self._report_attempt(url, request, result, attempt_start_ms, is_final)
             if result.first_ms and attempt == start_index:
                 self.first_token_ms.append(result.first_ms - start_ms)
             if is_final or is_timed_out:
-                return result.ending if is_final else None
+                return result.status if is_final else None
             self.retries += 1
             await self.clock.sleep_ms(_retry_delay_ms(result))
         raise AssertionError("itertools.count() is infinite")
@@ -129,7 +129,7 @@
             AttemptEnded(
                 now_ms,
                 request.name,
-                result.ending,
+                result.status,
                 result.text,
                 result.run_id,
                 url,
@@ -142,9 +142,9 @@
     async def _attempt(
         self, url: str, request: LoadRequest, previous: AttemptResult
     ) -> AttemptResult:
-        """Send one HTTP request, and read its response until it ends or breaks off."""
+        """Send one HTTP request, and read its response until it ends or is cut."""
         result = AttemptResult()
-        if request.mode is RequestMode.STREAM and previous.ending is AttemptStatus.CUT:
+        if request.mode is RequestMode.STREAM and previous.status is AttemptStatus.CUT:
             result.text, result.event_id = previous.text, previous.event_id
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=_CONNECT_TIMEOUT_S, sock_read=_READ_TIMEOUT_S
@@ -161,7 +161,7 @@
         except aiohttp.ClientConnectorError:
             result.is_connected = False
         except (aiohttp.ClientError, TimeoutError, OSError):
-            result.ending = AttemptStatus.CUT
+            result.status = AttemptStatus.CUT
         return result
 
     def _body(self, request: LoadRequest) -> tuple[str, bytes]:
@@ -196,7 +196,7 @@
         tag = headers.get("X-Outcome", "")
         if tag != AttemptStatus.ANSWERED:
             result.code = _error_code(await response.read())
-            result.ending = AttemptStatus(tag) if tag else AttemptStatus.CUT
+            result.status = AttemptStatus(tag) if tag else AttemptStatus.CUT
             after_s = float(headers.get("Retry-After", "0"))
             result.retry_after_ms = int(after_s * _MS_PER_SECOND)
         elif request.mode is RequestMode.STREAM:
@@ -209,7 +209,7 @@
                 if request.mode is RequestMode.CALL
                 else _answer_text(data)
             )
-            result.ending = AttemptStatus.ANSWERED
+            result.status = AttemptStatus.ANSWERED
 
     async def _read_stream(
         self, response: aiohttp.ClientResponse, result: AttemptResult
@@ -222,12 +222,12 @@
             elif name == b"event":
                 is_error = value == b"error"
             elif name == b"data" and is_error:
-                result.ending = AttemptStatus(
+                result.status = AttemptStatus(
                     msgspec.json.decode(value, type=_Error).error.type
                 )
                 return
             elif name == b"data" and value == _END_MARKER:
-                result.ending = AttemptStatus.ANSWERED
+                result.status = AttemptStatus.ANSWERED
                 return
             elif name == b"data":
                 result.first_ms = result.first_ms or self.clock.now_ms()
@@ -247,6 +247,6 @@
 
 
 def _retry_delay_ms(result: AttemptResult) -> int:
-    if result.ending is AttemptStatus.CUT:
+    if result.status is AttemptStatus.CUT:
         return _MIN_RETRY_DELAY_MS
     return min(max(result.retry_after_ms, _MIN_RETRY_DELAY_MS), _MAX_RETRY_DELAY_MS)
--- a/fireflyward/load/_plan.py
+++ b/fireflyward/load/_plan.py
@@ -16,8 +16,8 @@
 class RequestMode(enum.StrEnum):
     """How a caller sends a request.
 
-    ``PROMPT`` asks for the answer to a prompt in one piece, ``STREAM`` for a stream
-    of it, and ``CALL`` is a non-idempotent call of a plain service.
+    ``PROMPT`` requests the answer to a prompt as one plain response, ``STREAM`` as a
+    stream of pieces, and ``CALL`` is a non-idempotent call of a plain service.
     """
 
     PROMPT = "prompt"
--- a/fireflyward/load/_run.py
+++ b/fireflyward/load/_run.py
@@ -35,7 +35,7 @@
         clock: Clock | None = None,
     ) -> None:
         self.checker = checker or Checker(observes_platform=False)
-        self.count_by_ending: Counter[AttemptStatus | None] = Counter()
+        self.count_by_status: Counter[AttemptStatus | None] = Counter()
         self._plan = plan
         self._urls = urls
         self._callers = callers
@@ -65,9 +65,9 @@
             await asyncio.gather(*workers)
         now_ms = self._clock.now_ms()
         return make_report(
-            requests=self.count_by_ending.total(),
-            answers=self.count_by_ending[AttemptStatus.ANSWERED],
-            unknown=self.count_by_ending[AttemptStatus.UNKNOWN],
+            requests=self.count_by_status.total(),
+            answers=self.count_by_status[AttemptStatus.ANSWERED],
+            unknown=self.count_by_status[AttemptStatus.UNKNOWN],
             retries=caller.retries,
             seconds=(now_ms - start_ms) / _MS_PER_SECOND,
             first_token_ms=caller.first_token_ms,
@@ -78,6 +78,6 @@
         for start_index, request in pending:
             if self._is_stopping:
                 return
-            self.count_by_ending[
+            self.count_by_status[
                 await caller.send_until_final(request, start_index)
             ] += 1
--- a/fireflyward/standins/_engine_kv.py
+++ b/fireflyward/standins/_engine_kv.py
@@ -89,7 +89,7 @@
     def events(self, after: int, *, stride: int = 1) -> CacheEvents:
         """Return the events after a sequence number, changed by active faults.
 
-        A negative number asks for the full state of the cache.
+        A negative number requests the full state of the cache.
         """
         if after < 0:
             return self._full_state(stride)
--- a/fireflyward/standins/_engine_model.py
+++ b/fireflyward/standins/_engine_model.py
@@ -127,7 +127,9 @@
         """Accept a run, or return why it is rejected."""
         self.advance(now_ms)
         if call.run_id in self.run_by_id:
-            return Refused(Reason.DUPLICATE_RUNNING, "this run id is known here")
+            return Refused(
+                Reason.DUPLICATE_RUNNING, "this replica already has a run with this id"
+            )
         version = self.version_by_model.get(call.model)
         if version != call.version:
             return Refused(Reason.UNKNOWN_MODEL, f"{call.model} is at {version}")
--- a/fireflyward/standins/_fault_injection.py
+++ b/fireflyward/standins/_fault_injection.py
@@ -23,7 +23,7 @@
         self._clock = clock
 
     async def on_request(self) -> None:
-        """Handle a new request; the fault may lose it before the engine gets it."""
+        """Handle a new request, which a fault may lose before the engine gets it."""
         if self.faults.paused or self.faults.consume("lost_requests"):
             await hang()
 
@@ -33,7 +33,7 @@
             await hang()
 
     async def on_submitted(self) -> None:
-        """Handle a run that the engine has accepted; the fault may lose its answer."""
+        """Handle a run that the engine has accepted; a fault may lose its answer."""
         if self.faults.consume("lost_answers"):
             await hang()
 
--- a/fireflyward/standins/_store_server.py
+++ b/fireflyward/standins/_store_server.py
@@ -56,7 +56,7 @@
         app.router.add_put("/blocks/{slot}/{generation}/{key}", self._write)
         app.router.add_get("/blocks/{slot}/{generation}/{key}", self._read)
         app.router.add_get("/unfinished", self._unfinished)
-        app.router.add_get("/room", self._room)
+        app.router.add_get("/room", self._usage)
         app.router.add_get("/coldest", self._coldest)
         return app
 
@@ -101,7 +101,7 @@
         await self._clock.sleep_ms(wait_ms)
         return web.Response(body=result, content_type="application/octet-stream")
 
-    async def _room(self, request: web.Request) -> web.Response:
+    async def _usage(self, request: web.Request) -> web.Response:
         return _json(self.model.usage())
 
     async def _coldest(self, request: web.Request) -> web.Response:
--- a/fireflyward/workloads/_import.py
+++ b/fireflyward/workloads/_import.py
@@ -232,10 +232,10 @@
 
 
 class ReplayExport:
-    """Writes one piece to a store, if the engine still has it cached by then.
+    """Writes one piece to a store when the link grants the transfer.
 
-    For some time after a store did not answer, nothing is exported to it. The same
-    holds for imports.
+    The piece is skipped if the engine has evicted it by that time. For some time
+    after a store did not answer, nothing is exported to it or imported from it.
     """
 
     __slots__ = (
--- a/fireflyward/workloads/_index.py
+++ b/fireflyward/workloads/_index.py
@@ -11,7 +11,7 @@
 from ._events import EventClock
 from ._store import ReplayStore
 
-_EVENT_LAG_MS = 300.0
+_EVENT_DELAY_MS = 300.0
 _EVENT_LOSS_SHARE = 0.01
 _RESYNC_MS = 10_000.0
 
@@ -19,8 +19,8 @@
 class ReplayIndex:
     """Updates its state from cache events that arrive with a delay.
 
-    One event in a hundred is lost at first. The nodes detect a loss by the gap in
-    the sequence numbers; ten seconds later they read the engine's full state.
+    One event in a hundred is lost. A gap in the sequence numbers shows the loss, and
+    ten seconds after it the index reads the engine's full state.
     """
 
     __slots__ = (
@@ -47,7 +47,7 @@
         received = [
             e for e in events.events if self._random.random() >= _EVENT_LOSS_SHARE
         ]
-        self._clock.call_in(_EVENT_LAG_MS, lambda: self._apply(engine.name, received))
+        self._clock.call_in(_EVENT_DELAY_MS, lambda: self._apply(engine.name, received))
         if len(received) < len(events.events):
             self._clock.call_in(_RESYNC_MS, lambda: self._resync(engine))
 
--- a/fireflyward/workloads/_replay.py
+++ b/fireflyward/workloads/_replay.py
@@ -17,7 +17,7 @@
 from ._shape import DeploymentShape
 from ._store import ReplayStore
 
-_REPORT_LAG_MS = 250.0
+_REPORT_DELAY_MS = 250.0
 _UNLIMITED_BLOCKS = 1 << 40
 
 
@@ -179,7 +179,7 @@
         """Report a replica's load and cache to the nodes after a delay."""
         if engine.name not in self._pending_reports:
             self._pending_reports.add(engine.name)
-            self._clock.call_in(_REPORT_LAG_MS, lambda: self._report(engine))
+            self._clock.call_in(_REPORT_DELAY_MS, lambda: self._report(engine))
 
     def _report(self, engine: ReplayEngine) -> None:
         self._pending_reports.discard(engine.name)
--- a/fireflyward/workloads/_store.py
+++ b/fireflyward/workloads/_store.py
@@ -13,14 +13,14 @@
 from ._events import EventClock
 from ._shape import DeploymentShape
 
-_LISTING_LAG_MS = 1_000.0
+_LISTING_DELAY_MS = 1_000.0
 
 
 class ReplayStore:
     """Transfers pieces in order of request, at the rates of the link and the disk.
 
     A store with ``is_silent`` accepts all calls, but never answers. ``published``
-    holds the keys that its listing contains, which is a second behind.
+    contains the keys in the store's listing, which is one second out of date.
     """
 
     __slots__ = (
@@ -99,7 +99,7 @@
 
     def _publish_later(self, key: str, *, is_kept: bool) -> None:
         change = self.published.add if is_kept else self.published.discard
-        self._clock.call_in(_LISTING_LAG_MS, lambda: change(key))
+        self._clock.call_in(_LISTING_DELAY_MS, lambda: change(key))
 
     def _read_from_disk(self, ready_ms: float) -> float:
         read_ms = self._piece_bytes() / self._shape.store.disk_bytes_per_ms
--- a/tests/standins/test_store_model.py
+++ b/tests/standins/test_store_model.py
@@ -171,5 +171,5 @@
             if not start:
                 break
         self.assertEqual(found, list(range(4, 33, 4)))
-        few = store.list(ListQuery(shards=frozenset({3})))
-        self.assertEqual([change.key for change in few.changes], ["03"])
+        listing = store.list(ListQuery(shards=frozenset({3})))
+        self.assertEqual([change.key for change in listing.changes], ["03"])
--- a/tests/standins/test_store_server.py
+++ b/tests/standins/test_store_server.py
@@ -62,7 +62,7 @@
         (unfinished,) = await self.store.unfinished(0)
         self.assertEqual(unfinished.ref, reserved.refs[0])
 
-    async def test_call_to_a_stopped_store_returns_store_away(self):
+    async def test_call_to_a_stopped_store_returns_store_unavailable(self):
         await self.server.stop()
         result = await self.store.describe(KEYS)
         self.assertIsInstance(result, StoreUnavailable)
