--- a/fireflyward/bench/_bench.py
+++ b/fireflyward/bench/_bench.py
@@ -24,8 +24,8 @@
     """One measurement.
 
     ``is_count`` is true if the figures are the same in every run, because they are
-    counts on a faked clock with a fixed seed. CI checks only the bounds of such
-    figures. Timings are ratios to a baseline that the same call measures.
+    counts on a faked clock with a fixed seed. CI checks the bounds of such
+    figures only. Timings are ratios to a baseline that the same call measures.
     """
 
     name: str
--- a/fireflyward/bench/_membership_net.py
+++ b/fireflyward/bench/_membership_net.py
@@ -110,7 +110,7 @@
     def run_until(
         self, done: Callable[[], bool], limit_ms: int, *, step_ms: int = 50
     ) -> int | None:
-        """Advance the clock until ``done``; return the duration, or None at the limit."""
+        """Advance the clock until ``done``; return the duration, None at the limit."""
         began_ms = self.now_ms
         while not done():
             if self.now_ms - began_ms >= limit_ms:
--- a/fireflyward/bench/measures/bundle_spread.py
+++ b/fireflyward/bench/measures/bundle_spread.py
@@ -213,7 +213,7 @@
 
 
 def _partition_figures(nodes: int, domains: int) -> list[Figure]:
-    """Accept a bundle while one domain is partitioned for a minute, then reconnect it."""
+    """Partition a domain, accept a bundle, and reconnect the domain after a minute."""
     spread = SpreadSimulation(nodes, domains, seed=nodes + 1)
     spread.run(_SETTLING_MS)
     spread.partitioned_domains = {0}
--- a/fireflyward/bench/measures/kept_index.py
+++ b/fireflyward/bench/measures/kept_index.py
@@ -26,7 +26,7 @@
 
 
 def run() -> list[Figure]:
-    """Return the costs per prompt and per entry, and those of a node at the planned size."""
+    """Return the costs per prompt, per entry and per node at the planned size."""
     small, large = _changes(_SMALL_PROMPTS), _changes(_LARGE_PROMPTS)
     prompts = _LARGE_PROMPTS - _SMALL_PROMPTS
     bytes_per_prompt = (_index_bytes(large) - _index_bytes(small)) / prompts
--- a/fireflyward/bench/measures/lease_table.py
+++ b/fireflyward/bench/measures/lease_table.py
@@ -45,7 +45,7 @@
 
 
 async def _takeover_ms(leases: list[LeaseTask], clock: ManualClock) -> int:
-    """Stop the steps of the holder, as in a crash; return the time without a holder."""
+    """Let the holder crash, and return how long no node holds the lease."""
     others = [lease for lease in leases if lease.claim() is None]
     stopped_ms = clock.now_ms()
     while all(lease.claim() is None for lease in others):
--- a/fireflyward/bench/measures/rollout_swap.py
+++ b/fireflyward/bench/measures/rollout_swap.py
@@ -1,4 +1,4 @@
-"""Measures the lost capacity, time and writes of a weight swap at both deployments."""
+"""Measures lost capacity, time and writes of a weight swap at both deployments."""
 
 import asyncio
 
--- a/fireflyward/checker/_bundles.py
+++ b/fireflyward/checker/_bundles.py
@@ -78,7 +78,7 @@
         started_ms = observation.started_ms if observation.started_ms >= 0 else None
         highest = self._highest_at(node, started_ms)
         if number < highest:
-            self._add(observation.at_ms, f"{node} serves {number} after {highest}")
+            self._add(observation.at_ms, f"{node} went back from {highest} to {number}")
         served = self._served_by_node.setdefault(node, [])
         if not served or number > served[-1][1]:
             served.append((observation.at_ms, number))
--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -89,7 +89,10 @@
         ):
             return
         late_ms = observation.at_ms - leaving_ms
-        detail = f"{observation.upstream} got {observation.request} after {late_ms} ms"
+        detail = (
+            f"{observation.upstream} got {observation.request} "
+            f"{late_ms} ms after it started leaving"
+        )
         self._requests.violations.append(
             Violation(Promise.LEAVING_UPSTREAM, observation.at_ms, detail)
         )
--- a/fireflyward/demo/_deployment.py
+++ b/fireflyward/demo/_deployment.py
@@ -145,7 +145,7 @@
             server.model.cache.restart_empty("2")
 
     async def accept(self, bundle: Bundle) -> None:
-        """Sign a bundle as both people, and submit it to the platform."""
+        """Sign a bundle as its author and its approver, and submit it."""
         signed = sign_bundle(
             bundle,
             author=self.author,
--- a/fireflyward/workloads/_engine.py
+++ b/fireflyward/workloads/_engine.py
@@ -70,8 +70,8 @@
     def touch(self, keys: tuple[str, ...]) -> None:
         """Mark those of these blocks that are cached as the most recently used.
 
-        Otherwise, loading a prompt's later blocks evicts its first ones if they were not
-        used recently, and without them the loaded blocks cannot be used.
+        Otherwise, loading a prompt's later blocks would evict its first ones if these
+        were not used recently, and without them the loaded blocks cannot be used.
         """
         for position in range(len(keys), 0, -1):
             if keys[position - 1] in self.model.cache:
--- a/tests/standins/test_store_model.py
+++ b/tests/standins/test_store_model.py
@@ -114,7 +114,7 @@
 
 
 class CapacityTests(unittest.TestCase):
-    def test_full_store_reports_it_and_keeps_its_blocks(self):
+    def test_full_store_reports_that_it_is_full_and_keeps_its_blocks(self):
         store = StoreModel("s1", COSTS)
         refs = [keep(store, f"a{number}") for number in range(4)]
         self.assertTrue(store.reserve(0, (SlotRequest("ff", 1),)).is_full)
