--- a/benchmarks/_caller.py
+++ b/benchmarks/_caller.py
@@ -19,12 +19,12 @@
 
 async def _send_requests(session, url, headers, remaining, durations_s) -> None:
     while next(remaining, None) is not None:
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         async with session.post(url, json=BODY, headers=headers) as response:
             body = await response.read()
         assert response.status == 200, body
         assert b"[DONE]" in body or b'"done":true' in body, body
-        durations_s.append(time.perf_counter() - began)
+        durations_s.append(time.perf_counter() - started_s)
 
 
 async def measure(url: str, key: str, streams: int, requests: int) -> dict[str, float]:
@@ -34,14 +34,14 @@
     durations_s: list[float] = []
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         await asyncio.gather(
             *(
                 _send_requests(session, url, headers, remaining, durations_s)
                 for _ in range(streams)
             )
         )
-        elapsed_s = time.perf_counter() - began
+        elapsed_s = time.perf_counter() - started_s
     durations_s.sort()
     return {
         "per_s": len(durations_s) / elapsed_s,
--- a/benchmarks/capacity/_slopes.py
+++ b/benchmarks/capacity/_slopes.py
@@ -63,8 +63,8 @@
     """Return the microseconds of one call, as the mean of the fastest series."""
     best = float("inf")
     for _ in range(_REPEATS):
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         for _ in range(rounds):
             function()
-        best = min(best, time.perf_counter() - began)
+        best = min(best, time.perf_counter() - started_s)
     return best / rounds * 1e6
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -56,9 +56,9 @@
     port = free_port()
     engine = Process("-m", _ENGINE_MODULE, str(port))
     wait_for_port(port)
-    began = time.monotonic()
+    started_s = time.monotonic()
     node, node_port, other_processes = start_node(f"http://127.0.0.1:{port}")
-    platform_and_node_s = time.monotonic() - began
+    platform_and_node_s = time.monotonic() - started_s
     url = f"http://127.0.0.1:{node_port}/readyz"
     with urllib.request.urlopen(url) as answer:
         assert answer.status == 200
@@ -75,15 +75,15 @@
     envelope = Envelope(
         sender="entry-1", incarnation=1, sequence=2, kind="heartbeat", body=b"x" * 64
     )
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     for _ in range(_CODEC_ROUNDS):
         packed = pack(envelope)
-    encoded = time.perf_counter()
+    encoded_s = time.perf_counter()
     for _ in range(_CODEC_ROUNDS):
         unpack(Envelope, packed)
-    ended = time.perf_counter()
-    encode_us = (encoded - began) / _CODEC_ROUNDS * 1e6
-    decode_us = (ended - encoded) / _CODEC_ROUNDS * 1e6
+    ended_s = time.perf_counter()
+    encode_us = (encoded_s - started_s) / _CODEC_ROUNDS * 1e6
+    decode_us = (ended_s - encoded_s) / _CODEC_ROUNDS * 1e6
     print(f"thriftpy2 binary: encode {encode_us:.1f} µs, decode {decode_us:.1f} µs")
 
 
--- a/fireflyward/bench/_load_mesh.py
+++ b/fireflyward/bench/_load_mesh.py
@@ -89,9 +89,9 @@
             self._deliver()
             for name, node in self.node_by_name.items():
                 if node.is_alive and self.now_ms >= self._first_tick_ms_by_name[name]:
-                    began = time.perf_counter()
+                    started_s = time.perf_counter()
                     actions = node.sharing.tick(self.now_ms)
-                    self.cpu_s += time.perf_counter() - began
+                    self.cpu_s += time.perf_counter() - started_s
                     self._perform_all(name, actions)
 
     def reset_counts(self) -> None:
@@ -115,10 +115,10 @@
             if not node.is_alive:
                 continue
             node.received_bytes += len(frame)
-            began = time.perf_counter()
+            started_s = time.perf_counter()
             update = unpack(LoadNews, self._codec.open(frame).body)
             entries, actions = node.sharing.on_load_update(self.now_ms, sender, update)
-            self.cpu_s += time.perf_counter() - began
+            self.cpu_s += time.perf_counter() - started_s
             for entry in entries:
                 node.entry_ages_ms.append(self.now_ms - entry.measured_ms)
                 node.measured_ms_by_name[entry.name] = entry.measured_ms
@@ -159,7 +159,7 @@
                 heapq.heappush(self._events, event)
 
     def _encode_frame(self, name: str, update: Any) -> bytes:
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         envelope = Envelope(
             sender=name,
             incarnation=1_790_000_000_000,
@@ -168,5 +168,5 @@
             body=pack(update),
         )
         frame = self._codec.seal(envelope)
-        self.cpu_s += time.perf_counter() - began
+        self.cpu_s += time.perf_counter() - started_s
         return frame
--- a/fireflyward/bench/_membership_net.py
+++ b/fireflyward/bench/_membership_net.py
@@ -111,12 +111,12 @@
         self, done: Callable[[], bool], limit_ms: int, *, step_ms: int = 50
     ) -> int | None:
         """Advance the clock until ``done``; return the duration, None at the limit."""
-        began_ms = self.now_ms
+        started_ms = self.now_ms
         while not done():
-            if self.now_ms - began_ms >= limit_ms:
+            if self.now_ms - started_ms >= limit_ms:
                 return None
             self.run_ms(step_ms)
-        return self.now_ms - began_ms
+        return self.now_ms - started_ms
 
     def _handle(self, name: str, message: Message) -> None:
         if name not in self.node_by_name:
--- a/fireflyward/bench/measures/bundle_cost.py
+++ b/fireflyward/bench/measures/bundle_cost.py
@@ -63,9 +63,9 @@
 def _fastest_s(function: Callable[[], Any]) -> float:
     times_s = []
     for _ in range(_REPEATS):
-        began_s = time.perf_counter()
+        started_s = time.perf_counter()
         function()
-        times_s.append(time.perf_counter() - began_s)
+        times_s.append(time.perf_counter() - started_s)
     return min(times_s)
 
 
--- a/fireflyward/bench/measures/bundle_spread.py
+++ b/fireflyward/bench/measures/bundle_spread.py
@@ -80,15 +80,15 @@
 
     def run_until_in_force(self, names: list[str], limit_ms: int) -> int:
         """Return the time until all of ``names`` serve under the head's number."""
-        began_ms = self.now_ms
+        started_ms = self.now_ms
         pending = set(names)
-        while self._events and self.now_ms - began_ms < limit_ms:
+        while self._events and self.now_ms - started_ms < limit_ms:
             self.now_ms, _, (handler, arguments) = heapq.heappop(self._events)
             handler(*arguments)
             if self._has_head(arguments[0]):
                 pending.discard(arguments[0])
             if not pending:
-                return self.now_ms - began_ms
+                return self.now_ms - started_ms
         return limit_ms
 
     def names_in(self, domain: int) -> list[str]:
@@ -184,14 +184,14 @@
     spread = SpreadSimulation(nodes, domains, seed=nodes)
     spread.run(_SETTLING_MS)
     spread.counts = _Counts()
-    began_ms = spread.now_ms
+    started_ms = spread.now_ms
     in_force_ms = 0
     for _ in range(_ACCEPTANCES):
         spread.head_number += 1
         duration_ms = spread.run_until_in_force(list(spread.follower_by_name), 60_000)
         in_force_ms = max(in_force_ms, duration_ms)
         spread.run(_BETWEEN_CHANGES_MS)
-    counts, elapsed_s = spread.counts, (spread.now_ms - began_ms) / 1_000
+    counts, elapsed_s = spread.counts, (spread.now_ms - started_ms) / 1_000
     without_announcements = SpreadSimulation(nodes, domains, seed=nodes, lost_share=1.0)
     without_announcements.run(_SETTLING_MS)
     without_announcements.head_number += 1
--- a/fireflyward/bench/measures/kept_index.py
+++ b/fireflyward/bench/measures/kept_index.py
@@ -87,9 +87,9 @@
 def _rebuild_s(changes: list[StoreChange]) -> float:
     """Return the seconds to decode a listing and to apply it to an index."""
     listing = msgspec.json.encode(changes)
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     PrefixIndex().apply("store-1", msgspec.json.decode(listing, type=list[StoreChange]))
-    return time.perf_counter() - began_s
+    return time.perf_counter() - started_s
 
 
 BENCH = Bench("kept_index", run, is_count=False)
--- a/fireflyward/bench/measures/kept_names.py
+++ b/fireflyward/bench/measures/kept_names.py
@@ -28,9 +28,9 @@
 def _fastest_s(function: Callable[[], object]) -> float:
     times_s = []
     for _ in range(_ROUNDS):
-        began_s = time.perf_counter()
+        started_s = time.perf_counter()
         function()
-        times_s.append(time.perf_counter() - began_s)
+        times_s.append(time.perf_counter() - started_s)
     return min(times_s)
 
 
--- a/fireflyward/bench/measures/membership_cpu.py
+++ b/fireflyward/bench/measures/membership_cpu.py
@@ -63,10 +63,10 @@
 
 
 def _time_per_call_s(work: Callable[..., object], items: list[object]) -> float:
-    began = time.process_time()
+    started_s = time.process_time()
     for index in range(_ROUNDS):
         work(items[index % len(items)])
-    return (time.process_time() - began) / _ROUNDS
+    return (time.process_time() - started_s) / _ROUNDS
 
 
 def _decisions_share() -> float:
@@ -74,9 +74,9 @@
     net = MembershipNet(seed=1)
     net.start_many(10, 35)
     net.run_ms(1_000)
-    began = time.process_time()
+    started_s = time.process_time()
     net.run_ms(3_000)
-    return (time.process_time() - began) / 3 / 350
+    return (time.process_time() - started_s) / 3 / 350
 
 
 BENCH = Bench("membership_cpu", _measure, is_count=False)
--- a/fireflyward/bench/measures/replay_sockets.py
+++ b/fireflyward/bench/measures/replay_sockets.py
@@ -79,7 +79,7 @@
         "max_tokens": _ANSWER_TOKENS,
         "stream": True,
     }
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     first = 0.0
     async with session.post(
         f"{url}/v1/completions", json=body, headers=_HEADERS
@@ -87,7 +87,7 @@
         response.raise_for_status()
         async for line in response.content:
             if line.startswith(b"data: ") and not first:
-                first = time.perf_counter() - began
+                first = time.perf_counter() - started_s
     return first
 
 
--- a/fireflyward/bench/measures/rollout_swap.py
+++ b/fireflyward/bench/measures/rollout_swap.py
@@ -65,9 +65,9 @@
         return value.phase == "done" and value.bundle_number == number
 
     async def _run_to(self, number: int) -> int:
-        began_ms = self.clock.now_ms()
+        started_ms = self.clock.now_ms()
         while not self._is_done(number):
-            assert self.clock.now_ms() - began_ms < _LIMIT_MS, (
+            assert self.clock.now_ms() - started_ms < _LIMIT_MS, (
                 "the rollout did not finish within the limit"
             )
             await self.lease.step()
@@ -76,7 +76,7 @@
             serving = self.fleet.count_serving(self.clock.now_ms(), _MODEL)
             self.min_serving = min(self.min_serving, serving)
             self.lost_replica_time_ms += (len(self.names) - serving) * _STEP_MS
-        return self.clock.now_ms() - began_ms
+        return self.clock.now_ms() - started_ms
 
     async def run(self, name: str) -> list[Figure]:
         await self._run_to(1)
--- a/fireflyward/bench/measures/run_records.py
+++ b/fireflyward/bench/measures/run_records.py
@@ -42,10 +42,10 @@
             owner=f"owner-{number}",
             fingerprint="f" * 64,
         )
-        began_ms = self.clock.now_ms()
+        started_ms = self.clock.now_ms()
         permit = await record.claim("replica")
         assert isinstance(permit, Permit), permit
-        self.claim_ms.append(self.clock.now_ms() - began_ms)
+        self.claim_ms.append(self.clock.now_ms() - started_ms)
         await record.settle(Answered(), "pass")
 
 
--- a/fireflyward/load/_caller.py
+++ b/fireflyward/load/_caller.py
@@ -91,25 +91,25 @@
         Returns None if the time limit passed without a final outcome. The first
         attempt goes to the node at ``start_index`` in ``urls``, modulo their number.
         """
-        start_ms = self.clock.now_ms()
+        started_ms = self.clock.now_ms()
         is_call = request.mode is RequestMode.CALL
         answers = request.expected_answers(self.plan)
         self.checker.observe(
-            RequestSent(start_ms, request.name, request.account, answers, is_call)
+            RequestSent(started_ms, request.name, request.account, answers, is_call)
         )
         result, unknown = AttemptResult(), 0
         for attempt in itertools.count(start_index):
-            attempt_start_ms = self.clock.now_ms()
+            attempt_started_ms = self.clock.now_ms()
             url = self.urls[attempt % len(self.urls)]
             result = await self._attempt(url, request, result)
-            is_timed_out = self.clock.now_ms() - start_ms > self.time_limit_ms
+            is_timed_out = self.clock.now_ms() - started_ms > self.time_limit_ms
             unknown += result.status is AttemptStatus.UNKNOWN
             is_given_up = is_call and (is_timed_out or unknown >= _MAX_UNKNOWN_ANSWERS)
             is_final = result.status is AttemptStatus.ANSWERED or is_given_up
             if result.is_connected or is_final:
-                self._report_attempt(url, request, result, attempt_start_ms, is_final)
+                self._report_attempt(url, request, result, attempt_started_ms, is_final)
             if result.first_ms and attempt == start_index:
-                self.first_token_ms.append(result.first_ms - start_ms)
+                self.first_token_ms.append(result.first_ms - started_ms)
             if is_final or is_timed_out:
                 return result.status if is_final else None
             self.retries += 1
@@ -121,7 +121,7 @@
         url: str,
         request: LoadRequest,
         result: AttemptResult,
-        start_ms: int,
+        started_ms: int,
         is_final: bool,
     ) -> None:
         now_ms = self.clock.now_ms()
@@ -134,10 +134,10 @@
                 result.run_id,
                 url,
                 is_final,
-                start_ms,
+                started_ms,
             )
         )
-        self.checker.observe(BundleServed(now_ms, url, result.bundle, start_ms))
+        self.checker.observe(BundleServed(now_ms, url, result.bundle, started_ms))
 
     async def _attempt(
         self, url: str, request: LoadRequest, previous: AttemptResult
--- a/fireflyward/load/_run.py
+++ b/fireflyward/load/_run.py
@@ -49,7 +49,7 @@
 
     async def run(self) -> LoadReport:
         """Send all requests, and return the report."""
-        start_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         pending = enumerate(draw_requests(self._plan))
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
@@ -69,7 +69,7 @@
             answers=self.count_by_status[AttemptStatus.ANSWERED],
             unknown=self.count_by_status[AttemptStatus.UNKNOWN],
             retries=caller.retries,
-            seconds=(now_ms - start_ms) / _MS_PER_SECOND,
+            seconds=(now_ms - started_ms) / _MS_PER_SECOND,
             first_token_ms=caller.first_token_ms,
             violations=self.checker.finish(now_ms),
         )
--- a/tests/standins/test_engine_kv.py
+++ b/tests/standins/test_engine_kv.py
@@ -75,10 +75,10 @@
     async def test_import_from_a_slow_store_stops_at_the_time_limit(self):
         refs = await self.keep()
         self.store.model.faults.delay_ms = 10_000
-        began_ms = self.world.clock.now_ms()
+        started_ms = self.world.clock.now_ms()
         report = await self.load(refs, limit_ms=40)
         self.assertEqual(report.misses[0].reason, MissReason.DEADLINE)
-        self.assertLessEqual(self.world.clock.now_ms() - began_ms, 42)
+        self.assertLessEqual(self.world.clock.now_ms() - started_ms, 42)
 
     async def test_blocks_before_a_damaged_one_stay_usable(self):
         refs = await self.keep()
