--- a/tests/limits/test_account_shares.py
+++ b/tests/limits/test_account_shares.py
@@ -80,7 +80,7 @@
         self.domain = SharesMesh(4)
 
     @rule(place=st.integers(0, 3), count=st.integers(1, 60))
-    def request(self, place, count):
+    def admit_request(self, place, count):
         for _ in range(count):
             self.domain.try_admit(self.domain.names[place], ACCOUNT)
 
