--- a/fireflyward/fleet/_stores.py
+++ b/fireflyward/fleet/_stores.py
@@ -56,7 +56,7 @@
 
     async def run(self, link: PeerLink) -> None:
         """Tell other nodes what followers read, and hear of theirs."""
-        self._shared.register(link)
+        self._shared.use(link)
         await self._telling.run(link)
 
     def take(self, configuration: Configuration) -> None:
