--- a/fireflyward/aggregators/_choice.py
+++ b/fireflyward/aggregators/_choice.py
@@ -149,7 +149,7 @@
         return best
 
     def on_sent_to(self, now_ms: int, name: str) -> None:
-        """Record a message sent to a node, from which one should soon arrive."""
+        """Record that a message was sent to a node, which should soon send one too."""
         self._unanswered_since_ms_by_name.setdefault(name, now_ms)
 
     def on_received_from(self, name: str) -> None:
--- a/fireflyward/backing/_budget.py
+++ b/fireflyward/backing/_budget.py
@@ -12,7 +12,7 @@
 class Budget:
     """A token bucket whose rate is the service's capacity divided by the nodes.
 
-    ``nodes`` returns the number of nodes that are not known to be dead. It includes
+    ``nodes`` returns the number of all nodes except those considered dead. It includes
     nodes that this one cannot reach, because they may still reach the service. A call
     that finds no token waits for one, in the order of calls, but at most
     ``max_wait_ms``.
@@ -24,7 +24,7 @@
 
     __slots__ = (
         "_filled_ms",
-        "_longest_wait_ms",
+        "_max_wait_ms",
         "_nodes",
         "_per_second",
         "_ramp_since_ms",
@@ -40,7 +40,7 @@
     ) -> None:
         self._per_second = per_second
         self._nodes = nodes
-        self._longest_wait_ms = max_wait_ms
+        self._max_wait_ms = max_wait_ms
         self._tokens = self._burst()
         self._filled_ms = 0
         self._ramp_since_ms: int | None = None
@@ -54,7 +54,7 @@
         self._filled_ms = now_ms
         missing_tokens = 1 - self._tokens
         wait_ms = max(0, round(missing_tokens * _MS_PER_SECOND / rate))
-        if wait_ms > self._longest_wait_ms:
+        if wait_ms > self._max_wait_ms:
             return None
         self._tokens -= 1
         return wait_ms
--- a/fireflyward/feeds/_follower.py
+++ b/fireflyward/feeds/_follower.py
@@ -36,7 +36,7 @@
         return result.as_of_ms
     if result.rows:
         return sent_ms
-    # If nothing changed, the store answers only when the wait is over.
+    # If nothing changed, the store answers only when its wait time ends.
     return sent_ms + min(received_ms - sent_ms, wait_ms)
 
 
@@ -76,9 +76,9 @@
 class FeedFollower:
     """Reads a table once, then its changes, and calls ``on_update`` with each result.
 
-    ``as_of_ms`` is the latest time for which the follower knows the table's state. It
-    counts from when a call was sent: an answer that was delayed on the way says nothing
-    about changes in the meantime.
+    ``as_of_ms`` is the latest time for which an answer confirms the table's state. It
+    counts from when a call was sent: an answer that was delayed on the way does not
+    include the changes in the meantime.
 
     The follower never continues from a position of an earlier era, because the store
     may have assigned the same version again. In each new era it reads the full table.
--- a/fireflyward/forwarding/_admission.py
+++ b/fireflyward/forwarding/_admission.py
@@ -20,7 +20,7 @@
 # Callers that were rejected together must not retry together. They will be late
 # whenever they retry, so their retries are spread at random over a part of the time
 # that they have left, after a first part that is reserved for requests which can still
-# be on time. A caller is asked to wait for at most a third of the time it has left.
+# be on time. A caller has to wait for at most a third of the time it has left.
 _MAX_WAIT_SHARE = 1 / 3
 _SPREAD_SHARE = 0.7
 
@@ -45,11 +45,11 @@
 class Admission:
     """Rejects at once requests that would be late or make others late; no I/O.
 
-    It limits the damage of an overload in which prompts arrive faster than the
+    Admission limits the damage of an overload in which prompts arrive faster than the
     replicas prefill them. Without a limit the queues in the replicas grow, every
-    request is late, and the replicas prefill prompts whose callers have gone. With the
-    limit, admitted requests meet their objective, and the other callers learn at once
-    when to retry.
+    request is late, and the replicas prefill prompts whose callers have left. With the
+    limit, admitted requests meet their objective, and the other callers receive at once
+    the time after which to retry.
     """
 
     __slots__ = ("_random",)
--- a/fireflyward/forwarding/_dependencies.py
+++ b/fireflyward/forwarding/_dependencies.py
@@ -19,7 +19,7 @@
 
 
 class QuarantineGate(Protocol):
-    """What a request needs of the quarantine; see ``quarantine.Quarantine``."""
+    """The quarantine's methods that a request calls; see ``quarantine.Quarantine``."""
 
     async def admit(self, fingerprint: str) -> Free | Held | Trial: ...
 
@@ -47,7 +47,7 @@
 
 
 class Notices(Protocol):
-    """Receives what responses report about replicas; see ``notices.NoticeTask``."""
+    """Receives facts about replicas from responses; see ``notices.NoticeTask``."""
 
     def on_response(
         self, replica: ReplicaState, facts: ResponseFacts, *, sent_ms: int
--- a/fireflyward/forwarding/_exchange.py
+++ b/fireflyward/forwarding/_exchange.py
@@ -49,7 +49,7 @@
 class Exchange:
     """Reads one response: returns a complete answer or forwards a stream to the caller.
 
-    What the response reports about the replica updates the replica's state. The
+    The facts that the response reports about the replica update its state. The
     connection returns to the pool only after a complete response. Otherwise it is
     closed, and the replica stops working on the request.
     """
--- a/fireflyward/forwarding/_late_limit.py
+++ b/fireflyward/forwarding/_late_limit.py
@@ -9,14 +9,14 @@
 class LateRequestLimit:
     """Counts the late requests that wait for a slot, by service; no I/O.
 
-    It is for bursts: for a few seconds more requests arrive than the replicas have
-    slots. Replicas assign slots by priority, so a late request at the lowest priority
-    delays no other and is answered as soon as the burst is over. If it were rejected,
-    its caller would retry during the burst and be rejected again. Under a lasting
-    overload a waiting request would get no slot at all, so only few may wait. In bursts
-    of four seconds at 1.7 and 2.2 times the usual traffic, 199 instead of 267 of some
-    5,860 short requests were finally rejected (means of five replays of the same
-    arrivals, with and without this limit).
+    The limit is for bursts, in which for a few seconds more requests arrive than the
+    replicas have slots. Replicas assign slots by priority, so a late request at the
+    lowest priority delays no other and is answered as soon as the burst ends. If it
+    were rejected, its caller would retry during the burst and be rejected again. Under
+    a lasting overload a waiting request would get no slot at all, so only few may wait.
+    In bursts of four seconds at 1.7 and 2.2 times the usual traffic, 199 instead of 267
+    of some 5,860 short requests were finally rejected (means of five replays of the
+    same arrivals, with and without this limit).
 
     >>> limit = LateRequestLimit()
     >>> limit.set_nodes(4)
@@ -49,5 +49,5 @@
         return True
 
     def release(self, service: str) -> None:
-        """Count one less: the request got its first token, or it is over."""
+        """Count one less: the request got its first token, or it ended."""
         self._waiting_by_service[service] -= 1
--- a/fireflyward/forwarding/_plan.py
+++ b/fireflyward/forwarding/_plan.py
@@ -20,8 +20,8 @@
     WholeAnswer,
 )
 
-# Sends that were not run cost a replica little, but each counts as an arrival at the
-# service.
+# A send that the replica does not run costs little, but each one counts as an arrival
+# at the service.
 _MAX_REJECTIONS = 3
 _MAX_UNSENT = 4
 # A replica that answers with another incarnation shows that the list of replicas is out
@@ -77,7 +77,7 @@
         return self._possible_runs > 0
 
     def decide(self, left_ms: float, result: SendResult) -> Decision:
-        """Decide how to go on after a send, with ``left_ms`` until the deadline."""
+        """Return the next step after a send, with ``left_ms`` until the deadline."""
         return self._decide(result, left_ms)
 
     def abort(
--- a/fireflyward/forwarding/_prompt_requirements.py
+++ b/fireflyward/forwarding/_prompt_requirements.py
@@ -1,4 +1,4 @@
-"""What a request requires of a replica: weights, memory and KV cache."""
+"""Derives what a request requires of a replica: weights, memory and KV cache."""
 
 from fireflyward.platform import CallerRequest
 from fireflyward.prefixes import KvPlan, PartPlanner, cache_salt
@@ -31,7 +31,7 @@
         """Return the tokens in a replica's KV memory at the end of the request."""
         return self._caller.prompt_tokens + self._caller.most_output_tokens
 
-    def wanted(self, now_ms: int) -> Requirements:
+    def criteria(self, now_ms: int) -> Requirements:
         """Return the criteria by which a replica is chosen."""
         caller = self._caller
         if not caller.model:
--- a/fireflyward/forwarding/_quarantine_check.py
+++ b/fireflyward/forwarding/_quarantine_check.py
@@ -1,4 +1,4 @@
-"""Asks the quarantine before each send of a request, and reports the results to it."""
+"""Checks the quarantine before each send of a request, and reports the results."""
 
 from fireflyward.quarantine import TRIAL_ENDED, Held, Trial
 from fireflyward.replicas import Choice, ReplicaState
@@ -12,7 +12,7 @@
 
 
 class QuarantineCheck:
-    """Asks the quarantine gate before each send and reports the result of each send.
+    """Requests admission from the gate for each send, and reports the send's result.
 
     Each send needs a permission of its own: the previous send of the same request may
     have crashed the third replica, and a trial permits only one send.
--- a/fireflyward/forwarding/_request_run.py
+++ b/fireflyward/forwarding/_request_run.py
@@ -42,7 +42,7 @@
 
 
 class RequestRun:
-    """One request, from its arrival until its caller has an outcome or has gone."""
+    """One request, from its arrival until its caller has an outcome or disconnects."""
 
     __slots__ = (
         "_allowed",
@@ -139,8 +139,8 @@
         if self._progress.has_begun:
             return Unknown(Reason.UPSTREAM_FAILED, "no replica continued the stream")
         if _has_not_run_status(answer):
-            # Passed on to the caller, this status would mean that the request has not
-            # run.
+            # If the caller received this status, it would assume that the request has
+            # not run.
             return Unknown(Reason.UPSTREAM_FAILED, "replica failed after it had begun")
         await self._reply.send_response(answer.head, answer.body)
         return Answered()
@@ -198,7 +198,7 @@
     def _admit(self, choice: Choice, left_ms: float) -> NotRun | None:
         """Reject a first send that would be late, unless it may wait for a slot.
 
-        It also records whether the request is late and whether it waits.
+        This method also records whether the request is late and whether it waits.
         """
         if not self._caller.model or self._plan.may_have_run:
             return None
@@ -221,7 +221,7 @@
         return None if self._waits_late else rejection
 
     def _stop_late_wait(self, replica: ReplicaState | None) -> None:
-        """Stop counting a late request as waiting: it got its slot, or it is over."""
+        """Stop counting a late request as waiting: it got its slot, or it ended."""
         if not self._waits_late:
             return
         self._waits_late = False
@@ -257,8 +257,8 @@
             )
             result = await self._read(connection, choice, prefill)
         except BaseException:
-            # The caller has gone. The replica stops its work once the connection is
-            # closed.
+            # The caller has disconnected. The replica stops its work once the
+            # connection is closed.
             connection.close()
             raise
         finally:
@@ -332,12 +332,12 @@
 
     def _choose(self) -> Choice | None:
         now_ms = self._clock.now_ms()
-        wanted = self._requirements.wanted(now_ms)
+        criteria = self._requirements.criteria(now_ms)
         choice = self._deps.chooser.choose(
-            now_ms, wanted, without=frozenset(self._tried)
+            now_ms, criteria, without=frozenset(self._tried)
         )
         if choice is None and self._tried and not self._plan.may_have_run:
-            choice = self._deps.chooser.choose(now_ms, wanted)
+            choice = self._deps.chooser.choose(now_ms, criteria)
         return choice
 
     def _priority(self) -> int:
--- a/fireflyward/forwarding/_trace.py
+++ b/fireflyward/forwarding/_trace.py
@@ -1,4 +1,4 @@
-"""Collects what a node decided for one request, for its log line."""
+"""Collects the decisions of a node on one request, for the request's log line."""
 
 import logging
 
@@ -10,7 +10,7 @@
 
 
 class Trace:
-    """What a node decided for one request, for its log line.
+    """The decisions of a node on one request, for the request's log line.
 
     Three fields belong to the last send: ``queue_ms`` is the estimated wait at its
     replica, ``expected_ms`` the estimated time to its first token, and
--- a/fireflyward/forwarding/_weights.py
+++ b/fireflyward/forwarding/_weights.py
@@ -2,17 +2,17 @@
 
 from fireflyward.deployment import WeightTarget
 
-# Subtracted from the allowed time: a node learns of a new version with a delay, and a
+# Subtracted from the allowed time: a node receives a new version with a delay, and a
 # request may wait in a replica's queue for seconds before it begins.
 _MARGIN_MS = 3_500
 # A node that has just started cannot know when the version it finds was named. Older
 # weights may serve for this long after the start, because a rollout may still be
 # finishing.
-_AT_START_MS = 2_500
+_OLDER_WEIGHTS_AT_START_MS = 2_500
 
 
 class WeightVersions:
-    """The versions that operators named, and when this node learned of them; no I/O.
+    """The versions that operators named, and when this node received them; no I/O.
 
     Each version has its own time limit for the weights that it replaces. A newer
     version that is named meanwhile does not extend that limit.
@@ -40,7 +40,9 @@
         if target.version <= self._newest_by_model.get(target.model, 0):
             return False
         self._newest_by_model[target.model] = target.version
-        allowed_ms = _AT_START_MS if at_start else self._version_ms - _MARGIN_MS
+        allowed_ms = (
+            _OLDER_WEIGHTS_AT_START_MS if at_start else self._version_ms - _MARGIN_MS
+        )
         limit = now_ms + allowed_ms, target.version
         self._limits_by_model.setdefault(target.model, []).append(limit)
         return True
--- a/fireflyward/leases/_announcer.py
+++ b/fireflyward/leases/_announcer.py
@@ -20,8 +20,8 @@
 
     Seven nodes that polled once a second caused ten calls a second during a rollout,
     half of all calls of a fleet of 18 nodes. Instead, the holder sends a datagram after
-    each renewal. It may be lost or late; a contender that receives none polls the
-    table.
+    each renewal. The datagram may be lost or late; a contender that receives none polls
+    the table.
     """
 
     def __init__(
--- a/fireflyward/limits/_admission.py
+++ b/fireflyward/limits/_admission.py
@@ -9,8 +9,8 @@
 from ._fair_queue import FairQueue, Waiter
 from ._window import Window
 
-_MIN_RETRY_MS = 1_000
-_MAX_RETRY_MS = 30_000
+_MIN_RETRY_AFTER_MS = 1_000
+_MAX_RETRY_AFTER_MS = 30_000
 _MAX_WAITING_REQUESTS = 4_096
 _RATE_SAMPLES = 64
 _MAX_WINDOW_SHARE = 0.8
@@ -42,9 +42,10 @@
 class Ticket:
     """A request that waits or was admitted; the caller passes it to ``leave``.
 
-    ``is_beyond_share`` is true if the account recently had several requests waiting,
-    that is, requested more than its share. Engines should run the request after those
-    of accounts that did not.
+    ``is_pending`` is true from the admission until the first token, or until the
+    request leaves. ``is_beyond_share`` is true if the account recently had several
+    requests waiting, that is, requested more than its share. Engines should run the
+    request after those of accounts that did not.
     """
 
     request: AdmissionRequest
@@ -114,10 +115,11 @@
     """Admits, queues or rejects requests; does no I/O.
 
     ``enter`` returns a ticket for a request, and ``decide`` returns the tickets that
-    were admitted or rejected since. A request is admitted if the number of runs that
-    wait for a first token is below the adaptive window of its model. Otherwise it
-    waits in the fair queue, for ``queue_limit_ms`` at most and not past its deadline.
-    If it is not expected to be admitted by then, it is rejected on arrival.
+    were admitted or rejected since the last call. A request is admitted if the number
+    of runs that wait for a first token is below the adaptive window of its model.
+    Otherwise it waits in the fair queue, for ``queue_limit_ms`` at most and not past
+    its deadline. If it is not expected to be admitted by then, it is rejected on
+    arrival.
     """
 
     __slots__ = ("_in_flight_by_account", "_state_by_model", "_queue_limit_ms")
@@ -181,7 +183,7 @@
         self._remove_pending(state, ticket)
 
     def leave(self, ticket: Ticket) -> None:
-        """Remove a request that finished, was rejected or lost its caller."""
+        """Remove a request that finished or was rejected, or whose caller left."""
         state = self._state_by_model[ticket.request.model]
         if state.ticket_by_waiter.pop(id(ticket.waiter), None):
             state.queue.remove(ticket.waiter)
@@ -207,16 +209,18 @@
             detail = (
                 f"account {request.account} has {in_flight} requests in flight here"
             )
-            return NotRun(Reason.OVER_LIMIT, detail, _MIN_RETRY_MS)
+            return NotRun(Reason.OVER_LIMIT, detail, _MIN_RETRY_AFTER_MS)
         if request.deadline_ms <= now_ms:
-            return NotRun(Reason.DEADLINE, "the deadline has passed", _MIN_RETRY_MS)
+            return NotRun(
+                Reason.DEADLINE, "the deadline has passed", _MIN_RETRY_AFTER_MS
+            )
         wait_ms = self._wait_ms(now_ms, state, request)
         if now_ms + wait_ms > request.deadline_ms:
             detail = f"the estimated wait of {wait_ms:.0f} ms exceeds the deadline"
-            return NotRun(Reason.DEADLINE, detail, _retry_ms(wait_ms))
+            return NotRun(Reason.DEADLINE, detail, _retry_after_ms(wait_ms))
         if wait_ms > self._queue_limit_ms or len(state.queue) >= _MAX_WAITING_REQUESTS:
             detail = f"the estimated wait is {wait_ms:.0f} ms"
-            return NotRun(Reason.OVERLOADED, detail, _retry_ms(wait_ms))
+            return NotRun(Reason.OVERLOADED, detail, _retry_after_ms(wait_ms))
         return None
 
     def _wait_ms(
@@ -289,9 +293,9 @@
     def _late_rejection(self, ticket: Ticket) -> NotRun:
         if ticket.reject_at_ms == ticket.request.deadline_ms:
             detail = "the deadline passed before admission"
-            return NotRun(Reason.DEADLINE, detail, _MIN_RETRY_MS)
+            return NotRun(Reason.DEADLINE, detail, _MIN_RETRY_AFTER_MS)
         detail = f"not admitted within {self._queue_limit_ms} ms"
-        return NotRun(Reason.OVERLOADED, detail, _retry_ms(self._queue_limit_ms))
+        return NotRun(Reason.OVERLOADED, detail, _retry_after_ms(self._queue_limit_ms))
 
     def _remove_pending(self, state: _ModelState, ticket: Ticket) -> None:
         if not ticket.is_pending:
@@ -310,7 +314,8 @@
     If another account had a request in the last ten seconds, one account may use at
     most four fifths of the window. An admitted run cannot be cancelled again: if one
     account occupied all of the window, the next request of another account would have
-    to wait until a prefill ends.
+    to wait until a prefill ends. With a fifth of the window left free, that request
+    starts at once.
     """
     max_pending = max(1, int(_MAX_WINDOW_SHARE * state.window.size))
     if state.pending_by_account.get(account, 0) < max_pending:
@@ -318,5 +323,5 @@
     return now_ms - state.last_other_arrival_ms(account) >= _OTHER_ACCOUNT_RECENT_MS
 
 
-def _retry_ms(wait_ms: float) -> int:
-    return int(min(_MAX_RETRY_MS, max(_MIN_RETRY_MS, wait_ms)))
+def _retry_after_ms(wait_ms: float) -> int:
+    return int(min(_MAX_RETRY_AFTER_MS, max(_MIN_RETRY_AFTER_MS, wait_ms)))
--- a/fireflyward/placement/_keep.py
+++ b/fireflyward/placement/_keep.py
@@ -88,10 +88,14 @@
             kind = ReuseClass(
                 prompt.account, prompt.has_session, (pieces - index).bit_length()
             )
-            seen = self._count(now_ms, kind, key, tracked)
+            occurrences = self._count(now_ms, kind, key, tracked)
             if first + PIECE_BLOCKS <= prompt.kept_blocks:
                 continue
-            reuses = float(seen - 1) if seen > 1 else self.reuse_statistics.rate(kind)
+            reuses = (
+                float(occurrences - 1)
+                if occurrences > 1
+                else self.reuse_statistics.rate(kind)
+            )
             if first + PIECE_BLOCKS <= prompt.hinted_blocks:
                 reuses = max(reuses, _MIN_HINTED_REUSES)
             if reuses < _MIN_REUSES:
@@ -102,7 +106,7 @@
                     prompt.account,
                     reuses,
                     self.reuse_statistics.gap_ms(kind),
-                    seen >= _MIN_SHARED_COUNT,
+                    occurrences >= _MIN_SHARED_COUNT,
                 )
             )
         return sorted(offers, key=lambda offer: (-offer.reuses, offer.piece.first))
@@ -111,10 +115,10 @@
         self, now_ms: float, kind: ReuseClass, key: str, tracked: set[ReuseClass]
     ) -> int:
         """Count a piece; track the reuse of the first new piece of each class."""
-        seen = self._sketch.add(key)
-        if seen > 1:
+        occurrences = self._sketch.add(key)
+        if occurrences > 1:
             self.reuse_statistics.on_repeated(now_ms, kind, key)
         elif kind not in tracked:
             tracked.add(kind)
             self.reuse_statistics.on_first_seen(now_ms, kind, key)
-        return seen
+        return occurrences
--- a/fireflyward/prefixes/_follow.py
+++ b/fireflyward/prefixes/_follow.py
@@ -12,9 +12,9 @@
 
 log = logging.getLogger("fireflyward.prefixes")
 
-# The store answers a call for events when its wait time is over. A call that takes
-# longer than its wait time plus this limit has failed.
-_LIMIT_MS = 700
+# The store answers a call for events when the wait time of the call ends, or earlier.
+# A call that takes longer than its wait time plus this limit has failed.
+_CALL_OVERHEAD_LIMIT_MS = 700
 _RETRY_PAUSE_MS = 500
 _WAIT_MS = 1_000
 # The pause between an aggregator's calls to one store. An aggregator follows every
@@ -29,22 +29,22 @@
 # A call to the aggregator and its answer, with one lost packet. The complete list of a
 # store has some 150 KB.
 AGGREGATOR_CALL_LIMIT_MS = 600
-# After a store has restarted, nodes save nothing to it until every node has learned of
-# the restart. The aggregator learns of it by its own call. A listener that misses the
+# After a store has restarted, nodes save nothing to it until every node has detected
+# the restart. The aggregator detects it by its own call. A listener that misses the
 # aggregator's update calls the aggregator after its timeout, and the store if that call
 # fails.
 _SAVE_BLOCK_MS = (
     _WAIT_MS
-    + _LIMIT_MS
+    + _CALL_OVERHEAD_LIMIT_MS
     + _AGGREGATOR_TIMEOUT_MS
     + AGGREGATOR_CALL_LIMIT_MS
     + _LISTENER_WAIT_MS
-    + _LIMIT_MS
+    + _CALL_OVERHEAD_LIMIT_MS
 )
 
 
 class FollowMode(enum.Enum):
-    """How a node learns of a store's events."""
+    """How a node receives the events of a store."""
 
     INDEPENDENT = "by itself"
     AS_AGGREGATOR = "for others"
@@ -52,7 +52,7 @@
 
 
 class KvReader(Protocol):
-    """What a follower needs of a store; None means that there was no answer."""
+    """The calls that a follower makes to a store; None means that it did not answer."""
 
     async def kv_events(
         self, address: str, *, since: int, wait_ms: int, limit_ms: float
@@ -92,7 +92,7 @@
         """Follow the store until cancelled."""
         while True:
             mode = self._mode()
-            if mode is FollowMode.FROM_AGGREGATOR and not self._must_query_store():
+            if mode is FollowMode.FROM_AGGREGATOR and not self._must_make_call():
                 await within_ms(
                     self._clock, _AGGREGATOR_TIMEOUT_MS, self._gap_detected.wait()
                 )
@@ -112,7 +112,7 @@
             index.address,
             since=index.next_event,
             wait_ms=_WAIT_MS if waits_long else _LISTENER_WAIT_MS,
-            limit_ms=_LIMIT_MS,
+            limit_ms=_CALL_OVERHEAD_LIMIT_MS,
         )
         if update is None:
             return self._on_unreachable()
@@ -121,7 +121,9 @@
             if update.since != 0:
                 return True
         if not index.apply(update):
-            snapshot = await self._reader.kv_list(index.address, limit_ms=_LIMIT_MS)
+            snapshot = await self._reader.kv_list(
+                index.address, limit_ms=_CALL_OVERHEAD_LIMIT_MS
+            )
             if snapshot is None:
                 return self._on_unreachable()
             update = index.difference(snapshot)
@@ -131,7 +133,7 @@
         return True
 
     def on_update(self, update: KvUpdate) -> None:
-        """Apply what an aggregator read, if it continues this node's own state."""
+        """Apply an aggregator's update, if it continues this node's own state."""
         index = self._index
         if update.epoch != index.epoch and update.since == 0:
             self._begin_epoch(update.epoch)
@@ -144,7 +146,7 @@
             # again is harmless, because the update also contains all later ones.
             index.apply(update)
 
-    def _must_query_store(self) -> bool:
+    def _must_make_call(self) -> bool:
         since_update_ms = self._clock.now_ms() - self._last_update_ms
         return self._gap_detected.is_set() or since_update_ms >= _AGGREGATOR_TIMEOUT_MS
 
@@ -152,7 +154,7 @@
         """Start over with a new epoch of the store, at whose beginning it was empty.
 
         A node that has just started cannot know whether the other nodes have already
-        learned of this epoch.
+        detected this epoch.
         """
         if self._index.epoch is not None:
             log.info("prefixes: store %s restarted and is empty", self._index.address)
--- a/fireflyward/prefixes/_garbage.py
+++ b/fireflyward/prefixes/_garbage.py
@@ -24,7 +24,7 @@
 # Some events of freed parts never arrive. The node frees such a part once more after
 # this time.
 _FREE_RETRY_MS = 5_000
-_LIMIT_MS = 800
+_CALL_LIMIT_MS = 800
 
 
 # The numbers of the replica incarnations that may have a (model, version).
@@ -32,7 +32,7 @@
 
 
 class KvFreer(Protocol):
-    """What the garbage collector needs of a store."""
+    """The call that the garbage collector makes to a store."""
 
     async def kv_free(
         self, address: str, *, epoch: int, keys: list[PartKey], limit_ms: float
@@ -46,10 +46,11 @@
     replica runs such a request only while it has that version. Once no replica has the
     version, no request reads the part, and freeing it breaks no fetch.
 
-    It matters in a rollout: when a new version is named, the stores are full of the old
-    version's parts. Until these are freed, no part of the new version can be saved, and
-    every prompt is prefilled completely. In a rollout over six replicas the stores
-    accepted new parts 0.4 s after the last order, instead of 3.1 s (one log of each).
+    Freeing these parts matters in a rollout: when a new version is named, the stores
+    are full of the old version's parts. Until these are freed, no part of the new
+    version can be saved, and every prompt is prefilled completely. In a rollout over
+    six replicas the stores accepted new parts 0.4 s after the last order, instead of
+    3.1 s (from one log each).
     """
 
     __slots__ = ("_unused_since_ms", "_last_holders")
@@ -162,6 +163,6 @@
 
     async def _free(self, address: str, epoch: int, keys: list[PartKey]) -> None:
         freed = await self._freer.kv_free(
-            address, epoch=epoch, keys=keys, limit_ms=_LIMIT_MS
+            address, epoch=epoch, keys=keys, limit_ms=_CALL_LIMIT_MS
         )
         log.info("prefixes: freeing %d parts at %s: %s", len(keys), address, freed)
--- a/fireflyward/prefixes/_index.py
+++ b/fireflyward/prefixes/_index.py
@@ -118,7 +118,7 @@
     def restart(self, epoch: int, *, no_saves_until_ms: int) -> None:
         """Clear the index, because the store has restarted, and block saves for now.
 
-        Other nodes may not have learned of the restart yet, and may still fetch parts
+        Other nodes may not have detected the restart yet, and may still fetch parts
         that they assume to be complete in the store. If such a part were being saved
         again, they would read memory that is only half written.
         """
--- a/fireflyward/prefixes/_publisher.py
+++ b/fireflyward/prefixes/_publisher.py
@@ -13,15 +13,15 @@
 from ._prefixes_structs import StoresNews
 
 _KIND = "stores"
-# How often an aggregator publishes what it read. A prompt that is repeated sooner than
-# this is prefilled again, which is rare.
+# How often an aggregator publishes the events that it read. A prompt that is repeated
+# sooner than this is prefilled again, which is rare.
 _PERIOD_MS = 100
 # A node that is no aggregator has nothing to publish, and only checks whether it has
 # become one.
 _IDLE_PERIOD_MS = 500
 # The aggregator publishes an update of every store at least this often, even without
-# events, so that a listener knows that it misses nothing. After 1.6 s without one, a
-# listener makes a call of its own.
+# events, which shows a listener that it has missed none. After 1.6 s without an
+# update, a listener makes a call of its own.
 _KEEPALIVE_MS = 500
 # An event has some 20 bytes and a store some 60; a datagram holds 1,400.
 _EVENT_BYTES = 22
@@ -30,7 +30,7 @@
 
 
 class StorePublisher:
-    """Publishes what followers read, and passes received updates to followers."""
+    """Publishes the updates that followers read, and passes received ones to them."""
 
     def __init__(
         self,
@@ -54,14 +54,14 @@
         return FollowMode.FROM_AGGREGATOR
 
     def on_read(self, address: str, update: KvUpdate) -> None:
-        """Keep what was read from a store until it is published."""
+        """Keep an update that was read from a store until it is published."""
         if self.mode() is not FollowMode.AS_AGGREGATOR:
             self._last_by_address.pop(address, None)
             return
         last = self._last_by_address.get(address)
         published_ms = last[0] if last else 0
         # The event numbers also advance over events that never arrive. A listener that
-        # did not receive such an update would take the next one for a gap.
+        # did not receive such an update would treat the next one as a gap.
         has_advanced = update.next_event != update.since
         if has_advanced or self._clock.now_ms() - published_ms >= _KEEPALIVE_MS:
             self._unpublished.append((address, update))
@@ -81,7 +81,7 @@
         link.register(_KIND, StoresNews, self._on_store_events)
 
     def publish(self, link: PeerLink) -> None:
-        """Send the neighbours what was read since the last call."""
+        """Send the neighbours the updates that were read since the last call."""
         unpublished, self._unpublished = self._unpublished, []
         neighbours = self._aggregators.neighbour_addresses()
         for group in _split(unpublished):
--- a/fireflyward/prefixes/_sharing.py
+++ b/fireflyward/prefixes/_sharing.py
@@ -41,7 +41,7 @@
         self._calls: deque[KvUpdate] = deque(maxlen=_MAX_RECENT_CALLS)
 
     def record(self, update: KvUpdate) -> None:
-        """Add what one call read; drop all before a gap or a restart of the store."""
+        """Add the result of a call; drop all before a gap or a restart of the store."""
         last = self._calls[-1] if self._calls else None
         if last is not None:
             if update.since != last.next_event or update.epoch != last.epoch:
@@ -76,7 +76,7 @@
     made all its neighbours call the store at once, and again every half second. With
     195 nodes and 15 stores these were 690 calls a second, which were rejected or
     charged, while prompts were prefilled again that the stores held. On request, the
-    aggregator returns what it has read itself.
+    aggregator returns the events that it has read itself.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         link.register(_KIND, StoreAsk, self._on_request)
 
     def on_read(self, address: str, update: KvUpdate) -> None:
-        """Keep what this node read from a store, for neighbours that missed it."""
+        """Keep an update read from a store, for neighbours that missed it."""
         self._recent_by_address.setdefault(address, RecentEvents()).record(update)
 
     async def kv_events(
@@ -152,7 +152,7 @@
         return answer
 
     async def _on_request(self, sender: str, request: Any) -> Any:
-        """Answer a neighbour with what this node has read from a store."""
+        """Answer a neighbour with the events that this node has read from a store."""
         index = self._index_of(request.address)
         if index is None or index.epoch is None or not index.is_up:
             return StoreAnswer(outcome=_UNABLE)
--- a/fireflyward/routing/_affinity.py
+++ b/fireflyward/routing/_affinity.py
@@ -65,7 +65,7 @@
                 tokens_by_replica.setdefault(replica, (depth + 1) * BLOCK_TOKENS)
         return tokens_by_replica
 
-    def forget(self, replica: str) -> None:
+    def remove_replica(self, replica: str) -> None:
         """Remove a replica whose cache was lost, for example in a restart."""
         for generation in (self._recent, self._previous):
             for key, replicas in list(generation.items()):
--- a/fireflyward/routing/_candidate.py
+++ b/fireflyward/routing/_candidate.py
@@ -1,4 +1,4 @@
-"""The state of one replica as routing sees it, with the age of that state."""
+"""The state of one replica that routing uses, with the age of that state."""
 
 import math
 from dataclasses import dataclass, field
@@ -75,7 +75,7 @@
 
         The tokens of this node's own runs are known exactly and count in full. The
         tokens in the report count at most a quarter, and less the older the report
-        is: all nodes see the same report, and if each of them reacted to all of it,
+        is: all nodes receive the same report, and if each of them reacted to all of it,
         they would together move several times the excess load, and move it back
         with the next report. docs/design/routing.md has figures.
         """
--- a/fireflyward/routing/_load_sharing.py
+++ b/fireflyward/routing/_load_sharing.py
@@ -166,7 +166,7 @@
     def on_polled(
         self, now_ms: int, name: str, report: LoadReport | None
     ) -> tuple[LoadEntry | None, list[SharingAction]]:
-        """Record the answer to a poll; ``report`` is None if none came.
+        """Record the answer to a poll; ``report`` is None if none arrived.
 
         Returns the new entry, or None if a newer one was already recorded.
         """
--- a/fireflyward/routing/_router.py
+++ b/fireflyward/routing/_router.py
@@ -151,7 +151,7 @@
             return
         self.version_changes += versions != candidate.version_by_model
         if before is not None and before.epoch != report.epoch:
-            self.affinity.record.forget(name)
+            self.affinity.record.remove_replica(name)
             candidate.suspect_until_ms = 0
             candidate.failures = 0
 
--- a/tests/forwarding/test_quarantine_check.py
+++ b/tests/forwarding/test_quarantine_check.py
@@ -1,4 +1,4 @@
-"""A request asks the quarantine before each send and reports the results to it."""
+"""A request checks the quarantine before each send and reports the results."""
 
 import unittest
 
@@ -45,7 +45,7 @@
         self.gate = _Gate(*answers)
         return QuarantineCheck(self.gate, "f")
 
-    async def test_each_send_asks_the_gate(self):
+    async def test_each_send_requests_admission_from_the_gate(self):
         """Symptom: an idempotent request crashes two replicas more than allowed.
 
         Its first send crashed the third replica.
--- a/tests/forwarding/test_unresponsive_replicas.py
+++ b/tests/forwarding/test_unresponsive_replicas.py
@@ -1,4 +1,4 @@
-"""What a request reports about replicas that do not answer, or are cold."""
+"""A request reports replicas that do not answer, and counts sends to cold ones."""
 
 import asyncio
 import contextlib
--- a/tests/forwarding/test_weights.py
+++ b/tests/forwarding/test_weights.py
@@ -1,4 +1,4 @@
-"""How long older weights may still begin to run requests."""
+"""Older weights may begin to run requests for a limited time."""
 
 import unittest
 
@@ -14,7 +14,7 @@
         """Symptom: a request begins on weights that were replaced 12 s ago.
 
         A second version is named before all replicas have loaded the first, and the
-        node forgets when the first was named.
+        node no longer has the time at which the first was named.
         """
         self.versions.set_target(0, WeightTarget("m", 2))
         self.versions.set_target(4_000, WeightTarget("m", 3))
--- a/tests/prefixes/test_follow.py
+++ b/tests/prefixes/test_follow.py
@@ -84,7 +84,7 @@
             self.listener.follower.on_update(update)
         self.aggregator.read.clear()
 
-    async def test_a_listener_learns_of_parts_without_a_call(self):
+    async def test_a_listener_receives_parts_without_a_call(self):
         """Symptom: with 87 nodes a sixth of the shared parts are soon prefilled again.
 
         A store lets only a dozen callers wait, so each node called each of 19 stores
@@ -109,11 +109,11 @@
         self.store.save(2)
         await self.publish_step()
         self.assertFalse(self.listener.index.has(key(2)))
-        self.assertTrue(self.listener.follower._must_query_store())
+        self.assertTrue(self.listener.follower._must_make_call())
         await self.listener.follower.step()
         self.assertTrue(self.listener.index.has(key(1)))
         self.assertTrue(self.listener.index.has(key(2)))
-        self.assertFalse(self.listener.follower._must_query_store())
+        self.assertFalse(self.listener.follower._must_make_call())
 
     async def test_after_a_call_a_listener_continues_with_the_aggregators_updates(self):
         """Symptom: the nodes of one domain call every store several times a second.
@@ -131,7 +131,7 @@
         await self.publish_step()
         self.store.save(3)
         await self.publish_step()
-        self.assertFalse(self.listener.follower._must_query_store())
+        self.assertFalse(self.listener.follower._must_make_call())
         held = [i for i in range(1, 4) if self.listener.index.has(key(i))]
         self.assertEqual(held, [2, 3])
 
@@ -152,7 +152,7 @@
         self.store.save(3)
         await self.publish_step()
         self.assertEqual(self.store.lists, 1)
-        self.assertFalse(self.listener.follower._must_query_store())
+        self.assertFalse(self.listener.follower._must_make_call())
         held = [i for i in range(1, 4) if self.listener.index.has(key(i))]
         self.assertEqual(held, [2, 3])
 
@@ -166,13 +166,13 @@
         await self.publish_step()
         self.listener.follower.on_update(first)
         self.assertFalse(self.listener.index.has(key(1)))
-        self.assertFalse(self.listener.follower._must_query_store())
+        self.assertFalse(self.listener.follower._must_make_call())
 
-    async def test_a_listener_learns_of_a_restart(self):
+    async def test_a_listener_detects_a_restart(self):
         """Symptom: a prompt is answered from memory that is only half written.
 
-        A store restarted empty. A node that had not learned of it fetched a part that
-        another node was saving again.
+        A store restarted empty. A node that had not detected the restart fetched a
+        part that another node was saving again.
         """
         self.store.save(1)
         await self.listener.follower.step()
@@ -186,7 +186,7 @@
         self.assertFalse(self.listener.index.reserve_save(4_199, key(3), 400))
         self.assertTrue(self.listener.index.reserve_save(4_850, key(3), 400))
 
-    async def test_saves_are_blocked_until_every_listener_has_learned_of_a_restart(
+    async def test_saves_are_blocked_until_every_listener_has_detected_a_restart(
         self,
     ):
         """Symptom: a prompt is answered from memory that is only half written.
--- a/tests/prefixes/test_index.py
+++ b/tests/prefixes/test_index.py
@@ -1,4 +1,4 @@
-"""Which parts may be fetched from a store and saved to it, by its events."""
+"""The events of a store decide which parts are fetched from it and saved to it."""
 
 import unittest
 
@@ -56,11 +56,12 @@
         self.assertTrue(self.index.has(KEY))
         self.assertEqual(self.index.next_event, 9)
 
-    def test_nothing_is_saved_until_all_nodes_have_learned_of_a_restart(self):
+    def test_nothing_is_saved_until_all_nodes_have_detected_a_restart(self):
         """Symptom: an answer is computed from memory that was half written.
 
-        A store restarts empty. One node has learned of it and saves a part again, while
-        another node still assumes that the store holds the part, and fetches it.
+        A store restarts empty. One node has detected the restart and saves a part
+        again, while another node still assumes that the store holds the part, and
+        fetches it.
         """
         self.index.restart(2, no_saves_until_ms=3_000)
         self.index.apply(update(epoch=2, next_event=0))
--- a/tests/prefixes/test_planner.py
+++ b/tests/prefixes/test_planner.py
@@ -1,4 +1,4 @@
-"""Which parts of a prompt each request fetches and saves."""
+"""Each request fetches stored parts of its prompt and saves the others."""
 
 import unittest
 from collections import Counter
--- a/tests/prefixes/test_publisher.py
+++ b/tests/prefixes/test_publisher.py
@@ -1,4 +1,4 @@
-"""An aggregator publishes to its neighbours what it read from stores."""
+"""An aggregator publishes the events of stores to its neighbours."""
 
 import unittest
 
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -1,4 +1,4 @@
-"""Which requests may run, depending on the configuration and its age."""
+"""The configuration and its age decide which requests may run."""
 
 import unittest
 
@@ -69,9 +69,9 @@
             self.assertGreater(rejected.retry_after_ms, 0)
 
     def test_a_node_that_cannot_reach_the_store_accepts_no_keys(self):
-        """Symptom: requests with a withchosen key run long after its withdrawal.
+        """Symptom: requests with a withdrawn key run long after its withdrawal.
 
-        The node does not learn of the withdrawal, because the store does not answer it.
+        The node does not receive the withdrawal, because the store does not answer it.
         """
         self.assertIsInstance(self.decide(4_500), Allowed)
         self.assertEqual(self.decide(4_600).reason, Reason.PLATFORM_AWAY)
--- a/tests/routing/test_affinity.py
+++ b/tests/routing/test_affinity.py
@@ -32,11 +32,11 @@
             cached = record.cached_tokens(keys(4, str(number)))
             self.assertEqual(cached, {"r1": 256})
 
-    def test_forgotten_replica_is_removed_from_all_entries(self):
+    def test_removed_replica_is_in_no_entry(self):
         record = PrefixRecord()
         record.add("r1", keys(8))
         record.add("r2", keys(4))
-        record.forget("r1")
+        record.remove_replica("r1")
         self.assertEqual(record.cached_tokens(keys(8)), {"r2": 256})
 
 
