--- a/tests/leases/test_lease.py
+++ b/tests/leases/test_lease.py
@@ -148,7 +148,7 @@
     def test_holder_paused_past_its_lease_has_no_claim(self):
         """Guards against a holder that acts after its successor has acted.
 
-        The holder is paused for longer than the lease, and its next statement requests
+        The holder is paused for longer than the lease, and its next statement reads
         the claim. A flag that a timer should have reset still says that it is held.
         """
         drive(self.lease, self.table, 0, Tick())
--- a/tests/leases/test_task.py
+++ b/tests/leases/test_task.py
@@ -112,9 +112,9 @@
         self.assertIsNotNone(other.claim())
 
     async def test_node_that_does_not_contend_polls_once_a_minute(self):
-        bystander = self.make("a", contends=lambda: False)
-        self.start(bystander)
+        lease = self.make("a", contends=lambda: False)
+        self.start(lease)
         await self.clock.advance_ms(59_000)
         self.assertEqual(self.table.reads, 0)
         await self.clock.advance_ms(4_000)
-        self.assertIsNotNone(bystander.claim())
+        self.assertIsNotNone(lease.claim())
