--- a/tests/prefixes/test_publisher.py
+++ b/tests/prefixes/test_publisher.py
@@ -1,4 +1,4 @@
-"""An aggregator publishes to its neighbours what it read from stores."""
+"""An aggregator publishes the events of stores to its neighbours."""
 
 import unittest
 
@@ -44,7 +44,7 @@
             aggregators=self.aggregators,
             followers=lambda: [("s:1", self.follower)],
         )
-        self.publisher.register(self.link)
+        self.publisher.use(self.link)
 
 
 def update(since, count):
