--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -29,7 +29,7 @@
 from fireflyward.fleet._node import FleetNode
 from fireflyward.fleet._peers import NODE_TABLE
 from fireflyward.quarantine import MAX_CRASHES, fingerprint_of
-from tests.platform_standins import DEADLY, Manner, ReplicaStandIn
+from tests.platform_standins import DEADLY, ReplicaBehavior, ReplicaStandIn
 
 from .node_fixtures import STREAM, FleetTestCase
 
@@ -154,7 +154,7 @@
         """A harmless request was refused, and no replica had ended."""
         for number in range(9):
             for replica in self.plain:
-                replica.manners = [Manner.RESETS]
+                replica.manners = [ReplicaBehavior.RESETS]
             status, _, _ = await self.ask_at(
                 self.nodes[number % self.most_nodes], "POST", "/w/x", data=b"harmless"
             )
@@ -168,7 +168,7 @@
         """A request was refused because releases cut it three times."""
         for number in range(4):
             leaving = self.plain[0]
-            leaving.manners = [Manner.SILENT]
+            leaving.manners = [ReplicaBehavior.SILENT]
             self.store.remove("servers", self.plain[1].incarnation)
             await self.until(lambda: len(self.node._directory) == 3)
             self.assertEqual(await self.ask_while_it_leaves(leaving), 502)
@@ -200,7 +200,7 @@
     async def ask_both(self, node):
         """Have a harmless request under way while the deadly one is asked."""
         (replica,) = self.plain
-        replica.manners = [Manner.SILENT, Manner.WELL]
+        replica.manners = [ReplicaBehavior.SILENT, ReplicaBehavior.WELL]
         beside = asyncio.create_task(
             self.ask_at(node, "POST", "/w/beside", data=b"harmless")
         )
--- a/tests/fleet/test_resting_replicas.py
+++ b/tests/fleet/test_resting_replicas.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from tests.platform_standins import Manner
+from tests.platform_standins import ReplicaBehavior
 
 from .node_fixtures import STREAM, NodeTestCase
 
@@ -20,7 +20,7 @@
         self.resting, self.other = self.plain
 
     async def ask_until_turned_away(self, replica):
-        replica.manners = [Manner.RESTS]
+        replica.manners = [ReplicaBehavior.RESTS]
         await self.ask_until(lambda: not replica.manners)
 
     async def test_nothing_is_sent_to_a_replica_that_rests(self):
@@ -47,7 +47,7 @@
         self.resting.rest = "30"
         await self.ask_until_turned_away(self.resting)
         before = len(self.resting.requests)
-        self.other.manners = [Manner.FAILS] * 20
+        self.other.manners = [ReplicaBehavior.FAILS] * 20
         for _ in range(10):
             await self.ask("GET", "/r/x")
         self.assertEqual(len(self.resting.requests), before)
@@ -55,11 +55,11 @@
     async def test_a_stream_that_broke_off_does_not_resume_there(self):
         await self.ask("POST", "/s/x", headers=STREAM)
         resting, other = sorted(self.engines, key=lambda engine: not engine.ran)
-        resting.rest, resting.manners = "30", [Manner.RESTS]
+        resting.rest, resting.manners = "30", [ReplicaBehavior.RESTS]
         await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(resting.manners, [])
         before = self.runs([resting])
-        other.manners = [Manner.CUTS_STREAM] * 10
+        other.manners = [ReplicaBehavior.CUTS_STREAM] * 10
         with contextlib.suppress(aiohttp.ClientPayloadError):
             await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.runs([resting]), before)
@@ -68,7 +68,7 @@
         """Guards against callers that wait, or come back while replicas still rest."""
         for replica in self.plain:
             replica.rest = "60"
-            replica.manners = [Manner.RESTS]
+            replica.manners = [ReplicaBehavior.RESTS]
         await self.ask_until(lambda: not any(item.manners for item in self.plain))
         sent = [len(replica.requests) for replica in self.plain]
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -7,7 +7,7 @@
 
 from fireflyward.backing import Position
 from fireflyward.fleet._peers import NodeRow
-from tests.platform_standins import Manner
+from tests.platform_standins import ReplicaBehavior
 
 from .node_fixtures import KEY, STREAM, NodeTestCase, event_numbers
 
@@ -44,14 +44,19 @@
         The replica runs the request and its connection breaks before the answer;
         sending it to the other replica would run it again.
         """
-        self.all_do(Manner.RESETS)
+        self.all_do(ReplicaBehavior.RESETS)
         status, headers, _ = await self.ask("POST", "/w/x", data=b"1")
         self.assertEqual(status, 502)
         self.assertNotIn("Retry-After", headers)
         self.assertEqual(self.runs(self.plain), 1)
 
     async def test_idempotent_request_goes_to_another_replica(self):
-        for manner in (Manner.RESETS, Manner.CUTS, Manner.FAILS, Manner.UNSIGNED):
+        for manner in (
+            ReplicaBehavior.RESETS,
+            ReplicaBehavior.CUTS,
+            ReplicaBehavior.FAILS,
+            ReplicaBehavior.UNSIGNED,
+        ):
             self.plain[0].manners = [manner] * 3
             self.plain[1].manners = []
             statuses = {(await self.ask("GET", "/r/x"))[0] for _ in range(3)}
@@ -63,7 +68,7 @@
         Both replicas fail. What the caller gets is the second one's own answer, so
         the request counts as answered.
         """
-        self.all_do(Manner.FAILS)
+        self.all_do(ReplicaBehavior.FAILS)
         with self.assertLogs("fireflyward.callers") as logged:
             status, _, _ = await self.ask("GET", "/r/x")
         self.assertEqual(status, 500)
@@ -83,31 +88,31 @@
 
         A replica's late answer comes where the next one is expected.
         """
-        self.all_do(Manner.ANSWERS_ANOTHER)
+        self.all_do(ReplicaBehavior.ANSWERS_ANOTHER)
         status, _, body = await self.ask("POST", "/w/x", data=b"1")
         self.assertEqual(status, 502)
         self.assertNotIn(b"another", body)
 
     async def test_added_answer_reaches_nobody(self):
-        self.all_do(*[Manner.ADDS_ANSWER] * 3)
+        self.all_do(*[ReplicaBehavior.ADDS_ANSWER] * 3)
         for _ in range(6):
             _, _, body = await self.ask("GET", "/r/x")
             await asyncio.sleep(0.03)
             self.assertNotIn(b"nobody", body)
 
     async def test_unframed_answers(self):
-        self.all_do(Manner.UNFRAMED)
+        self.all_do(ReplicaBehavior.UNFRAMED)
         self.assertEqual((await self.ask("POST", "/w/x", data=b"1"))[0], 200)
-        self.all_do(Manner.UNFRAMED_RESET)
+        self.all_do(ReplicaBehavior.UNFRAMED_RESET)
         self.assertEqual((await self.ask("POST", "/w/x", data=b"1"))[0], 502)
 
     async def test_full_replica_is_passed_over_also_for_what_runs_once(self):
-        self.plain[0].manners = [Manner.FULL]
+        self.plain[0].manners = [ReplicaBehavior.FULL]
         statuses = [(await self.ask("POST", "/w/x", data=b"1"))[0] for _ in range(4)]
         self.assertEqual(statuses, [200] * 4)
 
     async def test_when_all_are_full_the_caller_is_told_to_come_back(self):
-        self.all_do(*[Manner.FULL] * 5)
+        self.all_do(*[ReplicaBehavior.FULL] * 5)
         status, headers, _ = await self.ask("POST", "/w/x", data=b"1")
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["Retry-After"]), 0)
@@ -120,7 +125,7 @@
         passed on, the status would promise just that.
         """
         for method, path in (("POST", "/w/x"), ("GET", "/r/x")):
-            self.all_do(Manner.SAYS_503, Manner.SAYS_503)
+            self.all_do(ReplicaBehavior.SAYS_503, ReplicaBehavior.SAYS_503)
             status, headers, _ = await self.ask(method, path)
             self.assertEqual(status, 502, path)
             self.assertNotIn("X-Server-Seal", headers)
@@ -145,7 +150,7 @@
         self.operator.configure()
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
-        self.all_do(Manner.SILENT)
+        self.all_do(ReplicaBehavior.SILENT)
         status, _, _ = await self.ask("POST", "/w/x", data=b"1")
         self.assertEqual(status, 504)
 
@@ -201,7 +206,7 @@
         """
         await self.ask("POST", "/s/x", headers=STREAM)
         home, other = sorted(self.engines, key=lambda engine: -len(engine.ran))
-        home.manners = [Manner.CUTS_STREAM]
+        home.manners = [ReplicaBehavior.CUTS_STREAM]
         _, _, body = await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(event_numbers(body), [1, 2, 3, 4])
         (resumed,) = other.ran
@@ -213,7 +218,7 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
         for engine in self.engines:
-            engine.manners = [Manner.CUTS_STREAM]
+            engine.manners = [ReplicaBehavior.CUTS_STREAM]
         with self.assertRaises(aiohttp.ClientPayloadError):
             await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.runs(self.engines), 1)
@@ -233,7 +238,7 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
         for replica in self.plain:
-            replica.manners = [Manner.SILENT]
+            replica.manners = [ReplicaBehavior.SILENT]
         asking = asyncio.create_task(self.ask("POST", "/w/x", data=b"1"))
         await self.until(lambda: self.runs(self.plain) == 1)
         asking.cancel()
--- a/tests/platform_standins/__init__.py
+++ b/tests/platform_standins/__init__.py
@@ -5,13 +5,13 @@
 
 from ._http import RawRequest, RawServer
 from ._operator import CONFIGURATION, Operator, settings_text
-from ._replica import DEADLY, Manner, ReplicaStandIn
+from ._replica import DEADLY, ReplicaBehavior, ReplicaStandIn
 from ._store import StoreManner, StoreStandIn
 
 __all__ = [
     "CONFIGURATION",
     "DEADLY",
-    "Manner",
+    "ReplicaBehavior",
     "Operator",
     "RawRequest",
     "RawServer",
--- a/tests/platform_standins/__main__.py
+++ b/tests/platform_standins/__main__.py
@@ -15,7 +15,7 @@
 from fireflyward.platform import load_settings
 
 from ._operator import Operator, settings_text
-from ._replica import Manner, ReplicaStandIn
+from ._replica import ReplicaBehavior, ReplicaStandIn
 from ._store import StoreStandIn
 
 _ROUNDS = 10
@@ -127,8 +127,12 @@
     await demo.start()
     async with aiohttp.ClientSession() as session:
         await demo.round(session, "A calm round")
-        demo.plain[0].manners = [Manner.RESETS, Manner.FULL, Manner.CUTS]
-        demo.engines[0].manners = [Manner.CUTS_STREAM, Manner.FULL]
+        demo.plain[0].manners = [
+            ReplicaBehavior.RESETS,
+            ReplicaBehavior.FULL,
+            ReplicaBehavior.CUTS,
+        ]
+        demo.engines[0].manners = [ReplicaBehavior.CUTS_STREAM, ReplicaBehavior.FULL]
         await demo.round(session, "One replica of each service misbehaves")
         demo.operator.name_weights("m", 2)
         while not all(demo.believes_loaded(node, 2) for node in demo.nodes):
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -10,7 +10,7 @@
 DEADLY = b"what no replica survives"
 
 
-class Manner(enum.Enum):
+class ReplicaBehavior(enum.Enum):
     """How a replica answers the next requests."""
 
     WELL = "well"
@@ -103,12 +103,12 @@
         if headers.get("x-expect-version", str(self.version)) != str(self.version):
             writer.write(response(421, headers=[("X-Instance-Id", self.incarnation)]))
             return True
-        manner = self.manners.pop(0) if self.manners else Manner.WELL
-        if manner is Manner.FULL:
+        manner = self.manners.pop(0) if self.manners else ReplicaBehavior.WELL
+        if manner is ReplicaBehavior.FULL:
             refusal = [("X-Not-Executed", "1"), *self.notices]
             writer.write(response(503, headers=refusal))
             return True
-        if manner is Manner.RESTS:
+        if manner is ReplicaBehavior.RESTS:
             refusal = [("X-Not-Executed", "1"), ("Retry-After", self.rest)]
             writer.write(response(503, headers=[*refusal, *self.notices]))
             return True
@@ -124,37 +124,37 @@
 
     async def _plain(self, request, writer, manner, own):
         body = b"answer of " + self.incarnation.encode()
-        if manner is Manner.SILENT:
+        if manner is ReplicaBehavior.SILENT:
             await request.caller_left()
             self.left_early += 1
             return False
-        if manner is Manner.RESETS:
+        if manner is ReplicaBehavior.RESETS:
             reset(writer)
             return False
-        if manner is Manner.FAILS:
+        if manner is ReplicaBehavior.FAILS:
             writer.write(response(500, headers=own))
-        elif manner is Manner.SAYS_503:
+        elif manner is ReplicaBehavior.SAYS_503:
             writer.write(response(503, headers=own))
-        elif manner is Manner.CUTS:
+        elif manner is ReplicaBehavior.CUTS:
             writer.write(response(200, body, own)[:-3])
             return False
-        elif manner is Manner.ANSWERS_ANOTHER:
+        elif manner is ReplicaBehavior.ANSWERS_ANOTHER:
             other = [("X-Request-Id", "another"), SIGNATURE]
             writer.write(response(200, b"of another", other))
-        elif manner is Manner.UNSIGNED:
+        elif manner is ReplicaBehavior.UNSIGNED:
             writer.write(response(200, body, own[:1] + self.notices))
-        elif manner in (Manner.UNFRAMED, Manner.UNFRAMED_RESET):
+        elif manner in (ReplicaBehavior.UNFRAMED, ReplicaBehavior.UNFRAMED_RESET):
             lines = [f"{name}: {value}" for name, value in own]
             head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""])
             writer.write(head.encode() + body)
             await writer.drain()
-            if manner is Manner.UNFRAMED_RESET:
+            if manner is ReplicaBehavior.UNFRAMED_RESET:
                 await asyncio.sleep(0.05)
                 reset(writer)
             return False
         else:
             writer.write(response(200, body, own))
-            if manner is Manner.ADDS_ANSWER:
+            if manner is ReplicaBehavior.ADDS_ANSWER:
                 await asyncio.sleep(0.02)
                 writer.write(response(200, b"nobody's", own))
         return True
@@ -163,7 +163,7 @@
         lines = [f"{name}: {value}" for name, value in own]
         lines += ["Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""]).encode()
-        if manner is Manner.RESETS:
+        if manner is ReplicaBehavior.RESETS:
             reset(writer)
             return False
         writer.write(head)
@@ -174,7 +174,7 @@
                 self.left_early += 1
                 return False
             event = f"id: {number}\ndata: {self.incarnation}\n\n".encode()
-            if manner is Manner.CUTS_STREAM and number == first + 1:
+            if manner is ReplicaBehavior.CUTS_STREAM and number == first + 1:
                 writer.write(_chunk(event[:-5]))
                 await writer.drain()
                 return False
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -3,11 +3,13 @@
 import asyncio
 import signal
 
-from tests.platform_standins import Manner, StoreManner
+from tests.platform_standins import ReplicaBehavior, StoreManner
 
 from ._proxy import Link
 
-_MANNERS = [manner for manner in Manner if manner is not Manner.SILENT]
+_MANNERS = [
+    manner for manner in ReplicaBehavior if manner is not ReplicaBehavior.SILENT
+]
 _LINKS = [mode for mode in Link if mode is not Link.WELL]
 _STORE_MANNERS = [
     StoreManner.BUSY,
