--- a/tests/fleet/test_leaving_replicas.py
+++ b/tests/fleet/test_leaving_replicas.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from tests.platform_standins import ReplicaBehavior, StoreManner
+from tests.platform_standins import ReplicaBehavior, StoreBehavior
 
 from .node_fixtures import STREAM, FleetTestCase
 
@@ -76,7 +76,7 @@
         self.assertEqual(self.runs([self.leaving]), before)
 
     async def test_it_holds_while_the_store_is_away(self):
-        self.store.manner = StoreManner.BUSY
+        self.store.manner = StoreBehavior.BUSY
         await self.ask_until_told()
         await self.until_known(self.nodes)
         before = self.runs([self.leaving])
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -10,7 +10,7 @@
 import unittest
 from unittest import mock
 
-from tests.platform_standins import StoreManner
+from tests.platform_standins import StoreBehavior
 
 from .node_fixtures import FleetTestCase
 
@@ -56,7 +56,7 @@
             # Most steps are not known everywhere yet when the next one comes.
             await asyncio.sleep(self.random.choice((0.0, 0.05, 0.3)))
             self.check_nothing_is_undone()
-        self.case.store.manner = StoreManner.WELL
+        self.case.store.manner = StoreBehavior.WELL
         self.case.store.write_again()
         self.configure()
         await self.case.until(self.all_know_everything)
@@ -97,7 +97,7 @@
 
     def drill(self):
         store = self.case.store
-        manners = (StoreManner.WELL, StoreManner.BUSY, StoreManner.LOSES_ANSWERS)
+        manners = (StoreBehavior.WELL, StoreBehavior.BUSY, StoreBehavior.LOSES_ANSWERS)
         store.manner = self.random.choice(manners)
         # Operators write again before they write anything else.
         store.write_again()
--- a/tests/platform_standins/__init__.py
+++ b/tests/platform_standins/__init__.py
@@ -6,7 +6,7 @@
 from ._http import RawRequest, RawServer
 from ._operator import CONFIGURATION, Operator, settings_text
 from ._replica import DEADLY, ReplicaBehavior, ReplicaStandIn
-from ._store import StoreManner, StoreStandIn
+from ._store import StoreBehavior, StoreStandIn
 
 __all__ = [
     "CONFIGURATION",
@@ -16,7 +16,7 @@
     "RawRequest",
     "RawServer",
     "ReplicaStandIn",
-    "StoreManner",
+    "StoreBehavior",
     "StoreStandIn",
     "settings_text",
 ]
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -12,7 +12,7 @@
 _TABLES_OF_OTHERS = ("op", "servers")
 
 
-class StoreManner(enum.Enum):
+class StoreBehavior(enum.Enum):
     """How the store answers."""
 
     WELL = "well"
@@ -32,7 +32,7 @@
 
     def __init__(self, page_rows=_PAGE_ROWS):
         super().__init__()
-        self.manner = StoreManner.WELL
+        self.manner = StoreBehavior.WELL
         self.version = 0
         self.era = 1
         self._rows = {}
@@ -105,16 +105,16 @@
 
     async def answer(self, request, writer):
         manner = self.manner
-        if manner is StoreManner.SILENT:
+        if manner is StoreBehavior.SILENT:
             await asyncio.sleep(3_600)
-        if manner is StoreManner.BUSY:
+        if manner is StoreBehavior.BUSY:
             writer.write(response(503, headers=self._headers()))
             return True
-        if manner is StoreManner.TOO_MANY:
+        if manner is StoreBehavior.TOO_MANY:
             writer.write(response(429, headers=self._headers()))
             return True
         answer = await self._call(request)
-        if manner is StoreManner.LOSES_ANSWERS and request.method == "POST":
+        if manner is StoreBehavior.LOSES_ANSWERS and request.method == "POST":
             return False
         writer.write(answer)
         return True
@@ -156,7 +156,7 @@
 
     async def _feed(self, query):
         table, after = query["table"], int(query["after"])
-        if self.manner is StoreManner.FORGETS or after > self.version:
+        if self.manner is StoreBehavior.FORGETS or after > self.version:
             return response(410, headers=self._headers())
         due = asyncio.get_running_loop().time() + int(query.get("wait-ms", 0)) / 1_000
         while True:
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -3,7 +3,7 @@
 import asyncio
 import signal
 
-from tests.platform_standins import ReplicaBehavior, StoreManner
+from tests.platform_standins import ReplicaBehavior, StoreBehavior
 
 from ._proxy import Link
 
@@ -12,10 +12,10 @@
 ]
 _LINKS = [mode for mode in Link if mode is not Link.WELL]
 _STORE_MANNERS = [
-    StoreManner.BUSY,
-    StoreManner.TOO_MANY,
-    StoreManner.LOSES_ANSWERS,
-    StoreManner.FORGETS,
+    StoreBehavior.BUSY,
+    StoreBehavior.TOO_MANY,
+    StoreBehavior.LOSES_ANSWERS,
+    StoreBehavior.FORGETS,
 ]
 
 
@@ -118,7 +118,7 @@
     async def _store_misbehaves(self):
         self._fleet.store.manner = self._random.choice(_STORE_MANNERS)
         await self._span()
-        self._fleet.store.manner = StoreManner.WELL
+        self._fleet.store.manner = StoreBehavior.WELL
 
     async def _name_weights(self):
         self._fleet.version += 1
