--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -154,13 +154,13 @@
         """A harmless request was refused, and no replica had ended."""
         for number in range(9):
             for replica in self.plain:
-                replica.manners = [ReplicaBehavior.RESETS]
+                replica.behaviors = [ReplicaBehavior.RESETS]
             status, _, _ = await self.ask_at(
                 self.nodes[number % self.most_nodes], "POST", "/w/x", data=b"harmless"
             )
             self.assertEqual(status, 502)
         for replica in self.plain:
-            replica.manners = []
+            replica.behaviors = []
         status, _, _ = await self.ask_at(self.node, "POST", "/w/x", data=b"harmless")
         self.assertEqual(status, 200)
 
@@ -168,7 +168,7 @@
         """A request was refused because releases cut it three times."""
         for number in range(4):
             leaving = self.plain[0]
-            leaving.manners = [ReplicaBehavior.SILENT]
+            leaving.behaviors = [ReplicaBehavior.SILENT]
             self.store.remove("servers", self.plain[1].incarnation)
             await self.until(lambda: len(self.node._directory) == 3)
             self.assertEqual(await self.ask_while_it_leaves(leaving), 502)
@@ -200,7 +200,7 @@
     async def ask_both(self, node):
         """Have a harmless request under way while the deadly one is asked."""
         (replica,) = self.plain
-        replica.manners = [ReplicaBehavior.SILENT, ReplicaBehavior.WELL]
+        replica.behaviors = [ReplicaBehavior.SILENT, ReplicaBehavior.WELL]
         beside = asyncio.create_task(
             self.ask_at(node, "POST", "/w/beside", data=b"harmless")
         )
@@ -221,7 +221,7 @@
             statuses.append(await self.ask_both(self.nodes[number % self.most_nodes]))
             await self.replace_ended(self.plain, "plain")
         self.assertIn(503, statuses)
-        self.plain[0].manners = []
+        self.plain[0].behaviors = []
         for node in self.nodes:
             status, _, _ = await self.ask_at(
                 node, "POST", "/w/beside", data=b"harmless"
--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -31,7 +31,7 @@
 
     async def assert_used(self, replica, *, full):
         """Check that a replica serves what another one has no room for."""
-        full.manners = [ReplicaBehavior.FULL]
+        full.behaviors = [ReplicaBehavior.FULL]
         self.assertEqual(await self.ask_often(), {200})
         self.assertGreater(self.runs([replica]), 0)
 
@@ -64,7 +64,7 @@
         """
         await self.start_ready()
         await self.evacuate("b")
-        self.plain[0].manners = [ReplicaBehavior.RESETS]
+        self.plain[0].behaviors = [ReplicaBehavior.RESETS]
         await self.ask("GET", "/r/x")
         self.assertEqual(self.runs(self.plain[1:]), 0)
 
@@ -72,7 +72,7 @@
         """Symptom: streams that a replica cut went on in the evacuated domain."""
         await self.start_ready()
         await self.evacuate("b")
-        self.engines[0].manners = [ReplicaBehavior.CUTS_STREAM] * 3
+        self.engines[0].behaviors = [ReplicaBehavior.CUTS_STREAM] * 3
         async with asyncio.timeout(5):
             try:
                 await self.ask("POST", "/s/x", headers=STREAM)
@@ -109,7 +109,7 @@
         """Symptom: for its first moments a restarted node used an evacuated domain."""
         self.operator.evacuate("b")
         await self.start_ready()
-        self.plain[0].manners = [ReplicaBehavior.FULL] * 40
+        self.plain[0].behaviors = [ReplicaBehavior.FULL] * 40
         self.assertEqual(await self.ask_often(), {503})
         self.assertEqual(self.runs(self.plain[1:]), 0)
 
--- a/tests/fleet/test_leaving_replicas.py
+++ b/tests/fleet/test_leaving_replicas.py
@@ -88,7 +88,7 @@
         await self.ask_until_told()
         await self.until_known(self.nodes)
         before = self.runs([self.leaving])
-        self.other.manners = [ReplicaBehavior.FAILS] * 40
+        self.other.behaviors = [ReplicaBehavior.FAILS] * 40
         await self.ask_all_nodes()
         self.assertEqual(self.runs([self.leaving]), before)
 
@@ -98,7 +98,7 @@
         leaving.notices = [LEAVING]
         await self.ask("POST", "/s/x", headers=STREAM)
         before = self.runs([leaving])
-        other.manners = [ReplicaBehavior.CUTS_STREAM] * 10
+        other.behaviors = [ReplicaBehavior.CUTS_STREAM] * 10
         with contextlib.suppress(aiohttp.ClientPayloadError):
             await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.runs([leaving]), before)
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -97,8 +97,12 @@
 
     def drill(self):
         store = self.case.store
-        manners = (StoreBehavior.WELL, StoreBehavior.BUSY, StoreBehavior.LOSES_ANSWERS)
-        store.manner = self.random.choice(manners)
+        behaviors = (
+            StoreBehavior.WELL,
+            StoreBehavior.BUSY,
+            StoreBehavior.LOSES_ANSWERS,
+        )
+        store.manner = self.random.choice(behaviors)
         # Operators write again before they write anything else.
         store.write_again()
         store.come_back_from_before(self.random.randrange(40), written_again=True)
--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -105,7 +105,7 @@
         """Guards against a limit that only first sends obey."""
         await self.have_one_node_told()
         await self.until_limited(self.nodes)
-        self.other.manners = [ReplicaBehavior.FAILS] * 60
+        self.other.behaviors = [ReplicaBehavior.FAILS] * 60
         await self.ask_all_nodes(60)
         self.assertLessEqual(self.most_in_window(self.limited), MOST_IN_WINDOW)
 
@@ -114,7 +114,7 @@
         await self.ask("POST", "/s/x", headers=STREAM)
         limited, other = sorted(self.engines, key=lambda engine: not engine.ran)
         limited.notices = [(LIMIT, str(PER_SECOND))]
-        other.manners = [ReplicaBehavior.CUTS_STREAM] * 90
+        other.behaviors = [ReplicaBehavior.CUTS_STREAM] * 90
         for _ in range(30):
             with contextlib.suppress(aiohttp.ClientPayloadError):
                 await self.ask("POST", "/s/x", headers=STREAM)
--- a/tests/fleet/test_resting_replicas.py
+++ b/tests/fleet/test_resting_replicas.py
@@ -20,8 +20,8 @@
         self.resting, self.other = self.plain
 
     async def ask_until_turned_away(self, replica):
-        replica.manners = [ReplicaBehavior.RESTS]
-        await self.ask_until(lambda: not replica.manners)
+        replica.behaviors = [ReplicaBehavior.RESTS]
+        await self.ask_until(lambda: not replica.behaviors)
 
     async def test_nothing_is_sent_to_a_replica_that_rests(self):
         """Guards against a pause of our own choice in place of the one asked for."""
@@ -47,7 +47,7 @@
         self.resting.rest = "30"
         await self.ask_until_turned_away(self.resting)
         before = len(self.resting.requests)
-        self.other.manners = [ReplicaBehavior.FAILS] * 20
+        self.other.behaviors = [ReplicaBehavior.FAILS] * 20
         for _ in range(10):
             await self.ask("GET", "/r/x")
         self.assertEqual(len(self.resting.requests), before)
@@ -55,11 +55,11 @@
     async def test_a_stream_that_broke_off_does_not_resume_there(self):
         await self.ask("POST", "/s/x", headers=STREAM)
         resting, other = sorted(self.engines, key=lambda engine: not engine.ran)
-        resting.rest, resting.manners = "30", [ReplicaBehavior.RESTS]
+        resting.rest, resting.behaviors = "30", [ReplicaBehavior.RESTS]
         await self.ask("POST", "/s/x", headers=STREAM)
-        self.assertEqual(resting.manners, [])
+        self.assertEqual(resting.behaviors, [])
         before = self.runs([resting])
-        other.manners = [ReplicaBehavior.CUTS_STREAM] * 10
+        other.behaviors = [ReplicaBehavior.CUTS_STREAM] * 10
         with contextlib.suppress(aiohttp.ClientPayloadError):
             await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.runs([resting]), before)
@@ -68,8 +68,8 @@
         """Guards against callers that wait, or come back while replicas still rest."""
         for replica in self.plain:
             replica.rest = "60"
-            replica.manners = [ReplicaBehavior.RESTS]
-        await self.ask_until(lambda: not any(item.manners for item in self.plain))
+            replica.behaviors = [ReplicaBehavior.RESTS]
+        await self.ask_until(lambda: not any(item.behaviors for item in self.plain))
         sent = [len(replica.requests) for replica in self.plain]
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
             async with asyncio.timeout(10):
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -17,9 +17,9 @@
         await super().asyncSetUp()
         await self.start_ready()
 
-    def all_do(self, *manners):
+    def all_do(self, *behaviors):
         for replica in self.plain:
-            replica.manners = list(manners)
+            replica.behaviors = list(behaviors)
 
     async def test_answer_comes_back_as_the_replica_made_it(self):
         status, headers, body = await self.ask("GET", "/r/x?y=1")
@@ -57,8 +57,8 @@
             ReplicaBehavior.FAILS,
             ReplicaBehavior.UNSIGNED,
         ):
-            self.plain[0].manners = [manner] * 3
-            self.plain[1].manners = []
+            self.plain[0].behaviors = [manner] * 3
+            self.plain[1].behaviors = []
             statuses = {(await self.ask("GET", "/r/x"))[0] for _ in range(3)}
             self.assertEqual(statuses, {200}, manner)
 
@@ -107,7 +107,7 @@
         self.assertEqual((await self.ask("POST", "/w/x", data=b"1"))[0], 502)
 
     async def test_full_replica_is_passed_over_also_for_what_runs_once(self):
-        self.plain[0].manners = [ReplicaBehavior.FULL]
+        self.plain[0].behaviors = [ReplicaBehavior.FULL]
         statuses = [(await self.ask("POST", "/w/x", data=b"1"))[0] for _ in range(4)]
         self.assertEqual(statuses, [200] * 4)
 
@@ -206,7 +206,7 @@
         """
         await self.ask("POST", "/s/x", headers=STREAM)
         home, other = sorted(self.engines, key=lambda engine: -len(engine.ran))
-        home.manners = [ReplicaBehavior.CUTS_STREAM]
+        home.behaviors = [ReplicaBehavior.CUTS_STREAM]
         _, _, body = await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(event_numbers(body), [1, 2, 3, 4])
         (resumed,) = other.ran
@@ -218,7 +218,7 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
         for engine in self.engines:
-            engine.manners = [ReplicaBehavior.CUTS_STREAM]
+            engine.behaviors = [ReplicaBehavior.CUTS_STREAM]
         with self.assertRaises(aiohttp.ClientPayloadError):
             await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.runs(self.engines), 1)
@@ -238,7 +238,7 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
         for replica in self.plain:
-            replica.manners = [ReplicaBehavior.SILENT]
+            replica.behaviors = [ReplicaBehavior.SILENT]
         asking = asyncio.create_task(self.ask("POST", "/w/x", data=b"1"))
         await self.until(lambda: self.runs(self.plain) == 1)
         asking.cancel()
--- a/tests/platform_standins/__main__.py
+++ b/tests/platform_standins/__main__.py
@@ -127,12 +127,12 @@
     await demo.start()
     async with aiohttp.ClientSession() as session:
         await demo.round(session, "A calm round")
-        demo.plain[0].manners = [
+        demo.plain[0].behaviors = [
             ReplicaBehavior.RESETS,
             ReplicaBehavior.FULL,
             ReplicaBehavior.CUTS,
         ]
-        demo.engines[0].manners = [ReplicaBehavior.CUTS_STREAM, ReplicaBehavior.FULL]
+        demo.engines[0].behaviors = [ReplicaBehavior.CUTS_STREAM, ReplicaBehavior.FULL]
         await demo.round(session, "One replica of each service misbehaves")
         demo.operator.name_weights("m", 2)
         while not all(demo.believes_loaded(node, 2) for node in demo.nodes):
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -32,7 +32,7 @@
 class ReplicaStandIn(RawServer):
     """Runs what it is sent and keeps it in ``ran``.
 
-    ``manners`` are used up one a request; then it answers well. A request with the body
+    ``behaviors`` are used up one a request; then it answers well. A request with the body
     ``DEADLY`` ends it as soon as it begins to run. ``notices`` are headers that each of
     its answers bears, and ``rest`` is what it asks for when it turns a request away.
     """
@@ -44,7 +44,7 @@
         self.version = version
         self.ran = []
         self.orders = []
-        self.manners = []
+        self.behaviors = []
         self.notices = []
         self.rest = "5"
         self.left_early = 0
@@ -57,7 +57,7 @@
     def start_again(self):
         """Begin anew under the same name: nothing is held, no order was counted."""
         self.started_ms += 1_000
-        self.ran, self.orders, self.manners = [], [], []
+        self.ran, self.orders, self.behaviors = [], [], []
 
     def entry(self, service, state="ready", zone="a"):
         """Return the row that this replica keeps of itself."""
@@ -103,7 +103,7 @@
         if headers.get("x-expect-version", str(self.version)) != str(self.version):
             writer.write(response(421, headers=[("X-Instance-Id", self.incarnation)]))
             return True
-        manner = self.manners.pop(0) if self.manners else ReplicaBehavior.WELL
+        manner = self.behaviors.pop(0) if self.behaviors else ReplicaBehavior.WELL
         if manner is ReplicaBehavior.FULL:
             refusal = [("X-Not-Executed", "1"), *self.notices]
             writer.write(response(503, headers=refusal))
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -113,7 +113,7 @@
 
     async def _replica_misbehaves(self):
         replica = self._random.choice(self._fleet.replicas)
-        replica.manners = [self._random.choice(_MANNERS) for _ in range(6)]
+        replica.behaviors = [self._random.choice(_MANNERS) for _ in range(6)]
 
     async def _store_misbehaves(self):
         self._fleet.store.manner = self._random.choice(_STORE_MANNERS)
