--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -117,7 +117,7 @@
         """Symptom: the store went away and the evacuated domain was used again."""
         await self.start_ready()
         await self.evacuate("b")
-        self.store.manner = StoreBehavior.BUSY
+        self.store.behavior = StoreBehavior.BUSY
         await asyncio.sleep(0.3)
         self.assertEqual(await self.ask_often("POST", "/w/x", data=b"1"), {200})
         self.assertEqual(self.runs(self.plain[1:]), 0)
@@ -130,7 +130,7 @@
         """
         await self.start_ready()
         await self.evacuate("b")
-        self.store.manner = StoreBehavior.FORGETS
+        self.store.behavior = StoreBehavior.FORGETS
         self.operator.take_back_evacuation("b")
         await self.until(lambda: not self.evacuated)
 
--- a/tests/fleet/test_leaving_replicas.py
+++ b/tests/fleet/test_leaving_replicas.py
@@ -76,7 +76,7 @@
         self.assertEqual(self.runs([self.leaving]), before)
 
     async def test_it_holds_while_the_store_is_away(self):
-        self.store.manner = StoreBehavior.BUSY
+        self.store.behavior = StoreBehavior.BUSY
         await self.ask_until_told()
         await self.until_known(self.nodes)
         before = self.runs([self.leaving])
--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -118,12 +118,12 @@
 
     async def test_versions_that_have_passed_the_cursor_when_it_is_read(self):
         """Guards against changes below a cursor that the store knows again."""
-        self.store.manner = StoreBehavior.BUSY
+        self.store.behavior = StoreBehavior.BUSY
         self.store.come_back_from(self.copied)
         self.say_that_it_leaves(self.plain[0])
         for _ in range(2 * _WRITES):
             self.store.put("other", "key", b"")
-        self.store.manner = StoreBehavior.WELL
+        self.store.behavior = StoreBehavior.WELL
         await self.until_leaving(self.plain[0])
 
     async def test_what_is_written_again_after_the_first_reading_counts(self):
@@ -164,10 +164,10 @@
         self.assertEqual(self.store.value("fireflyward-nodes", "key"), self.key)
 
     async def test_rows_are_written_again_though_answers_are_lost(self):
-        self.store.manner = StoreBehavior.LOSES_ANSWERS
+        self.store.behavior = StoreBehavior.LOSES_ANSWERS
         self.store.come_back_from(self.copied)
         await self.until_listed()
-        self.store.manner = StoreBehavior.WELL
+        self.store.behavior = StoreBehavior.WELL
 
     async def test_a_node_that_starts_before_the_operator_wrote_again_knows_better(
         self,
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -56,7 +56,7 @@
             # Most steps are not known everywhere yet when the next one comes.
             await asyncio.sleep(self.random.choice((0.0, 0.05, 0.3)))
             self.check_nothing_is_undone()
-        self.case.store.manner = StoreBehavior.WELL
+        self.case.store.behavior = StoreBehavior.WELL
         self.case.store.write_again()
         self.configure()
         await self.case.until(self.all_know_everything)
@@ -102,7 +102,7 @@
             StoreBehavior.BUSY,
             StoreBehavior.LOSES_ANSWERS,
         )
-        store.manner = self.random.choice(behaviors)
+        store.behavior = self.random.choice(behaviors)
         # Operators write again before they write anything else.
         store.write_again()
         store.come_back_from_before(self.random.randrange(40), written_again=True)
--- a/tests/fleet/test_start_and_stop.py
+++ b/tests/fleet/test_start_and_stop.py
@@ -46,7 +46,7 @@
         Each listened before it had read its tables and refused what came, and with
         that callers had spent their one retry.
         """
-        self.store.manner = StoreBehavior.BUSY
+        self.store.behavior = StoreBehavior.BUSY
         await self.node.start()
         # How long it waits at most is not what this is about.
         with mock.patch("fireflyward.fleet._start_gate._LONGEST_MS", 20_000):
@@ -54,13 +54,13 @@
             await self.until(lambda: self.node._door.in_flight)
             self.assertFalse(self.node.is_ready)
             self.operator.configure()
-            self.store.manner = StoreBehavior.WELL
+            self.store.behavior = StoreBehavior.WELL
             status, _, _ = await asked
         self.assertEqual(status, 200)
 
     async def test_serving_goes_on_while_the_store_is_away(self):
         await self.start_ready()
-        self.store.manner = StoreBehavior.BUSY
+        self.store.behavior = StoreBehavior.BUSY
         for _ in range(5):
             self.assertEqual((await self.ask("GET", "/r/x"))[0], 200)
             await asyncio.sleep(0.05)
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -51,16 +51,16 @@
         self.assertEqual(self.runs(self.plain), 1)
 
     async def test_idempotent_request_goes_to_another_replica(self):
-        for manner in (
+        for behavior in (
             ReplicaBehavior.RESETS,
             ReplicaBehavior.CUTS,
             ReplicaBehavior.FAILS,
             ReplicaBehavior.UNSIGNED,
         ):
-            self.plain[0].behaviors = [manner] * 3
+            self.plain[0].behaviors = [behavior] * 3
             self.plain[1].behaviors = []
             statuses = {(await self.ask("GET", "/r/x"))[0] for _ in range(3)}
-            self.assertEqual(statuses, {200}, manner)
+            self.assertEqual(statuses, {200}, behavior)
 
     async def test_the_log_tells_what_a_caller_got_and_from_whom(self):
         """Symptom: callers complain of status 500, and no line of the log has one.
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -48,7 +48,7 @@
         self.assertEqual(changes.position, at(2, 1))
 
     async def test_lost_history(self):
-        self.store.manner = StoreBehavior.FORGETS
+        self.store.behavior = StoreBehavior.FORGETS
         result = await self.client.changes("t", after=at(0, 1), wait_ms=0, limit_ms=500)
         self.assertEqual(result, HistoryLost())
 
@@ -57,14 +57,14 @@
         self.assertEqual(await self.write(), Conflict({"k": 1}))
 
     async def test_refusals_did_nothing(self):
-        for manner in (StoreBehavior.BUSY, StoreBehavior.TOO_MANY):
-            self.store.manner = manner
+        for behavior in (StoreBehavior.BUSY, StoreBehavior.TOO_MANY):
+            self.store.behavior = behavior
             self.assertIsInstance(await self.write(), Unavailable)
             self.assertIsInstance(await self.client.rows("t"), Unavailable)
         self.assertIsNone(self.store.value("t", "k"))
 
     async def test_a_lost_answer_leaves_a_write_uncertain(self):
-        self.store.manner = StoreBehavior.LOSES_ANSWERS
+        self.store.behavior = StoreBehavior.LOSES_ANSWERS
         self.assertIsInstance(await self.write(), Uncertain)
         self.assertEqual(self.store.value("t", "k"), b"v")
 
@@ -75,10 +75,10 @@
         that lie idle since then, hang until their limit one after the other.
         """
         await asyncio.gather(*(self.client.rows("t") for _ in range(3)))
-        self.store.manner = StoreBehavior.SILENT
+        self.store.behavior = StoreBehavior.SILENT
         result = await self.client.rows("t", limit_ms=100)
         self.assertIsInstance(result, Unavailable)
-        self.store.manner = StoreBehavior.WELL
+        self.store.behavior = StoreBehavior.WELL
         before = self.store.connections
         await self.client.rows("t", limit_ms=500)
         self.assertEqual(self.store.connections, before + 1)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -103,12 +103,12 @@
         if headers.get("x-expect-version", str(self.version)) != str(self.version):
             writer.write(response(421, headers=[("X-Instance-Id", self.incarnation)]))
             return True
-        manner = self.behaviors.pop(0) if self.behaviors else ReplicaBehavior.WELL
-        if manner is ReplicaBehavior.FULL:
+        behavior = self.behaviors.pop(0) if self.behaviors else ReplicaBehavior.WELL
+        if behavior is ReplicaBehavior.FULL:
             refusal = [("X-Not-Executed", "1"), *self.notices]
             writer.write(response(503, headers=refusal))
             return True
-        if manner is ReplicaBehavior.RESTS:
+        if behavior is ReplicaBehavior.RESTS:
             refusal = [("X-Not-Executed", "1"), ("Retry-After", self.rest)]
             writer.write(response(503, headers=[*refusal, *self.notices]))
             return True
@@ -119,51 +119,51 @@
             return False
         own = [("X-Request-Id", headers["x-request-id"]), SIGNATURE, *self.notices]
         if self.model:
-            return await self._stream(request, writer, manner, own)
-        return await self._plain(request, writer, manner, own)
+            return await self._stream(request, writer, behavior, own)
+        return await self._plain(request, writer, behavior, own)
 
-    async def _plain(self, request, writer, manner, own):
+    async def _plain(self, request, writer, behavior, own):
         body = b"answer of " + self.incarnation.encode()
-        if manner is ReplicaBehavior.SILENT:
+        if behavior is ReplicaBehavior.SILENT:
             await request.caller_left()
             self.left_early += 1
             return False
-        if manner is ReplicaBehavior.RESETS:
+        if behavior is ReplicaBehavior.RESETS:
             reset(writer)
             return False
-        if manner is ReplicaBehavior.FAILS:
+        if behavior is ReplicaBehavior.FAILS:
             writer.write(response(500, headers=own))
-        elif manner is ReplicaBehavior.SAYS_503:
+        elif behavior is ReplicaBehavior.SAYS_503:
             writer.write(response(503, headers=own))
-        elif manner is ReplicaBehavior.CUTS:
+        elif behavior is ReplicaBehavior.CUTS:
             writer.write(response(200, body, own)[:-3])
             return False
-        elif manner is ReplicaBehavior.ANSWERS_ANOTHER:
+        elif behavior is ReplicaBehavior.ANSWERS_ANOTHER:
             other = [("X-Request-Id", "another"), SIGNATURE]
             writer.write(response(200, b"of another", other))
-        elif manner is ReplicaBehavior.UNSIGNED:
+        elif behavior is ReplicaBehavior.UNSIGNED:
             writer.write(response(200, body, own[:1] + self.notices))
-        elif manner in (ReplicaBehavior.UNFRAMED, ReplicaBehavior.UNFRAMED_RESET):
+        elif behavior in (ReplicaBehavior.UNFRAMED, ReplicaBehavior.UNFRAMED_RESET):
             lines = [f"{name}: {value}" for name, value in own]
             head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""])
             writer.write(head.encode() + body)
             await writer.drain()
-            if manner is ReplicaBehavior.UNFRAMED_RESET:
+            if behavior is ReplicaBehavior.UNFRAMED_RESET:
                 await asyncio.sleep(0.05)
                 reset(writer)
             return False
         else:
             writer.write(response(200, body, own))
-            if manner is ReplicaBehavior.ADDS_ANSWER:
+            if behavior is ReplicaBehavior.ADDS_ANSWER:
                 await asyncio.sleep(0.02)
                 writer.write(response(200, b"nobody's", own))
         return True
 
-    async def _stream(self, request, writer, manner, own):
+    async def _stream(self, request, writer, behavior, own):
         lines = [f"{name}: {value}" for name, value in own]
         lines += ["Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""]).encode()
-        if manner is ReplicaBehavior.RESETS:
+        if behavior is ReplicaBehavior.RESETS:
             reset(writer)
             return False
         writer.write(head)
@@ -174,7 +174,7 @@
                 self.left_early += 1
                 return False
             event = f"id: {number}\ndata: {self.incarnation}\n\n".encode()
-            if manner is ReplicaBehavior.CUTS_STREAM and number == first + 1:
+            if behavior is ReplicaBehavior.CUTS_STREAM and number == first + 1:
                 writer.write(_chunk(event[:-5]))
                 await writer.drain()
                 return False
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -32,7 +32,7 @@
 
     def __init__(self, page_rows=_PAGE_ROWS):
         super().__init__()
-        self.manner = StoreBehavior.WELL
+        self.behavior = StoreBehavior.WELL
         self.version = 0
         self.era = 1
         self._rows = {}
@@ -104,17 +104,17 @@
         return None if row is None else base64.b64decode(row["value"])
 
     async def answer(self, request, writer):
-        manner = self.manner
-        if manner is StoreBehavior.SILENT:
+        behavior = self.behavior
+        if behavior is StoreBehavior.SILENT:
             await asyncio.sleep(3_600)
-        if manner is StoreBehavior.BUSY:
+        if behavior is StoreBehavior.BUSY:
             writer.write(response(503, headers=self._headers()))
             return True
-        if manner is StoreBehavior.TOO_MANY:
+        if behavior is StoreBehavior.TOO_MANY:
             writer.write(response(429, headers=self._headers()))
             return True
         answer = await self._call(request)
-        if manner is StoreBehavior.LOSES_ANSWERS and request.method == "POST":
+        if behavior is StoreBehavior.LOSES_ANSWERS and request.method == "POST":
             return False
         writer.write(answer)
         return True
@@ -156,7 +156,7 @@
 
     async def _feed(self, query):
         table, after = query["table"], int(query["after"])
-        if self.manner is StoreBehavior.FORGETS or after > self.version:
+        if self.behavior is StoreBehavior.FORGETS or after > self.version:
             return response(410, headers=self._headers())
         due = asyncio.get_running_loop().time() + int(query.get("wait-ms", 0)) / 1_000
         while True:
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -8,7 +8,7 @@
 from ._proxy import Link
 
 _MANNERS = [
-    manner for manner in ReplicaBehavior if manner is not ReplicaBehavior.SILENT
+    behavior for behavior in ReplicaBehavior if behavior is not ReplicaBehavior.SILENT
 ]
 _LINKS = [mode for mode in Link if mode is not Link.WELL]
 _STORE_MANNERS = [
@@ -116,9 +116,9 @@
         replica.behaviors = [self._random.choice(_MANNERS) for _ in range(6)]
 
     async def _store_misbehaves(self):
-        self._fleet.store.manner = self._random.choice(_STORE_MANNERS)
+        self._fleet.store.behavior = self._random.choice(_STORE_MANNERS)
         await self._span()
-        self._fleet.store.manner = StoreBehavior.WELL
+        self._fleet.store.behavior = StoreBehavior.WELL
 
     async def _name_weights(self):
         self._fleet.version += 1
