--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -200,7 +200,7 @@
     async def ask_both(self, node):
         """Have a harmless request under way while the deadly one is asked."""
         (replica,) = self.plain
-        replica.behaviors = [ReplicaBehavior.SILENT, ReplicaBehavior.WELL]
+        replica.behaviors = [ReplicaBehavior.SILENT, ReplicaBehavior.NORMAL]
         beside = asyncio.create_task(
             self.ask_at(node, "POST", "/w/beside", data=b"harmless")
         )
--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -123,7 +123,7 @@
         self.say_that_it_leaves(self.plain[0])
         for _ in range(2 * _WRITES):
             self.store.put("other", "key", b"")
-        self.store.behavior = StoreBehavior.WELL
+        self.store.behavior = StoreBehavior.NORMAL
         await self.until_leaving(self.plain[0])
 
     async def test_what_is_written_again_after_the_first_reading_counts(self):
@@ -167,7 +167,7 @@
         self.store.behavior = StoreBehavior.LOSES_ANSWERS
         self.store.come_back_from(self.copied)
         await self.until_listed()
-        self.store.behavior = StoreBehavior.WELL
+        self.store.behavior = StoreBehavior.NORMAL
 
     async def test_a_node_that_starts_before_the_operator_wrote_again_knows_better(
         self,
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -56,7 +56,7 @@
             # Most steps are not known everywhere yet when the next one comes.
             await asyncio.sleep(self.random.choice((0.0, 0.05, 0.3)))
             self.check_nothing_is_undone()
-        self.case.store.behavior = StoreBehavior.WELL
+        self.case.store.behavior = StoreBehavior.NORMAL
         self.case.store.write_again()
         self.configure()
         await self.case.until(self.all_know_everything)
@@ -98,7 +98,7 @@
     def drill(self):
         store = self.case.store
         behaviors = (
-            StoreBehavior.WELL,
+            StoreBehavior.NORMAL,
             StoreBehavior.BUSY,
             StoreBehavior.LOSES_ANSWERS,
         )
--- a/tests/fleet/test_start_and_stop.py
+++ b/tests/fleet/test_start_and_stop.py
@@ -54,7 +54,7 @@
             await self.until(lambda: self.node._door.in_flight)
             self.assertFalse(self.node.is_ready)
             self.operator.configure()
-            self.store.behavior = StoreBehavior.WELL
+            self.store.behavior = StoreBehavior.NORMAL
             status, _, _ = await asked
         self.assertEqual(status, 200)
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -78,7 +78,7 @@
         self.store.behavior = StoreBehavior.SILENT
         result = await self.client.rows("t", limit_ms=100)
         self.assertIsInstance(result, Unavailable)
-        self.store.behavior = StoreBehavior.WELL
+        self.store.behavior = StoreBehavior.NORMAL
         before = self.store.connections
         await self.client.rows("t", limit_ms=500)
         self.assertEqual(self.store.connections, before + 1)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -13,7 +13,7 @@
 class ReplicaBehavior(enum.Enum):
     """How a replica answers the next requests."""
 
-    WELL = "well"
+    NORMAL = "well"
     FULL = "full"
     FAILS = "fails"
     RESTS = "turns away and wants nothing for a while"
@@ -103,7 +103,7 @@
         if headers.get("x-expect-version", str(self.version)) != str(self.version):
             writer.write(response(421, headers=[("X-Instance-Id", self.incarnation)]))
             return True
-        behavior = self.behaviors.pop(0) if self.behaviors else ReplicaBehavior.WELL
+        behavior = self.behaviors.pop(0) if self.behaviors else ReplicaBehavior.NORMAL
         if behavior is ReplicaBehavior.FULL:
             refusal = [("X-Not-Executed", "1"), *self.notices]
             writer.write(response(503, headers=refusal))
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -15,7 +15,7 @@
 class StoreBehavior(enum.Enum):
     """How the store answers."""
 
-    WELL = "well"
+    NORMAL = "well"
     BUSY = "busy"
     TOO_MANY = "too many"
     SILENT = "silent"
@@ -32,7 +32,7 @@
 
     def __init__(self, page_rows=_PAGE_ROWS):
         super().__init__()
-        self.behavior = StoreBehavior.WELL
+        self.behavior = StoreBehavior.NORMAL
         self.version = 0
         self.era = 1
         self._rows = {}
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -10,7 +10,7 @@
 _MANNERS = [
     behavior for behavior in ReplicaBehavior if behavior is not ReplicaBehavior.SILENT
 ]
-_LINKS = [mode for mode in Link if mode is not Link.WELL]
+_LINKS = [mode for mode in Link if mode is not Link.NORMAL]
 _STORE_MANNERS = [
     StoreBehavior.BUSY,
     StoreBehavior.TOO_MANY,
@@ -103,9 +103,9 @@
         await self._span()
         if link.mode in (Link.SILENT, Link.ONE_WAY):
             # Open connections stay silent for good while new ones work.
-            link.mode = Link.WELL
+            link.mode = Link.NORMAL
             return
-        link.mode = Link.WELL
+        link.mode = Link.NORMAL
 
     async def _reset_all(self):
         links = [*self._fleet.replica_links, *self._fleet.store_links]
@@ -118,7 +118,7 @@
     async def _store_misbehaves(self):
         self._fleet.store.behavior = self._random.choice(_STORE_MANNERS)
         await self._span()
-        self._fleet.store.behavior = StoreBehavior.WELL
+        self._fleet.store.behavior = StoreBehavior.NORMAL
 
     async def _name_weights(self):
         self._fleet.version += 1
--- a/tests/soak/_proxy.py
+++ b/tests/soak/_proxy.py
@@ -11,7 +11,7 @@
 class Link(enum.Enum):
     """What happens to bytes on a link."""
 
-    WELL = "well"
+    NORMAL = "well"
     DELAYED = "delayed"
     REFUSED = "refused"
     SILENT = "silent"
@@ -23,7 +23,7 @@
 
     def __init__(self, target):
         self.target = target
-        self.mode = Link.WELL
+        self.mode = Link.NORMAL
         self._server = None
         self._pairs = set()
         self._tasks = set()
