--- a/tests/fleet/test_resting_replicas.py
+++ b/tests/fleet/test_resting_replicas.py
@@ -20,7 +20,7 @@
         self.resting, self.other = self.plain
 
     async def ask_until_turned_away(self, replica):
-        replica.behaviors = [ReplicaBehavior.RESTS]
+        replica.behaviors = [ReplicaBehavior.REQUESTS_BACKOFF]
         await self.ask_until(lambda: not replica.behaviors)
 
     async def test_nothing_is_sent_to_a_replica_that_rests(self):
@@ -55,7 +55,7 @@
     async def test_a_stream_that_broke_off_does_not_resume_there(self):
         await self.ask("POST", "/s/x", headers=STREAM)
         resting, other = sorted(self.engines, key=lambda engine: not engine.ran)
-        resting.rest, resting.behaviors = "30", [ReplicaBehavior.RESTS]
+        resting.rest, resting.behaviors = "30", [ReplicaBehavior.REQUESTS_BACKOFF]
         await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(resting.behaviors, [])
         before = self.runs([resting])
@@ -68,7 +68,7 @@
         """Guards against callers that wait, or come back while replicas still rest."""
         for replica in self.plain:
             replica.rest = "60"
-            replica.behaviors = [ReplicaBehavior.RESTS]
+            replica.behaviors = [ReplicaBehavior.REQUESTS_BACKOFF]
         await self.ask_until(lambda: not any(item.behaviors for item in self.plain))
         sent = [len(replica.requests) for replica in self.plain]
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -16,7 +16,7 @@
     NORMAL = "well"
     FULL = "full"
     FAILS = "fails"
-    RESTS = "turns away and wants nothing for a while"
+    REQUESTS_BACKOFF = "turns away and wants nothing for a while"
     RESETS = "resets"
     CUTS = "cuts"
     CUTS_STREAM = "cuts stream"
@@ -108,7 +108,7 @@
             refusal = [("X-Not-Executed", "1"), *self.notices]
             writer.write(response(503, headers=refusal))
             return True
-        if behavior is ReplicaBehavior.RESTS:
+        if behavior is ReplicaBehavior.REQUESTS_BACKOFF:
             refusal = [("X-Not-Executed", "1"), ("Retry-After", self.rest)]
             writer.write(response(503, headers=[*refusal, *self.notices]))
             return True
