--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -125,7 +125,9 @@
         passed on, the status would promise just that.
         """
         for method, path in (("POST", "/w/x"), ("GET", "/r/x")):
-            self.all_do(ReplicaBehavior.SAYS_503, ReplicaBehavior.SAYS_503)
+            self.all_do(
+                ReplicaBehavior.EXECUTES_THEN_503, ReplicaBehavior.EXECUTES_THEN_503
+            )
             status, headers, _ = await self.ask(method, path)
             self.assertEqual(status, 502, path)
             self.assertNotIn("X-Server-Seal", headers)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -26,7 +26,7 @@
     UNFRAMED = "unframed"
     UNFRAMED_RESET = "unframed, reset"
     SILENT = "silent"
-    SAYS_503 = "says 503 without saying that nothing ran"
+    EXECUTES_THEN_503 = "says 503 without saying that nothing ran"
 
 
 class ReplicaStandIn(RawServer):
@@ -133,7 +133,7 @@
             return False
         if behavior is ReplicaBehavior.FAILS:
             writer.write(response(500, headers=own))
-        elif behavior is ReplicaBehavior.SAYS_503:
+        elif behavior is ReplicaBehavior.EXECUTES_THEN_503:
             writer.write(response(503, headers=own))
         elif behavior is ReplicaBehavior.CUTS:
             writer.write(response(200, body, own)[:-3])
