--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -53,7 +53,7 @@
     async def test_idempotent_request_goes_to_another_replica(self):
         for behavior in (
             ReplicaBehavior.RESETS,
-            ReplicaBehavior.CUTS,
+            ReplicaBehavior.TRUNCATES,
             ReplicaBehavior.FAILS,
             ReplicaBehavior.UNSIGNED,
         ):
--- a/tests/platform_standins/__main__.py
+++ b/tests/platform_standins/__main__.py
@@ -130,7 +130,7 @@
         demo.plain[0].behaviors = [
             ReplicaBehavior.RESETS,
             ReplicaBehavior.FULL,
-            ReplicaBehavior.CUTS,
+            ReplicaBehavior.TRUNCATES,
         ]
         demo.engines[0].behaviors = [ReplicaBehavior.CUTS_STREAM, ReplicaBehavior.FULL]
         await demo.round(session, "One replica of each service misbehaves")
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -18,7 +18,7 @@
     FAILS = "fails"
     REQUESTS_BACKOFF = "turns away and wants nothing for a while"
     RESETS = "resets"
-    CUTS = "cuts"
+    TRUNCATES = "cuts"
     CUTS_STREAM = "cuts stream"
     ANSWERS_ANOTHER = "answers another"
     ADDS_ANSWER = "adds an answer"
@@ -135,7 +135,7 @@
             writer.write(response(500, headers=own))
         elif behavior is ReplicaBehavior.EXECUTES_THEN_503:
             writer.write(response(503, headers=own))
-        elif behavior is ReplicaBehavior.CUTS:
+        elif behavior is ReplicaBehavior.TRUNCATES:
             writer.write(response(200, body, own)[:-3])
             return False
         elif behavior is ReplicaBehavior.ANSWERS_ANOTHER:
