--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -72,7 +72,7 @@
         """Symptom: streams that a replica cut went on in the evacuated domain."""
         await self.start_ready()
         await self.evacuate("b")
-        self.engines[0].behaviors = [ReplicaBehavior.CUTS_STREAM] * 3
+        self.engines[0].behaviors = [ReplicaBehavior.TRUNCATES_STREAM] * 3
         async with asyncio.timeout(5):
             try:
                 await self.ask("POST", "/s/x", headers=STREAM)
--- a/tests/fleet/test_leaving_replicas.py
+++ b/tests/fleet/test_leaving_replicas.py
@@ -98,7 +98,7 @@
         leaving.notices = [LEAVING]
         await self.ask("POST", "/s/x", headers=STREAM)
         before = self.runs([leaving])
-        other.behaviors = [ReplicaBehavior.CUTS_STREAM] * 10
+        other.behaviors = [ReplicaBehavior.TRUNCATES_STREAM] * 10
         with contextlib.suppress(aiohttp.ClientPayloadError):
             await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.runs([leaving]), before)
--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -114,7 +114,7 @@
         await self.ask("POST", "/s/x", headers=STREAM)
         limited, other = sorted(self.engines, key=lambda engine: not engine.ran)
         limited.notices = [(LIMIT, str(PER_SECOND))]
-        other.behaviors = [ReplicaBehavior.CUTS_STREAM] * 90
+        other.behaviors = [ReplicaBehavior.TRUNCATES_STREAM] * 90
         for _ in range(30):
             with contextlib.suppress(aiohttp.ClientPayloadError):
                 await self.ask("POST", "/s/x", headers=STREAM)
--- a/tests/fleet/test_resting_replicas.py
+++ b/tests/fleet/test_resting_replicas.py
@@ -59,7 +59,7 @@
         await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(resting.behaviors, [])
         before = self.runs([resting])
-        other.behaviors = [ReplicaBehavior.CUTS_STREAM] * 10
+        other.behaviors = [ReplicaBehavior.TRUNCATES_STREAM] * 10
         with contextlib.suppress(aiohttp.ClientPayloadError):
             await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.runs([resting]), before)
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -208,7 +208,7 @@
         """
         await self.ask("POST", "/s/x", headers=STREAM)
         home, other = sorted(self.engines, key=lambda engine: -len(engine.ran))
-        home.behaviors = [ReplicaBehavior.CUTS_STREAM]
+        home.behaviors = [ReplicaBehavior.TRUNCATES_STREAM]
         _, _, body = await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(event_numbers(body), [1, 2, 3, 4])
         (resumed,) = other.ran
@@ -220,7 +220,7 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
         for engine in self.engines:
-            engine.behaviors = [ReplicaBehavior.CUTS_STREAM]
+            engine.behaviors = [ReplicaBehavior.TRUNCATES_STREAM]
         with self.assertRaises(aiohttp.ClientPayloadError):
             await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.runs(self.engines), 1)
--- a/tests/platform_standins/__main__.py
+++ b/tests/platform_standins/__main__.py
@@ -132,7 +132,10 @@
             ReplicaBehavior.FULL,
             ReplicaBehavior.TRUNCATES,
         ]
-        demo.engines[0].behaviors = [ReplicaBehavior.CUTS_STREAM, ReplicaBehavior.FULL]
+        demo.engines[0].behaviors = [
+            ReplicaBehavior.TRUNCATES_STREAM,
+            ReplicaBehavior.FULL,
+        ]
         await demo.round(session, "One replica of each service misbehaves")
         demo.operator.name_weights("m", 2)
         while not all(demo.believes_loaded(node, 2) for node in demo.nodes):
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -19,7 +19,7 @@
     REQUESTS_BACKOFF = "turns away and wants nothing for a while"
     RESETS = "resets"
     TRUNCATES = "cuts"
-    CUTS_STREAM = "cuts stream"
+    TRUNCATES_STREAM = "cuts stream"
     ANSWERS_ANOTHER = "answers another"
     ADDS_ANSWER = "adds an answer"
     UNSIGNED = "unsigned"
@@ -174,7 +174,7 @@
                 self.left_early += 1
                 return False
             event = f"id: {number}\ndata: {self.incarnation}\n\n".encode()
-            if behavior is ReplicaBehavior.CUTS_STREAM and number == first + 1:
+            if behavior is ReplicaBehavior.TRUNCATES_STREAM and number == first + 1:
                 writer.write(_chunk(event[:-5]))
                 await writer.drain()
                 return False
