--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -94,7 +94,7 @@
         self.assertNotIn(b"another", body)
 
     async def test_added_answer_reaches_nobody(self):
-        self.all_do(*[ReplicaBehavior.ADDS_ANSWER] * 3)
+        self.all_do(*[ReplicaBehavior.SENDS_EXTRA_RESPONSE] * 3)
         for _ in range(6):
             _, _, body = await self.ask("GET", "/r/x")
             await asyncio.sleep(0.03)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -21,7 +21,7 @@
     TRUNCATES = "cuts"
     TRUNCATES_STREAM = "cuts stream"
     ANSWERS_ANOTHER = "answers another"
-    ADDS_ANSWER = "adds an answer"
+    SENDS_EXTRA_RESPONSE = "adds an answer"
     UNSIGNED = "unsigned"
     UNFRAMED = "unframed"
     UNFRAMED_RESET = "unframed, reset"
@@ -154,7 +154,7 @@
             return False
         else:
             writer.write(response(200, body, own))
-            if behavior is ReplicaBehavior.ADDS_ANSWER:
+            if behavior is ReplicaBehavior.SENDS_EXTRA_RESPONSE:
                 await asyncio.sleep(0.02)
                 writer.write(response(200, b"nobody's", own))
         return True
