--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -88,7 +88,7 @@
 
         A replica's late answer comes where the next one is expected.
         """
-        self.all_do(ReplicaBehavior.ANSWERS_ANOTHER)
+        self.all_do(ReplicaBehavior.WRONG_REQUEST_ID)
         status, _, body = await self.ask("POST", "/w/x", data=b"1")
         self.assertEqual(status, 502)
         self.assertNotIn(b"another", body)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -20,7 +20,7 @@
     RESETS = "resets"
     TRUNCATES = "cuts"
     TRUNCATES_STREAM = "cuts stream"
-    ANSWERS_ANOTHER = "answers another"
+    WRONG_REQUEST_ID = "answers another"
     SENDS_EXTRA_RESPONSE = "adds an answer"
     UNSIGNED = "unsigned"
     UNFRAMED = "unframed"
@@ -138,7 +138,7 @@
         elif behavior is ReplicaBehavior.TRUNCATES:
             writer.write(response(200, body, own)[:-3])
             return False
-        elif behavior is ReplicaBehavior.ANSWERS_ANOTHER:
+        elif behavior is ReplicaBehavior.WRONG_REQUEST_ID:
             other = [("X-Request-Id", "another"), SIGNATURE]
             writer.write(response(200, b"of another", other))
         elif behavior is ReplicaBehavior.UNSIGNED:
