--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -130,7 +130,7 @@
         """
         await self.start_ready()
         await self.evacuate("b")
-        self.store.behavior = StoreBehavior.FORGETS
+        self.store.behavior = StoreBehavior.HISTORY_LOST
         self.operator.take_back_evacuation("b")
         await self.until(lambda: not self.evacuated)
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -48,7 +48,7 @@
         self.assertEqual(changes.position, at(2, 1))
 
     async def test_lost_history(self):
-        self.store.behavior = StoreBehavior.FORGETS
+        self.store.behavior = StoreBehavior.HISTORY_LOST
         result = await self.client.changes("t", after=at(0, 1), wait_ms=0, limit_ms=500)
         self.assertEqual(result, HistoryLost())
 
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -20,7 +20,7 @@
     TOO_MANY = "too many"
     SILENT = "silent"
     LOSES_ANSWERS = "loses answers"
-    FORGETS = "forgets"
+    HISTORY_LOST = "forgets"
 
 
 class StoreStandIn(RawServer):
@@ -156,7 +156,7 @@
 
     async def _feed(self, query):
         table, after = query["table"], int(query["after"])
-        if self.behavior is StoreBehavior.FORGETS or after > self.version:
+        if self.behavior is StoreBehavior.HISTORY_LOST or after > self.version:
             return response(410, headers=self._headers())
         due = asyncio.get_running_loop().time() + int(query.get("wait-ms", 0)) / 1_000
         while True:
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -15,7 +15,7 @@
     StoreBehavior.BUSY,
     StoreBehavior.TOO_MANY,
     StoreBehavior.LOSES_ANSWERS,
-    StoreBehavior.FORGETS,
+    StoreBehavior.HISTORY_LOST,
 ]
 
 
