--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -57,7 +57,7 @@
         self.assertEqual(await self.write(), Conflict({"k": 1}))
 
     async def test_refusals_did_nothing(self):
-        for behavior in (StoreBehavior.BUSY, StoreBehavior.TOO_MANY):
+        for behavior in (StoreBehavior.BUSY, StoreBehavior.RATE_LIMITED):
             self.store.behavior = behavior
             self.assertIsInstance(await self.write(), Unavailable)
             self.assertIsInstance(await self.client.rows("t"), Unavailable)
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -17,7 +17,7 @@
 
     NORMAL = "well"
     BUSY = "busy"
-    TOO_MANY = "too many"
+    RATE_LIMITED = "too many"
     SILENT = "silent"
     LOSES_ANSWERS = "loses answers"
     HISTORY_LOST = "forgets"
@@ -110,7 +110,7 @@
         if behavior is StoreBehavior.BUSY:
             writer.write(response(503, headers=self._headers()))
             return True
-        if behavior is StoreBehavior.TOO_MANY:
+        if behavior is StoreBehavior.RATE_LIMITED:
             writer.write(response(429, headers=self._headers()))
             return True
         answer = await self._call(request)
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -13,7 +13,7 @@
 _LINKS = [mode for mode in Link if mode is not Link.NORMAL]
 _STORE_MANNERS = [
     StoreBehavior.BUSY,
-    StoreBehavior.TOO_MANY,
+    StoreBehavior.RATE_LIMITED,
     StoreBehavior.LOSES_ANSWERS,
     StoreBehavior.HISTORY_LOST,
 ]
