--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -164,7 +164,7 @@
         self.assertEqual(self.store.value("fireflyward-nodes", "key"), self.key)
 
     async def test_rows_are_written_again_though_answers_are_lost(self):
-        self.store.behavior = StoreBehavior.LOSES_ANSWERS
+        self.store.behavior = StoreBehavior.DROPS_RESPONSES
         self.store.come_back_from(self.copied)
         await self.until_listed()
         self.store.behavior = StoreBehavior.NORMAL
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -100,7 +100,7 @@
         behaviors = (
             StoreBehavior.NORMAL,
             StoreBehavior.BUSY,
-            StoreBehavior.LOSES_ANSWERS,
+            StoreBehavior.DROPS_RESPONSES,
         )
         store.behavior = self.random.choice(behaviors)
         # Operators write again before they write anything else.
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -64,7 +64,7 @@
         self.assertIsNone(self.store.value("t", "k"))
 
     async def test_a_lost_answer_leaves_a_write_uncertain(self):
-        self.store.behavior = StoreBehavior.LOSES_ANSWERS
+        self.store.behavior = StoreBehavior.DROPS_RESPONSES
         self.assertIsInstance(await self.write(), Uncertain)
         self.assertEqual(self.store.value("t", "k"), b"v")
 
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -19,7 +19,7 @@
     BUSY = "busy"
     RATE_LIMITED = "too many"
     SILENT = "silent"
-    LOSES_ANSWERS = "loses answers"
+    DROPS_RESPONSES = "loses answers"
     HISTORY_LOST = "forgets"
 
 
@@ -114,7 +114,7 @@
             writer.write(response(429, headers=self._headers()))
             return True
         answer = await self._call(request)
-        if behavior is StoreBehavior.LOSES_ANSWERS and request.method == "POST":
+        if behavior is StoreBehavior.DROPS_RESPONSES and request.method == "POST":
             return False
         writer.write(answer)
         return True
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -14,7 +14,7 @@
 _STORE_MANNERS = [
     StoreBehavior.BUSY,
     StoreBehavior.RATE_LIMITED,
-    StoreBehavior.LOSES_ANSWERS,
+    StoreBehavior.DROPS_RESPONSES,
     StoreBehavior.HISTORY_LOST,
 ]
 
