--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -29,7 +29,7 @@
 from fireflyward.fleet._node import FleetNode
 from fireflyward.fleet._peers import NODE_TABLE
 from fireflyward.quarantine import MAX_CRASHES, fingerprint_of
-from tests.platform_standins import DEADLY, ReplicaBehavior, ReplicaStandIn
+from tests.platform_standins import CRASHING_BODY, ReplicaBehavior, ReplicaStandIn
 
 from .node_fixtures import STREAM, FleetTestCase
 
@@ -82,7 +82,9 @@
         statuses = []
         for number in range(12):
             node = self.nodes[number % self.most_nodes]
-            answer = await self.ask_at(node, method, path, data=DEADLY, **options)
+            answer = await self.ask_at(
+                node, method, path, data=CRASHING_BODY, **options
+            )
             statuses.append(answer[0])
             await self.replace_ended(replicas, service, model)
         return statuses
@@ -102,7 +104,7 @@
 
     def kept_ends(self):
         """Return how many ends of the deadly work the table holds."""
-        fingerprint = fingerprint_of("acme", "/w/x", DEADLY)
+        fingerprint = fingerprint_of("acme", "/w/x", CRASHING_BODY)
         value = self.store.value(NODE_TABLE, f"suspect/{fingerprint}")
         return len(json.loads(value)["ends"]) if value else 0
 
@@ -114,7 +116,7 @@
         """
         for number in range(4):
             await self.ask_at(
-                self.nodes[number % self.most_nodes], "POST", "/w/x", data=DEADLY
+                self.nodes[number % self.most_nodes], "POST", "/w/x", data=CRASHING_BODY
             )
             await self.replace_ended(self.plain, "plain")
         before = len(self.ended)
@@ -133,7 +135,9 @@
             await node.start()
         await self.until(lambda: all(self.knows_everyone(node) for node in self.nodes))
         for node in self.nodes:
-            status, headers, _ = await self.ask_at(node, "POST", "/w/x", data=DEADLY)
+            status, headers, _ = await self.ask_at(
+                node, "POST", "/w/x", data=CRASHING_BODY
+            )
             self.assertEqual(status, 503)
             self.assertGreater(float(headers["Retry-After"]), 60)
         self.assertEqual(len(self.ended), before)
@@ -205,7 +209,7 @@
             self.ask_at(node, "POST", "/w/beside", data=b"harmless")
         )
         await self.until(lambda: replica.ran or beside.done())
-        status, _, _ = await self.ask_at(node, "POST", "/w/x", data=DEADLY)
+        status, _, _ = await self.ask_at(node, "POST", "/w/x", data=CRASHING_BODY)
         beside.cancel()
         await asyncio.gather(beside, return_exceptions=True)
         return status
--- a/tests/platform_standins/__init__.py
+++ b/tests/platform_standins/__init__.py
@@ -5,12 +5,12 @@
 
 from ._http import RawRequest, RawServer
 from ._operator import CONFIGURATION, Operator, settings_text
-from ._replica import DEADLY, ReplicaBehavior, ReplicaStandIn
+from ._replica import CRASHING_BODY, ReplicaBehavior, ReplicaStandIn
 from ._store import StoreBehavior, StoreStandIn
 
 __all__ = [
     "CONFIGURATION",
-    "DEADLY",
+    "CRASHING_BODY",
     "ReplicaBehavior",
     "Operator",
     "RawRequest",
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -7,7 +7,7 @@
 from ._http import RawServer, json_response, reset, response
 
 SIGNATURE = ("X-Server-Seal", "3e1b.07.5a2")
-DEADLY = b"what no replica survives"
+CRASHING_BODY = b"what no replica survives"
 
 
 class ReplicaBehavior(enum.Enum):
@@ -33,7 +33,7 @@
     """Runs what it is sent and keeps it in ``ran``.
 
     ``behaviors`` are used up one a request; then it answers well. A request with the body
-    ``DEADLY`` ends it as soon as it begins to run. ``notices`` are headers that each of
+    ``CRASHING_BODY`` ends it as soon as it begins to run. ``notices`` are headers that each of
     its answers bears, and ``rest`` is what it asks for when it turns a request away.
     """
 
@@ -113,7 +113,7 @@
             writer.write(response(503, headers=[*refusal, *self.notices]))
             return True
         self.ran.append(request)
-        if request.body == DEADLY:
+        if request.body == CRASHING_BODY:
             self.has_crashed = True
             self.crash()
             return False
