--- a/tests/fleet/test_resting_replicas.py
+++ b/tests/fleet/test_resting_replicas.py
@@ -25,7 +25,7 @@
 
     async def test_nothing_is_sent_to_a_replica_that_rests(self):
         """Guards against a pause of our own choice in place of the one asked for."""
-        self.resting.rest = "30"
+        self.resting.retry_after = "30"
         await self.ask_until_turned_away(self.resting)
         before = self.runs([self.resting])
         await asyncio.sleep(0.2)
@@ -36,7 +36,7 @@
 
     async def test_it_is_used_again_afterwards(self):
         """Guards against a replica that rests for good."""
-        self.resting.rest = "0.4"
+        self.resting.retry_after = "0.4"
         await self.ask_until_turned_away(self.resting)
         await self.ask_until(lambda: self.resting.ran)
         refused, first = self.resting.requests[-2:]
@@ -44,7 +44,7 @@
 
     async def test_second_sends_do_not_go_there(self):
         """Guards against retries that reach the one replica not tried yet."""
-        self.resting.rest = "30"
+        self.resting.retry_after = "30"
         await self.ask_until_turned_away(self.resting)
         before = len(self.resting.requests)
         self.other.behaviors = [ReplicaBehavior.FAILS] * 20
@@ -55,7 +55,10 @@
     async def test_a_stream_that_broke_off_does_not_resume_there(self):
         await self.ask("POST", "/s/x", headers=STREAM)
         resting, other = sorted(self.engines, key=lambda engine: not engine.ran)
-        resting.rest, resting.behaviors = "30", [ReplicaBehavior.REQUESTS_BACKOFF]
+        resting.retry_after, resting.behaviors = (
+            "30",
+            [ReplicaBehavior.REQUESTS_BACKOFF],
+        )
         await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(resting.behaviors, [])
         before = self.runs([resting])
@@ -67,7 +70,7 @@
     async def test_with_all_replicas_resting_callers_are_refused_at_once(self):
         """Guards against callers that wait, or come back while replicas still rest."""
         for replica in self.plain:
-            replica.rest = "60"
+            replica.retry_after = "60"
             replica.behaviors = [ReplicaBehavior.REQUESTS_BACKOFF]
         await self.ask_until(lambda: not any(item.behaviors for item in self.plain))
         sent = [len(replica.requests) for replica in self.plain]
@@ -79,7 +82,7 @@
         self.assertEqual([len(item.requests) for item in self.plain], sent)
 
     async def test_a_replica_that_starts_again_does_not_rest(self):
-        self.resting.rest = "30"
+        self.resting.retry_after = "30"
         await self.ask_until_turned_away(self.resting)
         self.resting.start_again()
         self.store.put("servers", "p-1", self.resting.entry("plain"))
@@ -87,7 +90,7 @@
 
     async def test_an_unreadable_time_is_logged_and_changes_nothing(self):
         """Guards against garbage that ends a node or keeps a replica out."""
-        self.resting.rest = "Wed, 21 Oct 2026 07:28:00 GMT"
+        self.resting.retry_after = "Wed, 21 Oct 2026 07:28:00 GMT"
         with self.assertLogs("fireflyward.notices", "WARNING"):
             await self.ask_until_turned_away(self.resting)
         await self.ask_until(lambda: self.resting.ran)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -34,7 +34,7 @@
 
     ``behaviors`` are used up one a request; then it answers well. A request with the body
     ``CRASHING_BODY`` ends it as soon as it begins to run. ``notices`` are headers that each of
-    its answers bears, and ``rest`` is what it asks for when it turns a request away.
+    its answers bears, and ``retry_after`` is what it asks for when it turns a request away.
     """
 
     def __init__(self, incarnation, *, model=None, version=1, events=4, pause_s=0.0):
@@ -46,7 +46,7 @@
         self.orders = []
         self.behaviors = []
         self.notices = []
-        self.rest = "5"
+        self.retry_after = "5"
         self.left_early = 0
         self.has_crashed = False
         self.loading_s = 0.0
@@ -109,7 +109,7 @@
             writer.write(response(503, headers=refusal))
             return True
         if behavior is ReplicaBehavior.REQUESTS_BACKOFF:
-            refusal = [("X-Not-Executed", "1"), ("Retry-After", self.rest)]
+            refusal = [("X-Not-Executed", "1"), ("Retry-After", self.retry_after)]
             writer.write(response(503, headers=[*refusal, *self.notices]))
             return True
         self.ran.append(request)
