--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -232,7 +232,7 @@
         async with self.request("POST", "/s/x", headers=STREAM) as response:
             await response.content.readany()
             response.close()
-        await self.until(lambda: sum(e.left_early for e in self.engines) == 1)
+        await self.until(lambda: sum(e.disconnected_callers for e in self.engines) == 1)
 
     async def test_a_caller_that_leaves_before_any_answer_stops_the_work(self):
         self.operator.configuration["routes"][2]["timeout-ms"] = 600_000
@@ -244,7 +244,7 @@
         asking = asyncio.create_task(self.ask("POST", "/w/x", data=b"1"))
         await self.until(lambda: self.runs(self.plain) == 1)
         asking.cancel()
-        await self.until(lambda: sum(r.left_early for r in self.plain) == 1)
+        await self.until(lambda: sum(r.disconnected_callers for r in self.plain) == 1)
 
     async def test_weights_and_salt_are_named(self):
         await self.ask("POST", "/s/x", headers=STREAM)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -47,7 +47,7 @@
         self.behaviors = []
         self.notices = []
         self.retry_after = "5"
-        self.left_early = 0
+        self.disconnected_callers = 0
         self.has_crashed = False
         self.loading_s = 0.0
         self.started_ms = 1_764_700_000_000
@@ -126,7 +126,7 @@
         body = b"answer of " + self.incarnation.encode()
         if behavior is ReplicaBehavior.SILENT:
             await request.caller_left()
-            self.left_early += 1
+            self.disconnected_callers += 1
             return False
         if behavior is ReplicaBehavior.RESETS:
             reset(writer)
@@ -171,7 +171,7 @@
         for number in range(first, self._events + 1):
             await asyncio.sleep(self._pause_s)
             if writer.transport.is_closing():
-                self.left_early += 1
+                self.disconnected_callers += 1
                 return False
             event = f"id: {number}\ndata: {self.incarnation}\n\n".encode()
             if behavior is ReplicaBehavior.TRUNCATES_STREAM and number == first + 1:
@@ -182,7 +182,7 @@
             try:
                 await writer.drain()
             except ConnectionError:
-                self.left_early += 1
+                self.disconnected_callers += 1
                 return False
         writer.write(b"0\r\n\r\n")
         return True
