--- a/tests/platform_standins/_http.py
+++ b/tests/platform_standins/_http.py
@@ -21,7 +21,7 @@
     reader: asyncio.StreamReader | None = None
     arrived_s: float = 0.0
 
-    async def caller_left(self):
+    async def wait_for_disconnect(self):
         """Wait until the other end has closed the connection."""
         while not self.reader.at_eof():
             await asyncio.sleep(0.01)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -125,7 +125,7 @@
     async def _plain(self, request, writer, behavior, own):
         body = b"answer of " + self.incarnation.encode()
         if behavior is ReplicaBehavior.SILENT:
-            await request.caller_left()
+            await request.wait_for_disconnect()
             self.disconnected_callers += 1
             return False
         if behavior is ReplicaBehavior.RESETS:
