--- a/tests/fleet/test_leaving_replicas.py
+++ b/tests/fleet/test_leaving_replicas.py
@@ -119,7 +119,7 @@
     async def test_another_start_under_the_same_name_is_used(self):
         """Guards against a replica that is left out for good."""
         await self.ask_until_told()
-        self.leaving.start_again()
+        self.leaving.restart()
         self.leaving.notices = []
         self.store.put("servers", "p-1", self.leaving.entry("plain"))
         await self.ask_until(lambda: self.leaving.ran)
--- a/tests/fleet/test_resting_replicas.py
+++ b/tests/fleet/test_resting_replicas.py
@@ -84,7 +84,7 @@
     async def test_a_replica_that_starts_again_does_not_rest(self):
         self.resting.retry_after = "30"
         await self.ask_until_turned_away(self.resting)
-        self.resting.start_again()
+        self.resting.restart()
         self.store.put("servers", "p-1", self.resting.entry("plain"))
         await self.ask_until(lambda: self.resting.ran)
 
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -282,7 +282,7 @@
         engine = self.engines[0]
         state = self.node._directory.find(engine.incarnation)
         state.on_send_failure(self.node._clock.now_ms())
-        engine.start_again()
+        engine.restart()
         self.list_replicas()
         find = self.node._directory.find
         await self.until(lambda: find(engine.incarnation) is not state)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -54,7 +54,7 @@
         self._events = events
         self._pause_s = pause_s
 
-    def start_again(self):
+    def restart(self):
         """Begin anew under the same name: nothing is held, no order was counted."""
         self.started_ms += 1_000
         self.ran, self.orders, self.behaviors = [], [], []
