--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -52,7 +52,7 @@
         self.assertEqual(await self.ask_often("POST", "/w/x", data=b"1"), {200})
         self.assertEqual(await self.ask_often("POST", "/s/x", headers=STREAM), {200})
         self.assertEqual(self.runs([self.plain[1], self.engines[1]]), 0)
-        self.operator.take_back_evacuation("b")
+        self.operator.withdraw_evacuation("b")
         await self.until(lambda: not self.evacuated)
         await self.assert_used(self.plain[1], full=self.plain[0])
 
@@ -131,7 +131,7 @@
         await self.start_ready()
         await self.evacuate("b")
         self.store.behavior = StoreBehavior.HISTORY_LOST
-        self.operator.take_back_evacuation("b")
+        self.operator.withdraw_evacuation("b")
         await self.until(lambda: not self.evacuated)
 
     async def test_rows_that_name_no_known_domain_harm_nothing(self):
--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -186,7 +186,7 @@
         status, _, _ = await self.ask("GET", "/r/x", node=late)
         self.assertEqual(status, 401)
         self.store.write_again()
-        self.operator.take_back_evacuation("b")
+        self.operator.withdraw_evacuation("b")
         await self.until(lambda: not late._directory.evacuated)
 
     async def test_a_node_that_starts_in_a_drill_joins_the_others(self):
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -89,7 +89,7 @@
         if self.is_evacuated:
             self.case.operator.evacuate("b")
         else:
-            self.case.operator.take_back_evacuation("b")
+            self.case.operator.withdraw_evacuation("b")
 
     def name_weights(self):
         self.weights += 1
--- a/tests/platform_standins/_operator.py
+++ b/tests/platform_standins/_operator.py
@@ -82,7 +82,7 @@
         """Ask that the replicas of a failure domain get nothing more."""
         self._store.put("op", f"evacuate/{failure_domain}", value)
 
-    def take_back_evacuation(self, failure_domain):
+    def withdraw_evacuation(self, failure_domain):
         self._store.remove("op", f"evacuate/{failure_domain}")
 
 
