--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -66,7 +66,7 @@
 
     async def test_a_configuration_of_the_new_era_comes_into_force(self):
         """Guards against a copy that counts as lagging until its versions catch up."""
-        self.store.come_back_from(self.copied)
+        self.store.restore_snapshot(self.copied)
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
         await self.until_in_force()
         status, _, _ = await self.ask("GET", "/r/x")
@@ -74,7 +74,7 @@
 
     async def test_a_replica_that_leaves_in_the_new_era_gets_nothing(self):
         """Guards against a list of replicas that stands still after a drill."""
-        self.store.come_back_from(self.copied)
+        self.store.restore_snapshot(self.copied)
         replica = self.plain[0]
         self.say_that_it_leaves(replica)
         await self.until_leaving(replica)
@@ -85,7 +85,7 @@
     async def test_a_withdrawn_key_stays_so_through_a_copy_that_has_it(self):
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
         await self.until_in_force()
-        self.store.come_back_from(self.copied, written_again=False)
+        self.store.restore_snapshot(self.copied, written_again=False)
         await self.until_read_anew()
         status, _, _ = await self.ask("GET", "/r/x")
         self.assertEqual(status, 401)
@@ -94,13 +94,13 @@
         replica = self.plain[0]
         self.say_that_it_leaves(replica)
         await self.until_leaving(replica)
-        self.store.come_back_from(self.copied, written_again=False)
+        self.store.restore_snapshot(self.copied, written_again=False)
         await self.until_read_anew()
         self.assertTrue(self.state(replica.incarnation).is_leaving)
 
     async def test_two_drills_in_a_row(self):
         for _ in range(2):
-            self.store.come_back_from(self.copied)
+            self.store.restore_snapshot(self.copied)
             self.operator.configure()
         await self.until_in_force()
         await self.until(lambda: self.node._store.eras.latest == 3)
@@ -119,7 +119,7 @@
     async def test_versions_that_have_passed_the_cursor_when_it_is_read(self):
         """Guards against changes below a cursor that the store knows again."""
         self.store.behavior = StoreBehavior.BUSY
-        self.store.come_back_from(self.copied)
+        self.store.restore_snapshot(self.copied)
         self.say_that_it_leaves(self.plain[0])
         for _ in range(2 * _WRITES):
             self.store.put("other", "key", b"")
@@ -128,14 +128,14 @@
 
     async def test_what_is_written_again_after_the_first_reading_counts(self):
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
-        self.store.come_back_from(self.copied, written_again=False)
+        self.store.restore_snapshot(self.copied, written_again=False)
         await self.until_read_anew()
         self.store.write_again()
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-3"]}])
         await self.until_in_force()
 
     async def test_new_weights_are_loaded_after_a_drill(self):
-        self.store.come_back_from(self.copied)
+        self.store.restore_snapshot(self.copied)
         self.operator.name_weights("m", 2)
         await self.until(lambda: {e.version for e in self.engines} == {2})
 
@@ -159,13 +159,13 @@
         await self.until(lambda: self.store.value("fireflyward-nodes", "key"))
 
     async def test_nodes_write_again_what_they_wrote(self):
-        self.store.come_back_from(self.copied)
+        self.store.restore_snapshot(self.copied)
         await self.until_listed()
         self.assertEqual(self.store.value("fireflyward-nodes", "key"), self.key)
 
     async def test_rows_are_written_again_though_answers_are_lost(self):
         self.store.behavior = StoreBehavior.DROPS_RESPONSES
-        self.store.come_back_from(self.copied)
+        self.store.restore_snapshot(self.copied)
         await self.until_listed()
         self.store.behavior = StoreBehavior.NORMAL
 
@@ -178,7 +178,7 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: all(x._routes.version == version for x in self.nodes))
         await self.until(lambda: all(x._directory.evacuated for x in self.nodes))
-        self.store.come_back_from(self.copied, written_again=False)
+        self.store.restore_snapshot(self.copied, written_again=False)
         await self.until(lambda: all(x._store.eras.latest == 2 for x in self.nodes))
         late = await self.start_another("entry-4")
         await self.until(lambda: late._routes.version == version)
@@ -191,7 +191,7 @@
 
     async def test_a_node_that_starts_in_a_drill_joins_the_others(self):
         """Guards against a node that draws a key of its own for good."""
-        self.store.come_back_from(self.copied)
+        self.store.restore_snapshot(self.copied)
         late = await self.start_another("entry-4")
         await self.until(lambda: self.knows_everyone(late))
         link = self.nodes[1]._joining.link
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -24,7 +24,7 @@
 
     async def drill(self, version=1):
         """Come back from a copy, and wait until the client's connections are closed."""
-        self.store.come_back_from(version)
+        self.store.restore_snapshot(version)
         await asyncio.sleep(0.02)
 
     async def write(self, position):
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -58,7 +58,7 @@
         self._rows.pop((table, part, key), None)
         self._note({**self._row(table, part, key, ""), "deleted": True})
 
-    def come_back_from(self, version, *, written_again=True):
+    def restore_snapshot(self, version, *, written_again=True):
         """Come back from the copy of an earlier version, as in a drill.
 
         All connections are cut, later versions are given out again, and what
@@ -88,7 +88,9 @@
 
     def come_back_from_before(self, writes, *, written_again=True):
         """Come back from the copy before so many writes."""
-        self.come_back_from(max(1, self.version - writes), written_again=written_again)
+        self.restore_snapshot(
+            max(1, self.version - writes), written_again=written_again
+        )
 
     def write_again(self):
         """Write again what operators and replicas wrote after the copy."""
