--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -86,7 +86,7 @@
         if written_again:
             self.write_again()
 
-    def come_back_from_before(self, writes, *, written_again=True):
+    def restore_before_last_writes(self, writes, *, written_again=True):
         """Come back from the copy before so many writes."""
         self.restore_snapshot(
             max(1, self.version - writes), written_again=written_again
