--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -85,7 +85,7 @@
     async def test_a_withdrawn_key_stays_so_through_a_copy_that_has_it(self):
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
         await self.until_in_force()
-        self.store.restore_snapshot(self.copied, written_again=False)
+        self.store.restore_snapshot(self.copied, rewrite_lost=False)
         await self.until_read_anew()
         status, _, _ = await self.ask("GET", "/r/x")
         self.assertEqual(status, 401)
@@ -94,7 +94,7 @@
         replica = self.plain[0]
         self.say_that_it_leaves(replica)
         await self.until_leaving(replica)
-        self.store.restore_snapshot(self.copied, written_again=False)
+        self.store.restore_snapshot(self.copied, rewrite_lost=False)
         await self.until_read_anew()
         self.assertTrue(self.state(replica.incarnation).is_leaving)
 
@@ -128,7 +128,7 @@
 
     async def test_what_is_written_again_after_the_first_reading_counts(self):
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
-        self.store.restore_snapshot(self.copied, written_again=False)
+        self.store.restore_snapshot(self.copied, rewrite_lost=False)
         await self.until_read_anew()
         self.store.write_again()
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-3"]}])
@@ -178,7 +178,7 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: all(x._routes.version == version for x in self.nodes))
         await self.until(lambda: all(x._directory.evacuated for x in self.nodes))
-        self.store.restore_snapshot(self.copied, written_again=False)
+        self.store.restore_snapshot(self.copied, rewrite_lost=False)
         await self.until(lambda: all(x._store.eras.latest == 2 for x in self.nodes))
         late = await self.start_another("entry-4")
         await self.until(lambda: late._routes.version == version)
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -105,7 +105,7 @@
         store.behavior = self.random.choice(behaviors)
         # Operators write again before they write anything else.
         store.write_again()
-        store.restore_before_last_writes(self.random.randrange(40), written_again=True)
+        store.restore_before_last_writes(self.random.randrange(40), rewrite_lost=True)
 
     def check_nothing_is_undone(self):
         for node in self.nodes:
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -58,7 +58,7 @@
         self._rows.pop((table, part, key), None)
         self._note({**self._row(table, part, key, ""), "deleted": True})
 
-    def restore_snapshot(self, version, *, written_again=True):
+    def restore_snapshot(self, version, *, rewrite_lost=True):
         """Come back from the copy of an earlier version, as in a drill.
 
         All connections are cut, later versions are given out again, and what
@@ -83,14 +83,12 @@
                 self._lost[place] = value
         for writer in self._writers:
             writer.transport.abort()
-        if written_again:
+        if rewrite_lost:
             self.write_again()
 
-    def restore_before_last_writes(self, writes, *, written_again=True):
+    def restore_before_last_writes(self, writes, *, rewrite_lost=True):
         """Come back from the copy before so many writes."""
-        self.restore_snapshot(
-            max(1, self.version - writes), written_again=written_again
-        )
+        self.restore_snapshot(max(1, self.version - writes), rewrite_lost=rewrite_lost)
 
     def write_again(self):
         """Write again what operators and replicas wrote after the copy."""
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -147,7 +147,7 @@
         for _ in range(self._random.choice((1, 1, 2))):
             lost = self._random.randrange(60)
             at_once = self._random.random() < 0.5
-            self._fleet.store.restore_before_last_writes(lost, written_again=at_once)
+            self._fleet.store.restore_before_last_writes(lost, rewrite_lost=at_once)
             await asyncio.sleep(self._random.uniform(0.0, 0.4))
             self._fleet.store.write_again()
 
