--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -130,7 +130,7 @@
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
         self.store.restore_snapshot(self.copied, rewrite_lost=False)
         await self.until_read_anew()
-        self.store.write_again()
+        self.store.rewrite_lost_rows()
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-3"]}])
         await self.until_in_force()
 
@@ -185,7 +185,7 @@
         await self.until(lambda: late._directory.evacuated == {"b"})
         status, _, _ = await self.ask("GET", "/r/x", node=late)
         self.assertEqual(status, 401)
-        self.store.write_again()
+        self.store.rewrite_lost_rows()
         self.operator.withdraw_evacuation("b")
         await self.until(lambda: not late._directory.evacuated)
 
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -57,7 +57,7 @@
             await asyncio.sleep(self.random.choice((0.0, 0.05, 0.3)))
             self.check_nothing_is_undone()
         self.case.store.behavior = StoreBehavior.NORMAL
-        self.case.store.write_again()
+        self.case.store.rewrite_lost_rows()
         self.configure()
         await self.case.until(self.all_know_everything)
         # What was held for want of a row has been let go by then.
@@ -104,7 +104,7 @@
         )
         store.behavior = self.random.choice(behaviors)
         # Operators write again before they write anything else.
-        store.write_again()
+        store.rewrite_lost_rows()
         store.restore_before_last_writes(self.random.randrange(40), rewrite_lost=True)
 
     def check_nothing_is_undone(self):
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -62,7 +62,7 @@
         """Come back from the copy of an earlier version, as in a drill.
 
         All connections are cut, later versions are given out again, and what
-        operators and replicas wrote since is written again now or by ``write_again``.
+        operators and replicas wrote since is written again now or by ``rewrite_lost_rows``.
         """
         before = dict(self._rows)
         self._log = [row for row in self._log if row["ver"] <= version]
@@ -84,13 +84,13 @@
         for writer in self._writers:
             writer.transport.abort()
         if rewrite_lost:
-            self.write_again()
+            self.rewrite_lost_rows()
 
     def restore_before_last_writes(self, writes, *, rewrite_lost=True):
         """Come back from the copy before so many writes."""
         self.restore_snapshot(max(1, self.version - writes), rewrite_lost=rewrite_lost)
 
-    def write_again(self):
+    def rewrite_lost_rows(self):
         """Write again what operators and replicas wrote after the copy."""
         for (table, part, key), value in sorted(self._lost.items()):
             if value is None:
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -149,7 +149,7 @@
             at_once = self._random.random() < 0.5
             self._fleet.store.restore_before_last_writes(lost, rewrite_lost=at_once)
             await asyncio.sleep(self._random.uniform(0.0, 0.4))
-            self._fleet.store.write_again()
+            self._fleet.store.rewrite_lost_rows()
 
     async def _replica_names_a_limit(self):
         replica = self._random.choice(self._fleet.replicas)
