--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -136,7 +136,7 @@
 
     async def test_new_weights_are_loaded_after_a_drill(self):
         self.store.restore_snapshot(self.copied)
-        self.operator.name_weights("m", 2)
+        self.operator.set_weights_version("m", 2)
         await self.until(lambda: {e.version for e in self.engines} == {2})
 
 
--- a/tests/fleet/test_random_drills.py
+++ b/tests/fleet/test_random_drills.py
@@ -45,7 +45,7 @@
             self.withdraw_key,
             self.leave,
             self.evacuate,
-            self.name_weights,
+            self.set_weights_version,
             self.configure,
             self.drill,
             self.drill,
@@ -91,9 +91,9 @@
         else:
             self.case.operator.withdraw_evacuation("b")
 
-    def name_weights(self):
+    def set_weights_version(self):
         self.weights += 1
-        self.case.operator.name_weights("m", self.weights)
+        self.case.operator.set_weights_version("m", self.weights)
 
     def drill(self):
         store = self.case.store
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -301,7 +301,7 @@
 
     async def test_new_weights_reach_every_replica(self):
         """The leased task orders loads; requests then ask for the new version."""
-        self.operator.name_weights("m", 2)
+        self.operator.set_weights_version("m", 2)
         await self.until(lambda: {e.version for e in self.engines} == {2})
         self.assertEqual({len(e.orders) for e in self.engines}, {1})
         orders = [e.orders[0] for e in self.engines]
--- a/tests/platform_standins/__main__.py
+++ b/tests/platform_standins/__main__.py
@@ -137,7 +137,7 @@
             ReplicaBehavior.FULL,
         ]
         await demo.round(session, "One replica of each service misbehaves")
-        demo.operator.name_weights("m", 2)
+        demo.operator.set_weights_version("m", 2)
         while not all(demo.believes_loaded(node, 2) for node in demo.nodes):
             await asyncio.sleep(0.05)
         await demo.round(session, "New weights are in place")
--- a/tests/platform_standins/_operator.py
+++ b/tests/platform_standins/_operator.py
@@ -74,7 +74,7 @@
         self.configuration["version"] += 2
         self._store.put("op", "config", json.dumps(self.configuration).encode())
 
-    def name_weights(self, model, version):
+    def set_weights_version(self, model, version):
         value = json.dumps({"model": model, "version": version}).encode()
         self._store.put("op", f"version/{model}", value)
 
--- a/tests/soak/_faults.py
+++ b/tests/soak/_faults.py
@@ -122,7 +122,7 @@
 
     async def _name_weights(self):
         self._fleet.version += 1
-        self._fleet.operator.name_weights("m", self._fleet.version)
+        self._fleet.operator.set_weights_version("m", self._fleet.version)
 
     async def _withdraw_key(self):
         self._fleet.withdraw_key()
