--- a/tests/fleet/node_fixtures.py
+++ b/tests/fleet/node_fixtures.py
@@ -121,7 +121,7 @@
                 await self.ask(method, path, **options)
 
     def runs(self, replicas):
-        return sum(len(replica.ran) for replica in replicas)
+        return sum(len(replica.executed_requests) for replica in replicas)
 
 
 class FleetTestCase(NodeTestCase):
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -187,7 +187,7 @@
         asked = asyncio.create_task(
             self.ask_at(self.node, "POST", "/w/x", data=b"harmless")
         )
-        await self.until(lambda: replica.ran or asked.done())
+        await self.until(lambda: replica.executed_requests or asked.done())
         await self.leave(replica)
         status, _, _ = await asked
         return status
@@ -208,7 +208,7 @@
         beside = asyncio.create_task(
             self.ask_at(node, "POST", "/w/beside", data=b"harmless")
         )
-        await self.until(lambda: replica.ran or beside.done())
+        await self.until(lambda: replica.executed_requests or beside.done())
         status, _, _ = await self.ask_at(node, "POST", "/w/x", data=CRASHING_BODY)
         beside.cancel()
         await asyncio.gather(beside, return_exceptions=True)
--- a/tests/fleet/test_leaving_replicas.py
+++ b/tests/fleet/test_leaving_replicas.py
@@ -24,7 +24,7 @@
     async def ask_until_told(self):
         """Have a node pass on an answer that says so."""
         self.leaving.notices = [LEAVING]
-        await self.ask_until(lambda: self.leaving.ran)
+        await self.ask_until(lambda: self.leaving.executed_requests)
 
     async def test_nothing_is_sent_to_a_replica_that_said_that_it_leaves(self):
         """Guards against waiting for the list, which is behind while the store is."""
@@ -94,7 +94,9 @@
 
     async def test_a_stream_that_broke_off_does_not_resume_there(self):
         await self.ask("POST", "/s/x", headers=STREAM)
-        leaving, other = sorted(self.engines, key=lambda engine: not engine.ran)
+        leaving, other = sorted(
+            self.engines, key=lambda engine: not engine.executed_requests
+        )
         leaving.notices = [LEAVING]
         await self.ask("POST", "/s/x", headers=STREAM)
         before = self.runs([leaving])
@@ -107,7 +109,7 @@
     async def test_with_all_replicas_leaving_callers_are_refused_at_once(self):
         self.other.notices = [LEAVING]
         await self.ask_until_told()
-        await self.ask_until(lambda: self.other.ran)
+        await self.ask_until(lambda: self.other.executed_requests)
         ran = self.runs(self.plain)
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
             async with asyncio.timeout(10):
@@ -122,4 +124,4 @@
         self.leaving.restart()
         self.leaving.notices = []
         self.store.put("servers", "p-1", self.leaving.entry("plain"))
-        await self.ask_until(lambda: self.leaving.ran)
+        await self.ask_until(lambda: self.leaving.executed_requests)
--- a/tests/fleet/test_older_copy.py
+++ b/tests/fleet/test_older_copy.py
@@ -80,7 +80,7 @@
         await self.until_leaving(replica)
         for _ in range(10):
             await self.ask("GET", "/r/x")
-        self.assertEqual(replica.ran, [])
+        self.assertEqual(replica.executed_requests, [])
 
     async def test_a_withdrawn_key_stays_so_through_a_copy_that_has_it(self):
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -36,7 +36,7 @@
         return statuses
 
     def most_in_window(self, replica):
-        arrived_s = [request.arrived_s for request in replica.ran]
+        arrived_s = [request.arrived_s for request in replica.executed_requests]
         return max(
             sum(first <= at < first + WINDOW_S for at in arrived_s)
             for first in arrived_s
@@ -58,7 +58,7 @@
         await self.until(lambda: all(map(knows, nodes)))
 
     async def have_one_node_told(self):
-        await self.ask_until(lambda: self.limited.ran)
+        await self.ask_until(lambda: self.limited.executed_requests)
 
     async def test_nodes_that_got_no_such_answer_know_of_it(self):
         """Guards against each node learning of a limit by exceeding it."""
@@ -76,11 +76,11 @@
         for node in self.nodes:
             node._known.notices._link = None
         await self.ask_all_nodes(15)
-        before = len(self.limited.ran)
+        before = len(self.limited.executed_requests)
         await self.ask_all_nodes(60)
         await self.until_limited(self.nodes)
-        del self.limited.ran[:before]
-        if self.limited.ran:
+        del self.limited.executed_requests[:before]
+        if self.limited.executed_requests:
             self.assertLessEqual(self.most_in_window(self.limited), MOST_IN_WINDOW)
 
     async def test_its_end_is_known_everywhere(self):
@@ -112,7 +112,9 @@
     async def test_streams_that_resume_keep_to_it(self):
         """Guards against broken streams that all go on at the limited replica."""
         await self.ask("POST", "/s/x", headers=STREAM)
-        limited, other = sorted(self.engines, key=lambda engine: not engine.ran)
+        limited, other = sorted(
+            self.engines, key=lambda engine: not engine.executed_requests
+        )
         limited.notices = [(LIMIT, str(PER_SECOND))]
         other.behaviors = [ReplicaBehavior.TRUNCATES_STREAM] * 90
         for _ in range(30):
--- a/tests/fleet/test_resting_replicas.py
+++ b/tests/fleet/test_resting_replicas.py
@@ -38,7 +38,7 @@
         """Guards against a replica that rests for good."""
         self.resting.retry_after = "0.4"
         await self.ask_until_turned_away(self.resting)
-        await self.ask_until(lambda: self.resting.ran)
+        await self.ask_until(lambda: self.resting.executed_requests)
         refused, first = self.resting.requests[-2:]
         self.assertGreaterEqual(first.arrived_s - refused.arrived_s, 0.39)
 
@@ -54,7 +54,9 @@
 
     async def test_a_stream_that_broke_off_does_not_resume_there(self):
         await self.ask("POST", "/s/x", headers=STREAM)
-        resting, other = sorted(self.engines, key=lambda engine: not engine.ran)
+        resting, other = sorted(
+            self.engines, key=lambda engine: not engine.executed_requests
+        )
         resting.retry_after, resting.behaviors = (
             "30",
             [ReplicaBehavior.REQUESTS_BACKOFF],
@@ -86,11 +88,11 @@
         await self.ask_until_turned_away(self.resting)
         self.resting.restart()
         self.store.put("servers", "p-1", self.resting.entry("plain"))
-        await self.ask_until(lambda: self.resting.ran)
+        await self.ask_until(lambda: self.resting.executed_requests)
 
     async def test_an_unreadable_time_is_logged_and_changes_nothing(self):
         """Guards against garbage that ends a node or keeps a replica out."""
         self.resting.retry_after = "Wed, 21 Oct 2026 07:28:00 GMT"
         with self.assertLogs("fireflyward.notices", "WARNING"):
             await self.ask_until_turned_away(self.resting)
-        await self.ask_until(lambda: self.resting.ran)
+        await self.ask_until(lambda: self.resting.executed_requests)
--- a/tests/fleet/test_whole_path.py
+++ b/tests/fleet/test_whole_path.py
@@ -26,7 +26,7 @@
         self.assertEqual(status, 200)
         self.assertTrue(body.startswith(b"answer of p-"))
         self.assertEqual(headers["X-Server-Seal"], "3e1b.07.5a2")
-        (sent,) = self.plain[0].ran + self.plain[1].ran
+        (sent,) = self.plain[0].executed_requests + self.plain[1].executed_requests
         self.assertEqual(sent.target, "/r/x?y=1")
         self.assertEqual(sent.headers["x-tenant"], "acme")
         self.assertNotIn("authorization", sent.headers)
@@ -35,7 +35,7 @@
     async def test_body_goes_on_unchanged(self):
         for data in (b"x" * 900, _chunks(b"ab", b"cd")):
             await self.ask("POST", "/w/x", data=data)
-        bodies = sorted(sent.body for r in self.plain for sent in r.ran)
+        bodies = sorted(sent.body for r in self.plain for sent in r.executed_requests)
         self.assertEqual(bodies, [b"abcd", b"x" * 900])
 
     async def test_non_idempotent_request_runs_once_over_a_reset(self):
@@ -170,7 +170,7 @@
         await self.until(lambda: len(plain("plain")) == 1)
         for _ in range(5):
             await self.ask("GET", "/r/x")
-        self.assertEqual(len(self.plain[0].ran), 0)
+        self.assertEqual(len(self.plain[0].executed_requests), 0)
 
     async def test_an_address_that_another_incarnation_has_now(self):
         """Symptom: a request runs at a service that its route never named.
@@ -181,7 +181,7 @@
         self.plain[0].incarnation = "other"
         statuses = {(await self.ask("POST", "/w/x", data=b"1"))[0] for _ in range(4)}
         self.assertEqual(statuses, {200})
-        self.assertEqual(len(self.plain[0].ran), 0)
+        self.assertEqual(len(self.plain[0].executed_requests), 0)
 
     async def test_metrics_are_served(self):
         await self.ask("GET", "/r/x")
@@ -207,11 +207,13 @@
         A replica stops in the middle of an event; another goes on.
         """
         await self.ask("POST", "/s/x", headers=STREAM)
-        home, other = sorted(self.engines, key=lambda engine: -len(engine.ran))
+        home, other = sorted(
+            self.engines, key=lambda engine: -len(engine.executed_requests)
+        )
         home.behaviors = [ReplicaBehavior.TRUNCATES_STREAM]
         _, _, body = await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(event_numbers(body), [1, 2, 3, 4])
-        (resumed,) = other.ran
+        (resumed,) = other.executed_requests
         self.assertEqual(resumed.headers["last-event-id"], "1")
 
     async def test_a_stream_that_may_not_be_resumed_does_not_look_whole(self):
@@ -248,7 +250,7 @@
 
     async def test_weights_and_salt_are_named(self):
         await self.ask("POST", "/s/x", headers=STREAM)
-        (sent,) = self.engines[0].ran + self.engines[1].ran
+        (sent,) = self.engines[0].executed_requests + self.engines[1].executed_requests
         self.assertEqual(sent.headers["x-expect-version"], "1")
         self.assertEqual(sent.headers["x-cache-salt"], "m~1")
 
@@ -310,7 +312,9 @@
         self.assertEqual({order["holder"] for order in orders}, {"entry-1"})
         status, _, _ = await self.ask("POST", "/s/x", headers=STREAM)
         self.assertEqual(status, 200)
-        sent = (self.engines[0].ran + self.engines[1].ran)[-1]
+        sent = (self.engines[0].executed_requests + self.engines[1].executed_requests)[
+            -1
+        ]
         self.assertEqual(sent.headers["x-cache-salt"], "m~2")
 
 
--- a/tests/platform_standins/__main__.py
+++ b/tests/platform_standins/__main__.py
@@ -108,13 +108,13 @@
         self.wrong += not (is_whole and is_own)
 
     def doubled(self):
-        ran = [
+        executed_requests = [
             sent.headers["x-request-id"]
             for replica in self.plain
-            for sent in replica.ran
+            for sent in replica.executed_requests
             if sent.method == "POST"
         ]
-        return len(ran) - len(set(ran))
+        return len(executed_requests) - len(set(executed_requests))
 
     async def stop(self):
         for server in [*self.plain, *self.engines, self.store]:
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -30,7 +30,7 @@
 
 
 class ReplicaStandIn(RawServer):
-    """Runs what it is sent and keeps it in ``ran``.
+    """Runs what it is sent and keeps it in ``executed_requests``.
 
     ``behaviors`` are used up one a request; then it answers well. A request with the body
     ``CRASHING_BODY`` ends it as soon as it begins to run. ``notices`` are headers that each of
@@ -42,7 +42,7 @@
         self.incarnation = incarnation
         self.model = model
         self.version = version
-        self.ran = []
+        self.executed_requests = []
         self.orders = []
         self.behaviors = []
         self.notices = []
@@ -57,7 +57,7 @@
     def restart(self):
         """Begin anew under the same name: nothing is held, no order was counted."""
         self.started_ms += 1_000
-        self.ran, self.orders, self.behaviors = [], [], []
+        self.executed_requests, self.orders, self.behaviors = [], [], []
 
     def entry(self, service, state="ready", zone="a"):
         """Return the row that this replica keeps of itself."""
@@ -112,7 +112,7 @@
             refusal = [("X-Not-Executed", "1"), ("Retry-After", self.retry_after)]
             writer.write(response(503, headers=[*refusal, *self.notices]))
             return True
-        self.ran.append(request)
+        self.executed_requests.append(request)
         if request.body == CRASHING_BODY:
             self.has_crashed = True
             self.crash()
--- a/tests/soak/_soak.py
+++ b/tests/soak/_soak.py
@@ -93,7 +93,7 @@
         times = Counter(
             sent.headers["x-request-id"]
             for replica in self.replicas
-            for sent in replica.ran
+            for sent in replica.executed_requests
         )
         for told in self.told.values():
             ran = times[told.request_id]
