--- a/tests/platform_standins/__init__.py
+++ b/tests/platform_standins/__init__.py
@@ -1,6 +1,6 @@
-"""Small stand-ins of the users' platform: its store, its replicas, its operator.
+"""Small stand-ins for the users' platform: its store, its replicas and its operator.
 
-They speak the published protocol over loopback sockets and misbehave on demand.
+They implement the published protocol over loopback sockets and inject faults on demand.
 """
 
 from ._http import RawRequest, RawServer
--- a/tests/platform_standins/__main__.py
+++ b/tests/platform_standins/__main__.py
@@ -1,6 +1,7 @@
-"""Shows two fleet nodes at work against stand-ins, and counts what went wrong.
+"""Runs two fleet nodes against stand-ins and counts the faults of their answers.
 
-Ends with exit code 1 if an answer was lost, doubled or mixed.
+Exits with code 1 if a non-idempotent request was executed twice, or if an answer was
+incomplete or belonged to another request.
 """
 
 import asyncio
@@ -18,8 +19,8 @@
 from ._replica import ReplicaBehavior, ReplicaStandIn
 from ._store import StoreStandIn
 
-_ROUNDS = 10
-_STREAM = {
+_REPEATS_PER_ROUND = 10
+_STREAM_HEADERS = {
     "X-Model": "m",
     "X-Token-Usage": "900,4",
     "X-Prompt-Prefix": "aa:500,bb:400",
@@ -36,7 +37,7 @@
         self.plain = [ReplicaStandIn(f"plain-{n}") for n in (1, 2)]
         self.engines = [ReplicaStandIn(f"engine-{n}", model="m") for n in (1, 2)]
         self.nodes = []
-        self.asked = self.answered = self.wrong = 0
+        self.sent = self.answered = self.wrong_answers = 0
 
     async def start(self):
         await self.store.start()
@@ -62,10 +63,10 @@
             path.write_text(text)
             return load_settings(str(path))
 
-    def believes_loaded(self, node, version):
-        """Tell whether a node takes both engines for ready with a version.
+    def has_loaded_engines(self, node, version):
+        """Return whether a node considers both engines ready with a version.
 
-        An engine has the version some hundred ms before anybody looks again.
+        A node sees the new version some hundred ms after the engine has loaded it.
         """
         states = node._directory.of_service("engines")
         now_ms = node._clock.now_ms()
@@ -74,22 +75,25 @@
             for state in states
         )
 
-    async def round(self, session, title):
+    async def run_round(self, session, title):
         print(f"\n{title}")
         before = self.answered
         calls = []
-        for number in range(_ROUNDS):
+        for number in range(_REPEATS_PER_ROUND):
             node = self.nodes[number % len(self.nodes)]
             for method, path in (("GET", "/r/x"), ("POST", "/w/x"), ("POST", "/s/x")):
-                calls.append(self._ask(session, node, method, path))
+                calls.append(self._send_request(session, node, method, path))
         await asyncio.gather(*calls)
         print(f"  {self.answered - before} of {len(calls)} answered")
 
-    async def _ask(self, session, node, method, path):
-        self.asked += 1
-        request_id = f"q{self.asked}"
+    async def _send_request(self, session, node, method, path):
+        self.sent += 1
+        request_id = f"q{self.sent}"
         headers = {"Host": "h.example", "Authorization": "Bearer key-1"}
-        headers |= {"X-Request-Id": request_id, **(_STREAM if "/s/" in path else {})}
+        headers |= {
+            "X-Request-Id": request_id,
+            **(_STREAM_HEADERS if "/s/" in path else {}),
+        }
         url = f"http://{node.callers_address}{path}"
         try:
             async with session.request(method, url, headers=headers) as response:
@@ -102,19 +106,19 @@
             print(f"  {request_id} {method} {path}: {response.status} {reason}")
             return
         self.answered += 1
-        numbers = [line for line in body.split(b"\n") if line.startswith(b"id:")]
-        is_whole = "/s/" not in path or len(numbers) == 4
-        is_own = response.headers["X-Request-Id"] == request_id
-        self.wrong += not (is_whole and is_own)
+        id_lines = [line for line in body.split(b"\n") if line.startswith(b"id:")]
+        is_complete = "/s/" not in path or len(id_lines) == 4
+        has_own_id = response.headers["X-Request-Id"] == request_id
+        self.wrong_answers += not (is_complete and has_own_id)
 
-    def doubled(self):
-        executed_requests = [
+    def count_duplicates(self):
+        request_ids = [
             sent.headers["x-request-id"]
             for replica in self.plain
             for sent in replica.executed_requests
             if sent.method == "POST"
         ]
-        return len(executed_requests) - len(set(executed_requests))
+        return len(request_ids) - len(set(request_ids))
 
     async def stop(self):
         for server in [*self.plain, *self.engines, self.store]:
@@ -122,11 +126,11 @@
 
 
 async def main():
-    """Play the rounds; return whether nothing was lost, doubled or mixed."""
+    """Run all rounds; return whether no request ran twice and no answer was wrong."""
     demo = Demo()
     await demo.start()
     async with aiohttp.ClientSession() as session:
-        await demo.round(session, "A calm round")
+        await demo.run_round(session, "A round without faults")
         demo.plain[0].behaviors = [
             ReplicaBehavior.RESETS,
             ReplicaBehavior.FULL,
@@ -136,21 +140,22 @@
             ReplicaBehavior.TRUNCATES_STREAM,
             ReplicaBehavior.FULL,
         ]
-        await demo.round(session, "One replica of each service misbehaves")
+        await demo.run_round(session, "One replica of each service is faulty")
         demo.operator.set_weights_version("m", 2)
-        while not all(demo.believes_loaded(node, 2) for node in demo.nodes):
+        while not all(demo.has_loaded_engines(node, 2) for node in demo.nodes):
             await asyncio.sleep(0.05)
-        await demo.round(session, "New weights are in place")
+        await demo.run_round(session, "New weights are loaded")
         stopping = asyncio.create_task(demo.nodes.pop().stop())
-        await demo.round(session, "One node is stopped as planned")
+        await demo.run_round(session, "A planned stop of one node")
         await stopping
     await demo.nodes[0].stop()
     await demo.stop()
     print(
-        f"\nasked {demo.asked}, answered {demo.answered}, "
-        f"doubled {demo.doubled()}, mixed or not whole {demo.wrong}"
+        f"\nsent {demo.sent}, answered {demo.answered}, "
+        f"executed twice {demo.count_duplicates()}, "
+        f"mixed or incomplete {demo.wrong_answers}"
     )
-    return not demo.doubled() and not demo.wrong
+    return not demo.count_duplicates() and not demo.wrong_answers
 
 
 if __name__ == "__main__":
--- a/tests/platform_standins/_http.py
+++ b/tests/platform_standins/_http.py
@@ -1,4 +1,4 @@
-"""A server that writes just the bytes that it is told to write."""
+"""An HTTP server whose answers are written as raw bytes."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 
 @dataclass
 class RawRequest:
-    """One request as it stood on the wire."""
+    """One request as it was received."""
 
     method: str
     target: str
@@ -22,7 +22,7 @@
     arrived_s: float = 0.0
 
     async def wait_for_disconnect(self):
-        """Wait until the other end has closed the connection."""
+        """Wait until the caller has closed the connection."""
         while not self.reader.at_eof():
             await asyncio.sleep(0.01)
 
@@ -31,9 +31,9 @@
 
 
 class RawServer:
-    """Reads requests and has ``answer`` write to the connection.
+    """Reads requests and calls ``answer``, which writes the response.
 
-    ``answer`` returns False to end the connection.
+    If ``answer`` returns False, the server closes the connection.
     """
 
     def __init__(self):
@@ -59,13 +59,13 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def crash(self):
-        """Go as a process does that is killed: every connection, and the listener."""
+        """Close the listener and abort every connection, like a killed process."""
         self._server.close()
         for writer in self._writers:
             writer.transport.abort()
 
     async def answer(self, request, writer):
-        """Write an answer; each stand-in has its own."""
+        """Write the response to a request; each stand-in overrides this."""
 
     async def _serve(self, reader, writer):
         self.connections += 1
@@ -87,14 +87,14 @@
 
 
 def reset(writer):
-    """End a connection with a reset in place of a clean close."""
+    """Close a connection with a TCP reset instead of a clean shutdown."""
     raw = writer.get_extra_info("socket")
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.close()
 
 
 def response(status, body=b"", headers=(), reason="X"):
-    """Return the bytes of a response with a length."""
+    """Return the bytes of a response that has a Content-Length header."""
     lines = [f"HTTP/1.1 {status} {reason}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in headers]
     return "\r\n".join([*lines, "", ""]).encode() + body
@@ -102,8 +102,8 @@
 
 def json_response(value, status=200, headers=()):
     body = json.dumps(value).encode()
-    own = [("Content-Type", "application/json"), *headers]
-    return response(status, body, own)
+    all_headers = [("Content-Type", "application/json"), *headers]
+    return response(status, body, all_headers)
 
 
 async def _read(reader):
--- a/tests/platform_standins/_operator.py
+++ b/tests/platform_standins/_operator.py
@@ -1,4 +1,4 @@
-"""The operator: writes configurations and names weights, as rows of the store."""
+"""Stand-in for the operator, who writes configurations and other rows to the store."""
 
 import json
 
@@ -62,14 +62,14 @@
 
 
 class Operator:
-    """Writes to a store stand-in as an operator would."""
+    """Writes rows to a store stand-in as an operator does."""
 
     def __init__(self, store):
         self._store = store
         self.configuration = json.loads(json.dumps(CONFIGURATION))
 
     def configure(self, **changes):
-        """Write the configuration, each time as a newer version."""
+        """Write the configuration with the given changes as a newer version."""
         self.configuration.update(changes)
         self.configuration["version"] += 2
         self._store.put("op", "config", json.dumps(self.configuration).encode())
@@ -79,7 +79,7 @@
         self._store.put("op", f"version/{model}", value)
 
     def evacuate(self, failure_domain, value=b"{}"):
-        """Ask that the replicas of a failure domain get nothing more."""
+        """Request that the replicas of a failure domain get no more requests."""
         self._store.put("op", f"evacuate/{failure_domain}", value)
 
     def withdraw_evacuation(self, failure_domain):
@@ -87,7 +87,10 @@
 
 
 def settings_text(store_address, ports, **changes):
-    """Return a settings file; ``ports`` are for callers, readiness and peers."""
+    """Return the text of a settings file.
+
+    ``ports`` are the ports for callers, for readiness and for peers.
+    """
     callers, readiness, peers = ports
     settings = {
         "node-name": "entry-1",
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -1,4 +1,4 @@
-"""A replica: a plain service, or a model engine with streams and weights."""
+"""Stand-in for a replica: a plain service, or an engine with streams and weights."""
 
 import asyncio
 import enum
@@ -11,30 +11,31 @@
 
 
 class ReplicaBehavior(enum.Enum):
-    """How a replica answers the next requests."""
+    """How a replica answers a request."""
 
-    NORMAL = "well"
+    NORMAL = "normal"
     FULL = "full"
     FAILS = "fails"
-    REQUESTS_BACKOFF = "turns away and wants nothing for a while"
+    REQUESTS_BACKOFF = "rejects and requests a backoff"
     RESETS = "resets"
-    TRUNCATES = "cuts"
-    TRUNCATES_STREAM = "cuts stream"
-    WRONG_REQUEST_ID = "answers another"
-    SENDS_EXTRA_RESPONSE = "adds an answer"
+    TRUNCATES = "truncates"
+    TRUNCATES_STREAM = "truncates stream"
+    WRONG_REQUEST_ID = "answers with the id of another request"
+    SENDS_EXTRA_RESPONSE = "sends an extra response"
     UNSIGNED = "unsigned"
     UNFRAMED = "unframed"
     UNFRAMED_RESET = "unframed, reset"
     SILENT = "silent"
-    EXECUTES_THEN_503 = "says 503 without saying that nothing ran"
+    EXECUTES_THEN_503 = "executes the request, then answers 503"
 
 
 class ReplicaStandIn(RawServer):
-    """Runs what it is sent and keeps it in ``executed_requests``.
+    """Executes the requests that it receives and records them.
 
-    ``behaviors`` are used up one a request; then it answers well. A request with the body
-    ``CRASHING_BODY`` ends it as soon as it begins to run. ``notices`` are headers that each of
-    its answers bears, and ``retry_after`` is what it asks for when it turns a request away.
+    Each request consumes one entry of ``behaviors``; when the list is empty, the
+    replica answers normally. A request with the body ``CRASHING_BODY`` crashes the
+    replica as soon as it is executed. ``notices`` are headers that are added to each
+    answer. Rejections that request a backoff have ``retry_after`` as Retry-After.
     """
 
     def __init__(self, incarnation, *, model=None, version=1, events=4, pause_s=0.0):
@@ -55,12 +56,12 @@
         self._pause_s = pause_s
 
     def restart(self):
-        """Begin anew under the same name: nothing is held, no order was counted."""
+        """Restart under the same name, without any recorded requests or orders."""
         self.started_ms += 1_000
         self.executed_requests, self.orders, self.behaviors = [], [], []
 
     def entry(self, service, state="ready", zone="a"):
-        """Return the row that this replica keeps of itself."""
+        """Return the row that a replica writes about itself."""
         models = [{"name": self.model, "version": self.version, "adapters": []}]
         value = {
             "service": service,
@@ -86,16 +87,16 @@
         if request.path == "/-/order":
             self.orders.append(request.json())
             asyncio.get_running_loop().call_later(
-                self.loading_s, self._load, request.json()["version"]
+                self.loading_s, self._set_version, request.json()["version"]
             )
             writer.write(response(202))
             return True
-        return await self._run(request, writer)
+        return await self._execute(request, writer)
 
-    def _load(self, version):
+    def _set_version(self, version):
         self.version = version
 
-    async def _run(self, request, writer):
+    async def _execute(self, request, writer):
         headers = request.headers
         if headers.get("x-expect-instance") not in (None, self.incarnation):
             writer.write(response(421, headers=[("X-Instance-Id", self.incarnation)]))
@@ -105,24 +106,31 @@
             return True
         behavior = self.behaviors.pop(0) if self.behaviors else ReplicaBehavior.NORMAL
         if behavior is ReplicaBehavior.FULL:
-            refusal = [("X-Not-Executed", "1"), *self.notices]
-            writer.write(response(503, headers=refusal))
+            rejection_headers = [("X-Not-Executed", "1"), *self.notices]
+            writer.write(response(503, headers=rejection_headers))
             return True
         if behavior is ReplicaBehavior.REQUESTS_BACKOFF:
-            refusal = [("X-Not-Executed", "1"), ("Retry-After", self.retry_after)]
-            writer.write(response(503, headers=[*refusal, *self.notices]))
+            rejection_headers = [
+                ("X-Not-Executed", "1"),
+                ("Retry-After", self.retry_after),
+            ]
+            writer.write(response(503, headers=[*rejection_headers, *self.notices]))
             return True
         self.executed_requests.append(request)
         if request.body == CRASHING_BODY:
             self.has_crashed = True
             self.crash()
             return False
-        own = [("X-Request-Id", headers["x-request-id"]), SIGNATURE, *self.notices]
+        own_headers = [
+            ("X-Request-Id", headers["x-request-id"]),
+            SIGNATURE,
+            *self.notices,
+        ]
         if self.model:
-            return await self._stream(request, writer, behavior, own)
-        return await self._plain(request, writer, behavior, own)
+            return await self._stream(request, writer, behavior, own_headers)
+        return await self._plain(request, writer, behavior, own_headers)
 
-    async def _plain(self, request, writer, behavior, own):
+    async def _plain(self, request, writer, behavior, own_headers):
         body = b"answer of " + self.incarnation.encode()
         if behavior is ReplicaBehavior.SILENT:
             await request.wait_for_disconnect()
@@ -132,19 +140,19 @@
             reset(writer)
             return False
         if behavior is ReplicaBehavior.FAILS:
-            writer.write(response(500, headers=own))
+            writer.write(response(500, headers=own_headers))
         elif behavior is ReplicaBehavior.EXECUTES_THEN_503:
-            writer.write(response(503, headers=own))
+            writer.write(response(503, headers=own_headers))
         elif behavior is ReplicaBehavior.TRUNCATES:
-            writer.write(response(200, body, own)[:-3])
+            writer.write(response(200, body, own_headers)[:-3])
             return False
         elif behavior is ReplicaBehavior.WRONG_REQUEST_ID:
             other = [("X-Request-Id", "another"), SIGNATURE]
             writer.write(response(200, b"of another", other))
         elif behavior is ReplicaBehavior.UNSIGNED:
-            writer.write(response(200, body, own[:1] + self.notices))
+            writer.write(response(200, body, own_headers[:1] + self.notices))
         elif behavior in (ReplicaBehavior.UNFRAMED, ReplicaBehavior.UNFRAMED_RESET):
-            lines = [f"{name}: {value}" for name, value in own]
+            lines = [f"{name}: {value}" for name, value in own_headers]
             head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""])
             writer.write(head.encode() + body)
             await writer.drain()
@@ -153,14 +161,14 @@
                 reset(writer)
             return False
         else:
-            writer.write(response(200, body, own))
+            writer.write(response(200, body, own_headers))
             if behavior is ReplicaBehavior.SENDS_EXTRA_RESPONSE:
                 await asyncio.sleep(0.02)
-                writer.write(response(200, b"nobody's", own))
+                writer.write(response(200, b"nobody's", own_headers))
         return True
 
-    async def _stream(self, request, writer, behavior, own):
-        lines = [f"{name}: {value}" for name, value in own]
+    async def _stream(self, request, writer, behavior, own_headers):
+        lines = [f"{name}: {value}" for name, value in own_headers]
         lines += ["Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""]).encode()
         if behavior is ReplicaBehavior.RESETS:
--- a/tests/platform_standins/_store.py
+++ b/tests/platform_standins/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store: rows, transactions, the feed."""
+"""Stand-in for the platform's store: rows, transactions and the change feed."""
 
 import asyncio
 import base64
@@ -8,26 +8,27 @@
 
 _PAGE_ROWS = 500
 _ERA = "Store-Era"
-# Written by operators and replicas, who write again what an older copy lacks.
-_TABLES_OF_OTHERS = ("op", "servers")
+# Operators and replicas write these tables. After a restore from an older snapshot
+# they write the rows again that the snapshot lacks.
+_EXTERNALLY_WRITTEN_TABLES = ("op", "servers")
 
 
 class StoreBehavior(enum.Enum):
-    """How the store answers."""
+    """How the store answers requests."""
 
-    NORMAL = "well"
+    NORMAL = "normal"
     BUSY = "busy"
-    RATE_LIMITED = "too many"
+    RATE_LIMITED = "rate limited"
     SILENT = "silent"
-    DROPS_RESPONSES = "loses answers"
-    HISTORY_LOST = "forgets"
+    DROPS_RESPONSES = "drops responses"
+    HISTORY_LOST = "history lost"
 
 
 class StoreStandIn(RawServer):
-    """Keeps rows in memory; ``put`` is the operator's and the replicas' way in.
+    """Keeps rows in memory; the operator and the replicas write with ``put``.
 
-    ``era`` counts the times that it came back from an older copy; None has it left out
-    of all answers.
+    ``era`` grows with each restore from an older snapshot. If it is None, no answer
+    contains the era header.
     """
 
     def __init__(self, page_rows=_PAGE_ROWS):
@@ -36,7 +37,7 @@
         self.version = 0
         self.era = 1
         self._rows = {}
-        self._lost = {}
+        self._lost_rows = {}
         self._log = []
         self._page_rows = page_rows
         self._changed = asyncio.Event()
@@ -52,52 +53,53 @@
     def _put(self, table, key, value, part):
         row = self._row(table, part, key, base64.b64encode(value).decode())
         self._rows[table, part, key] = row
-        self._note(row)
+        self._append_to_log(row)
 
     def _remove(self, table, key, part):
         self._rows.pop((table, part, key), None)
-        self._note({**self._row(table, part, key, ""), "deleted": True})
+        self._append_to_log({**self._row(table, part, key, ""), "deleted": True})
 
     def restore_snapshot(self, version, *, rewrite_lost=True):
-        """Come back from the copy of an earlier version, as in a drill.
+        """Restore the snapshot of an earlier version.
 
-        All connections are cut, later versions are given out again, and what
-        operators and replicas wrote since is written again now or by ``rewrite_lost_rows``.
+        All connections are aborted, and later writes reuse the versions after the
+        snapshot. The rows that operators and replicas wrote since then are written
+        again at once, or later by ``rewrite_lost_rows``.
         """
         before = dict(self._rows)
         self._log = [row for row in self._log if row["ver"] <= version]
         self._rows = {}
         for row in self._log:
-            place = row["table"], row["part"], row["key"]
-            self._rows.pop(place, None)
+            row_key = row["table"], row["part"], row["key"]
+            self._rows.pop(row_key, None)
             if not row.get("deleted"):
-                self._rows[place] = row
+                self._rows[row_key] = row
         self.version = version
         if self.era is not None:
             self.era += 1
-        for place in before.keys() | self._rows.keys():
-            value = before.get(place, {}).get("value")
-            if place[0] not in _TABLES_OF_OTHERS:
+        for row_key in before.keys() | self._rows.keys():
+            value = before.get(row_key, {}).get("value")
+            if row_key[0] not in _EXTERNALLY_WRITTEN_TABLES:
                 continue
-            if value != self._rows.get(place, {}).get("value"):
-                self._lost[place] = value
+            if value != self._rows.get(row_key, {}).get("value"):
+                self._lost_rows[row_key] = value
         for writer in self._writers:
             writer.transport.abort()
         if rewrite_lost:
             self.rewrite_lost_rows()
 
     def restore_before_last_writes(self, writes, *, rewrite_lost=True):
-        """Come back from the copy before so many writes."""
+        """Restore the snapshot from before the last ``writes`` versions."""
         self.restore_snapshot(max(1, self.version - writes), rewrite_lost=rewrite_lost)
 
     def rewrite_lost_rows(self):
-        """Write again what operators and replicas wrote after the copy."""
-        for (table, part, key), value in sorted(self._lost.items()):
+        """Repeat the writes of operators and replicas that the snapshot lacks."""
+        for (table, part, key), value in sorted(self._lost_rows.items()):
             if value is None:
                 self.remove(table, key, part)
             else:
                 self.put(table, key, base64.b64decode(value), part)
-        self._lost = {}
+        self._lost_rows = {}
 
     def value(self, table, key, part=""):
         row = self._rows.get((table, part, key))
@@ -129,11 +131,11 @@
         return response(404)
 
     def _transact(self, body):
-        for wanted in body["expected-revision"]:
-            place = wanted["table"], wanted["part"], wanted["key"]
-            if self._rows.get(place, {"ver": 0})["ver"] != wanted["ver"]:
-                rows = [self._rows[place]] if place in self._rows else []
-                return self._json({"rows": rows, **self._now()}, 412)
+        for condition in body["expected-revision"]:
+            row_key = condition["table"], condition["part"], condition["key"]
+            if self._rows.get(row_key, {"ver": 0})["ver"] != condition["ver"]:
+                rows = [self._rows[row_key]] if row_key in self._rows else []
+                return self._json({"rows": rows, **self._version_and_time()}, 412)
         # All rows of one transaction have the same version.
         self.version += 1
         for write in body["writes"]:
@@ -141,42 +143,46 @@
             self._put(write["table"], write["key"], value, write["part"])
         for removed in body["remove"]:
             self._remove(removed["table"], removed["key"], removed["part"])
-        return self._json(self._now())
+        return self._json(self._version_and_time())
 
     def _get(self, query):
         table, part = query["table"], query.get("part", "")
         rows = [
             row
-            for place, row in sorted(self._rows.items())
-            if place[:2] == (table, part) and place[2] >= query.get("from", "")
+            for row_key, row in sorted(self._rows.items())
+            if row_key[:2] == (table, part) and row_key[2] >= query.get("from", "")
         ]
         page = rows[: self._page_rows]
-        more = len(rows) > len(page)
-        return self._json({"rows": page, "has-more": more, **self._now()})
+        has_more = len(rows) > len(page)
+        return self._json(
+            {"rows": page, "has-more": has_more, **self._version_and_time()}
+        )
 
     async def _feed(self, query):
         table, after = query["table"], int(query["after"])
         if self.behavior is StoreBehavior.HISTORY_LOST or after > self.version:
             return response(410, headers=self._headers())
-        due = asyncio.get_running_loop().time() + int(query.get("wait-ms", 0)) / 1_000
+        deadline_s = (
+            asyncio.get_running_loop().time() + int(query.get("wait-ms", 0)) / 1_000
+        )
         while True:
             rows = [
                 row for row in self._log if row["table"] == table and row["ver"] > after
             ]
-            left = due - asyncio.get_running_loop().time()
-            if rows or left <= 0:
-                return self._json({"rows": rows, **self._now()})
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if rows or remaining_s <= 0:
+                return self._json({"rows": rows, **self._version_and_time()})
             self._changed.clear()
             try:
-                await asyncio.wait_for(self._changed.wait(), left)
+                await asyncio.wait_for(self._changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
     def _row(self, table, part, key, value):
-        where = {"table": table, "part": part, "key": key}
-        return {**where, "value": value, "ver": self.version}
+        key_fields = {"table": table, "part": part, "key": key}
+        return {**key_fields, "value": value, "ver": self.version}
 
-    def _note(self, row):
+    def _append_to_log(self, row):
         self._log.append(row)
         self._changed.set()
 
@@ -186,5 +192,5 @@
     def _headers(self):
         return [] if self.era is None else [(_ERA, self.era)]
 
-    def _now(self):
+    def _version_and_time(self):
         return {"ver": self.version, "now-ms": 0}
