--- a/tests/soak/_soak.py
+++ b/tests/soak/_soak.py
@@ -172,5 +172,5 @@
                 fleet.violations.append(
                     f"{node.name} logged: {text[traceback_at : traceback_at + 900]}"
                 )
-        statuses = Counter(str(result.status) for result in fleet.result_by_id.values())
+        statuses = Counter(str(item.status) for item in fleet.result_by_id.values())
         return fleet.check(), statuses, faults.history + added_faults.history
