--- a/tests/faults/_faults.py
+++ b/tests/faults/_faults.py
@@ -8,7 +8,7 @@
 from ._callers import MODEL
 from ._network import Process
 from ._procedures import PROCEDURE_BY_NAME, STORE_PROCEDURES
-from ._world import DOMAINS, World
+from ._simulation import DOMAINS, World
 
 _HEAL_MS = 6_000
 _RESTART_MS = 3_000
--- a/tests/faults/_matrix.py
+++ b/tests/faults/_matrix.py
@@ -14,7 +14,7 @@
 
 from ._faults import FAULT_BY_NAME, IMPOSSIBLE
 from ._procedures import PROCEDURE_BY_NAME, STORE_PROCEDURES
-from ._world import ACCOUNTS, World
+from ._simulation import ACCOUNTS, World
 
 _LIMIT_MS = 120_000
 _TICK_MS = 200
--- a/tests/faults/_procedures.py
+++ b/tests/faults/_procedures.py
@@ -6,7 +6,7 @@
 from fireflyward.kept import Wanted
 
 from ._callers import MODEL
-from ._world import ACCOUNTS, World
+from ._simulation import ACCOUNTS, World
 
 _FORCE_MS = 9_100
 _PAUSE_MS = 800
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -24,8 +24,8 @@
 from tests.faults import _fakes
 from tests.faults._callers import MODEL
 from tests.faults._matrix import repeatable
+from tests.faults._simulation import ACCOUNTS, World
 from tests.faults._stores import WatchedKv, WatchedStore
-from tests.faults._world import ACCOUNTS, World
 
 KEY = "ab" * 16
 OTHER_KEY = "cd" * 16
--- a/tests/fuzz/test_frames.py
+++ b/tests/fuzz/test_frames.py
@@ -11,7 +11,7 @@
 from fireflyward.peers import PeerCodec, pack, unpack
 from fireflyward.peers._codec import MAX_FRAME_BYTES, Envelope
 from tests.faults._matrix import repeatable
-from tests.faults._world import World
+from tests.faults._simulation import World
 from tests.fuzz.profiles import fuzz
 
 SOURCES = Path(fireflyward.__file__).parent
