--- a/tests/faults/__main__.py
+++ b/tests/faults/__main__.py
@@ -1,11 +1,14 @@
-"""``python -m tests.faults``: the whole matrix, a table of it and docs/FAULTS.md."""
+"""Runs the whole matrix, prints it as a table and writes docs/FAULTS.md.
+
+python -m tests.faults
+"""
 
 import argparse
 import sys
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from ._explore import PAIR_SEED, explore, write_leads
+from ._explore import PAIR_SEED, explore, write_prerequisites
 from ._procedures import PROCEDURE_BY_NAME
 from ._report import page, table
 
@@ -24,14 +27,14 @@
     parser.add_argument("--no-page", action="store_true")
     options = parser.parse_args()
     with ProcessPoolExecutor(options.workers) as pool:
-        found = explore(
+        matrix = explore(
             pool.map, pairs=options.pairs, seed=options.seed, procedures=options.only
         )
-    print(table(found))
+    print(table(matrix))
     if not options.no_page:
-        _PAGE.write_text(page(found))
-        write_leads(found)
-    return 0 if found.is_met else 1
+        _PAGE.write_text(page(matrix))
+        write_prerequisites(matrix)
+    return 0 if matrix.is_met else 1
 
 
 if __name__ == "__main__":
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that ask as a good client does, until they have their answer."""
+"""Callers that send a request and retry it like a correct client."""
 
 import asyncio
 import json
@@ -18,26 +18,26 @@
 MODEL = "clauses"
 SERVICE_PATH = "/services/drafting/revisions"
 CLAUSES = "shared seismic clauses of the building code. " * 96
-_PATIENCE_MS = 60_000
+_TIMEOUT_MS = 60_000
 _PAUSE_MS = 700
 _DONE = b"data: [DONE]\n\n"
 
 
 @dataclass(slots=True)
-class Ask:
-    """What one caller wants: a prompt, a stream or a non-idempotent call."""
+class CallerRequest:
+    """The request of one caller: a prompt, a stream or a non-idempotent call."""
 
     name: str
     account: str
     is_stream: bool = False
     is_call: bool = False
-    is_once: bool = False
+    is_non_idempotent: bool = False
 
     @property
     def text(self) -> str:
         return f"{CLAUSES}[{self.name}]"
 
-    def answers(self, versions: tuple[str, ...]) -> tuple[str, ...]:
+    def possible_answers(self, versions: tuple[str, ...]) -> tuple[str, ...]:
         if self.is_call:
             return (f"done {self.text}",)
         return tuple(
@@ -52,9 +52,9 @@
 
     def headers(self) -> dict[str, str]:
         headers = {"Authorization": f"Bearer key-{self.account}"}
-        if self.is_once or self.is_call:
+        if self.is_non_idempotent or self.is_call:
             headers["Idempotency-Key"] = self.name
-        if self.is_once:
+        if self.is_non_idempotent:
             headers["X-Non-Idempotent"] = "true"
         return headers
 
@@ -63,10 +63,10 @@
     """The connection between a caller and a node."""
 
     def __init__(self) -> None:
-        self.is_gone = False
+        self.is_closed = False
 
     def is_closing(self) -> bool:
-        return self.is_gone
+        return self.is_closed
 
     def get_extra_info(self, name, default=None):
         return default
@@ -75,13 +75,13 @@
         return 0
 
     def abort(self) -> None:
-        self.is_gone = True
+        self.is_closed = True
 
     close = abort
 
 
 class _Protocol:
-    """As much of aiohttp's protocol as a request reads."""
+    """The part of aiohttp's protocol that a request reads."""
 
     peername = sockname = ssl_context = None
     max_field_size = max_line_length = 8_190
@@ -92,7 +92,7 @@
 
 
 class _Body:
-    """A request's body, all there."""
+    """The complete body of a request."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
@@ -102,17 +102,17 @@
         return data
 
     def set_read_chunk_size(self, size: int) -> None:
-        """All of it is one chunk."""
+        """Do nothing: the body is one chunk."""
 
 
 class _Writer(AbstractStreamWriter):
-    """Takes a response for a caller, who may be slow or gone."""
+    """Records the response for a caller, which may be slow or disconnected."""
 
     def __init__(self, clock, transport: _Transport) -> None:
         self.status_line = ""
         self.headers = {}
         self.data = b""
-        self.is_ended = False
+        self.is_finished = False
         self.slow_ms = 0
         self._clock = clock
         self._transport = transport
@@ -124,13 +124,13 @@
     async def write(self, chunk) -> None:
         if self.slow_ms:
             await self._clock.sleep_ms(self.slow_ms)
-        if self._transport.is_gone:
+        if self._transport.is_closed:
             raise ConnectionResetError("Cannot write to closing transport")
         self.data += chunk
 
     async def write_eof(self, chunk=b"") -> None:
         await self.write(chunk)
-        self.is_ended = True
+        self.is_finished = True
 
     async def drain(self) -> None:
         await self.write(b"")
@@ -140,107 +140,133 @@
         self.headers = CIMultiDict(headers)
 
     def enable_compression(self, encoding="deflate", strategy=None) -> None:
-        raise TypeError("no caller asked for compression")
+        raise TypeError("no caller requested compression")
 
     def enable_chunking(self) -> None:
-        """Chunks are not told apart here."""
+        """Do nothing: the body is recorded without chunk boundaries."""
 
 
 class Caller:
-    """Drives one ask through whatever nodes are ready."""
+    """Sends one request, with retries, to nodes that are ready."""
 
-    def __init__(self, world, ask: Ask) -> None:
-        self.ask = ask
+    def __init__(self, simulation, caller_request: CallerRequest) -> None:
+        self.caller_request = caller_request
         self.ending: Ending | None = None
-        self._world = world
-        self._clock = world.clock
+        self._simulation = simulation
+        self._clock = simulation.clock
         self._writer: _Writer | None = None
         self._transport = _Transport()
         self._slow_ms = 0
-        self._has_left = False
+        self._has_disconnected = False
 
-    def leave(self) -> None:
-        """Go away for good."""
-        if self.ending is None and not self._has_left:
-            self._has_left = True
-            self._transport.is_gone = True
-            self._world.see(CallerLeft(self._clock.now_ms(), self.ask.name))
+    def disconnect(self) -> None:
+        """Disconnect permanently."""
+        if self.ending is None and not self._has_disconnected:
+            self._has_disconnected = True
+            self._transport.is_closed = True
+            self._simulation.see(
+                CallerLeft(self._clock.now_ms(), self.caller_request.name)
+            )
 
     def slow_down(self, slow_ms: int) -> None:
-        """Read each piece late."""
+        """Read each chunk of the response with a delay."""
         self._slow_ms = slow_ms
         if self._writer:
             self._writer.slow_ms = slow_ms
 
     async def run(self) -> None:
-        """Ask until there is an answer, or an outcome that forbids asking again."""
-        ask, begun_ms = self.ask, self._clock.now_ms()
-        only_once = ask.is_call or ask.is_once
-        versions = self._world.versions
-        answers = ask.answers(versions)
-        self._world.see(Asked(begun_ms, ask.name, ask.account, answers, only_once))
-        while not self._has_left and self.ending is None:
-            is_late = self._clock.now_ms() - begun_ms > _PATIENCE_MS
-            node = self._world.ready_node()
+        """Retry until an answer arrives, or an outcome that forbids a retry."""
+        caller_request, started_ms = self.caller_request, self._clock.now_ms()
+        at_most_once = caller_request.is_call or caller_request.is_non_idempotent
+        versions = self._simulation.versions
+        answers = caller_request.possible_answers(versions)
+        self._simulation.see(
+            Asked(
+                started_ms,
+                caller_request.name,
+                caller_request.account,
+                answers,
+                at_most_once,
+            )
+        )
+        while not self._has_disconnected and self.ending is None:
+            is_late = self._clock.now_ms() - started_ms > _TIMEOUT_MS
+            node = self._simulation.next_ready_node()
             if node is not None:
-                await self._attempt(node, only_once, is_late)
+                await self._attempt(node, at_most_once, is_late)
             elif is_late:
                 return
             if self.ending is None:
                 await self._clock.sleep_ms(_PAUSE_MS)
 
-    async def ask_again(self) -> None:
-        """Send the same request once more beside the first, as a hasty caller."""
-        node = self._world.ready_node()
-        if node is not None and not self._has_left:
-            await self._attempt(node, True, False, is_beside=True)
+    async def send_duplicate(self) -> None:
+        """Send the same request once more while the first may be in flight."""
+        node = self._simulation.next_ready_node()
+        if node is not None and not self._has_disconnected:
+            await self._attempt(node, True, False, is_duplicate=True)
 
     async def _attempt(
-        self, node, only_once: bool, is_late: bool, *, is_beside: bool = False
+        self, node, at_most_once: bool, is_late: bool, *, is_duplicate: bool = False
     ) -> None:
-        begun_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         writer = await self._send(node)
-        if self._has_left:
+        if self._has_disconnected:
             return
-        ending, text = _read(self.ask, writer)
+        ending, text = _read(self.caller_request, writer)
         if b'"code":"internal"' in writer.data:
-            self._world.errors.append(f"{self.ask.name}: internal error")
-        is_final = not is_beside and (
+            self._simulation.errors.append(
+                f"{self.caller_request.name}: internal error"
+            )
+        is_final = not is_duplicate and (
             ending is Ending.ANSWERED
-            or (only_once and (ending is Ending.UNKNOWN or is_late))
+            or (at_most_once and (ending is Ending.UNKNOWN or is_late))
         )
         run_id = writer.headers.get("X-Request-Id", "")
         now_ms, name = self._clock.now_ms(), node.settings["node_name"]
-        self._world.see(
-            Ended(now_ms, self.ask.name, ending, text, run_id, name, is_final, begun_ms)
+        self._simulation.see(
+            Ended(
+                now_ms,
+                self.caller_request.name,
+                ending,
+                text,
+                run_id,
+                name,
+                is_final,
+                started_ms,
+            )
         )
         self.ending = ending if is_final else self.ending
         if ending is not Ending.CUT:
             number = int(writer.headers.get("X-Bundle", 0))
-            self._world.see(BundleServed(now_ms, name, number, begun_ms))
+            self._simulation.see(BundleServed(now_ms, name, number, started_ms))
 
     async def _send(self, node) -> _Writer:
         writer = _Writer(self._clock, self._transport)
         writer.slow_ms = self._slow_ms
         self._writer = writer
-        method, path = "POST", SERVICE_PATH if self.ask.is_call else "/v1/completions"
-        request = _make_request(method, path, self.ask, writer, self._transport)
-        task = self._world.handle(node, _respond(node.io.app, request))
+        method, path = (
+            "POST",
+            SERVICE_PATH if self.caller_request.is_call else "/v1/completions",
+        )
+        request = _make_request(
+            method, path, self.caller_request, writer, self._transport
+        )
+        task = self._simulation.run_handler(node, _respond(node.io.app, request))
         await asyncio.wait({task})
         error = None if task.cancelled() else task.exception()
         if error and not isinstance(error, ConnectionResetError):
-            self._world.errors.append(f"{self.ask.name}: {error!r}")
+            self._simulation.errors.append(f"{self.caller_request.name}: {error!r}")
         return writer
 
 
-def _make_request(method, path, ask, writer, transport) -> web.Request:
-    headers = CIMultiDictProxy(CIMultiDict(ask.headers()))
+def _make_request(method, path, caller_request, writer, transport) -> web.Request:
+    headers = CIMultiDictProxy(CIMultiDict(caller_request.headers()))
     raw = tuple((key.encode(), value.encode()) for key, value in headers.items())
     message = RawRequestMessage(
         method, path, HttpVersion11, headers, raw, False, None, False, False, URL(path)
     )
     loop = asyncio.get_running_loop()
-    protocol, body = _Protocol(transport), _Body(ask.body())
+    protocol, body = _Protocol(transport), _Body(caller_request.body())
     return web.Request(
         message, body, protocol, writer, None, loop, client_max_size=1 << 24
     )
@@ -252,18 +278,18 @@
     await response.write_eof()
 
 
-def _read(ask: Ask, writer: _Writer) -> tuple[Ending, str]:
-    """Read a response as far as it came."""
-    tag = writer.headers.get("X-Outcome", "")
-    if not tag or (tag != Ending.ANSWERED and not writer.is_ended):
+def _read(caller_request: CallerRequest, writer: _Writer) -> tuple[Ending, str]:
+    """Parse the part of a response that arrived."""
+    outcome = writer.headers.get("X-Outcome", "")
+    if not outcome or (outcome != Ending.ANSWERED and not writer.is_finished):
         return Ending.CUT, ""
-    if tag != Ending.ANSWERED:
-        return Ending(tag), ""
-    if ask.is_stream:
+    if outcome != Ending.ANSWERED:
+        return Ending(outcome), ""
+    if caller_request.is_stream:
         return _read_stream(writer.data)
-    if not writer.is_ended:
+    if not writer.is_finished:
         return Ending.CUT, ""
-    if ask.is_call:
+    if caller_request.is_call:
         return Ending.ANSWERED, writer.data.decode()
     return Ending.ANSWERED, json.loads(writer.data)["choices"][0]["text"]
 
--- a/tests/faults/_report.py
+++ b/tests/faults/_report.py
@@ -1,13 +1,13 @@
-"""The matrix as a table for the terminal and as docs/FAULTS.md."""
+"""Formats the matrix as a table for the terminal and as docs/FAULTS.md."""
 
 from collections import Counter
 
-from ._explore import Found
+from ._explore import MatrixResults
 from ._faults import FAULT_BY_NAME
 from ._matrix import Result
 from ._procedures import PROCEDURE_BY_NAME
 
-_SHOWN = 40
+_MAX_SHOWN_FAILURES = 40
 _ABOUT = """Written by `make faults`; do not edit. Each cell is a small deployment in
 one process on a faked clock (`tests/faults`): a fault strikes when a step is
 reached, most faults heal after a while, and `fireflyward.checker` then judges only
@@ -16,28 +16,28 @@
 """
 
 
-def table(found: Found) -> str:
-    """Return one line for each procedure and step, then what failed."""
+def table(matrix: MatrixResults) -> str:
+    """Return one line for each procedure and step, then the failures."""
     lines = [f"{'step':<74} {'passed':>7} {'failed':>7} {'impossible':>11}"]
-    for place, counts in _counts(found).items():
+    for place, counts in _counts(matrix).items():
         name = f"{place[0]}, {place[1]}"
         row = (counts["passed"], counts["failed"], counts["impossible"])
         lines.append(f"{name:<74} {row[0]:>7} {row[1]:>7} {row[2]:>11}")
-    for result in found.failed[:_SHOWN]:
+    for result in matrix.failed[:_MAX_SHOWN_FAILURES]:
         lines.append(f"FAILED {result.cell}")
         lines += [f"    {problem}" for problem in result.problems]
-    lines += [f"NO CELL reaches {step!r}" for step in found.unreached]
-    total = _totals(found)
+    lines += [f"NO CELL reaches {step!r}" for step in matrix.unreached]
+    total = _totals(matrix)
     lines.append(
         f"{total['passed']} passed, {total['failed']} failed, "
-        f"{total['impossible']} impossible; {len(found.unreached)} steps unreached"
+        f"{total['impossible']} impossible; {len(matrix.unreached)} steps unreached"
     )
     return "\n".join(lines)
 
 
-def page(found: Found) -> str:
-    """Return docs/FAULTS.md."""
-    total = _totals(found)
+def page(matrix: MatrixResults) -> str:
+    """Return the text of docs/FAULTS.md."""
+    total = _totals(matrix)
     lines = [
         "# Fault matrix",
         "",
@@ -48,29 +48,32 @@
         "| Procedure | Step | Reached by | Passed | Failed | Impossible |",
         "| --- | --- | --- | ---: | ---: | ---: |",
     ]
-    for (procedure, step), counts in _counts(found).items():
-        lead = found.lead_by_place.get((procedure, step), ())
-        way = ", then ".join(f"{name} at `{at.value}`" for at, name in lead) or "itself"
+    for (procedure, step), counts in _counts(matrix).items():
+        prerequisites = matrix.prerequisites_by_place.get((procedure, step), ())
+        reached_by = (
+            ", then ".join(f"{name} at `{at.value}`" for at, name in prerequisites)
+            or "itself"
+        )
         lines.append(
-            f"| {procedure} | `{step}` | {way} | {counts['passed']} "
+            f"| {procedure} | `{step}` | {reached_by} | {counts['passed']} "
             f"| {counts['failed']} | {counts['impossible']} |"
         )
     lines += ["", "## Faults", ""]
     lines += [f"- {name}" for name in FAULT_BY_NAME]
     lines += ["", "## Cells that failed", ""]
-    lines += [_failure(result) for result in found.failed] or ["None."]
+    lines += [_failure(result) for result in matrix.failed] or ["None."]
     lines += ["", "## Steps without a cell", ""]
-    lines += [f"- `{step.value}`" for step in found.unreached] or ["None."]
+    lines += [f"- `{step.value}`" for step in matrix.unreached] or ["None."]
     lines += ["", "## Procedures that were not run", ""]
-    left_out = [name for name in PROCEDURE_BY_NAME if name not in found.procedures]
-    lines += [f"- {name}" for name in left_out] or ["None."]
+    skipped = [name for name in PROCEDURE_BY_NAME if name not in matrix.procedures]
+    lines += [f"- {name}" for name in skipped] or ["None."]
     lines += ["", "## Impossible cells", ""]
     reasons = Counter(
-        f"{name}: {reason}" for (_, _, name), reason in found.impossible.items()
+        f"{name}: {reason}" for (_, _, name), reason in matrix.impossible.items()
     )
     reasons.update(
         "pairs: the first fault kept the second step from being reached"
-        for result in found.results
+        for result in matrix.results
         if result.verdict == "impossible"
     )
     lines += [
@@ -83,24 +86,24 @@
     return f"- {result.cell}: " + "; ".join(result.problems)
 
 
-def _counts(found: Found) -> dict[tuple[str, str], Counter]:
-    """Count the cells of each place, and of all pairs of a procedure together."""
+def _counts(matrix: MatrixResults) -> dict[tuple[str, str], Counter]:
+    """Count the cells of each procedure and step; pairs are counted per procedure."""
     counts: dict[tuple[str, str], Counter] = {}
-    for procedure, step in found.lead_by_place:
+    for procedure, step in matrix.prerequisites_by_place:
         counts[procedure, step] = Counter()
-    for result in found.results:
-        place = _place(found, result)
+    for result in matrix.results:
+        place = _place(matrix, result)
         counts.setdefault(place, Counter())[result.verdict] += 1
-    for procedure, step, _ in found.impossible:
+    for procedure, step, _ in matrix.impossible:
         counts[procedure, step]["impossible"] += 1
     return counts
 
 
-def _place(found: Found, result: Result) -> tuple[str, str]:
+def _place(matrix: MatrixResults, result: Result) -> tuple[str, str]:
     if result.cell.is_pair:
         return result.cell.procedure, "pairs of faults"
-    return result.cell.procedure, result.cell.strikes[-1][0]
+    return result.cell.procedure, result.cell.injections[-1][0]
 
 
-def _totals(found: Found) -> Counter:
-    return sum(_counts(found).values(), Counter())
+def _totals(matrix: MatrixResults) -> Counter:
+    return sum(_counts(matrix).values(), Counter())
--- a/tests/faults/_simulation.py
+++ b/tests/faults/_simulation.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process on a faked clock."""
+"""A complete deployment in one process on a simulated clock."""
 
 import asyncio
 import hashlib
@@ -31,10 +31,10 @@
     WeightSource,
 )
 
-from ._callers import MODEL, Ask, Caller
-from ._fakes import URL_PREFIX, EngineVm, MemoryNodeIO, Remote, WatchedTable
+from ._callers import MODEL, Caller, CallerRequest
+from ._fakes import URL_PREFIX, EngineVm, MemoryNodeIO, ObservedTable, Remote
 from ._network import PEER_PORT, Network, Process, ProcessClock
-from ._stores import WatchedStore
+from ._stores import ObservedStore
 
 DOMAINS = ("norte", "sur")
 ACCOUNTS = ("bridge", "tower")
@@ -49,12 +49,12 @@
 _PLATFORM = ("table", "objects", "weights", "vms")
 
 
-class World:
+class Simulation:
     """Two failure domains, each with a node, an engine and a service replica."""
 
     def __init__(self, *, has_stores: bool = False) -> None:
         self.clock = ManualClock()
-        self.store_by_name: dict[str, WatchedStore] = {}
+        self.store_by_name: dict[str, ObservedStore] = {}
         self.weight_source = WeightSource()
         self.network = Network(self.clock)
         self.checker = Checker()
@@ -62,7 +62,7 @@
         self.full: set[str] = set()
         self.owner_by_key: dict[str, tuple[str, str]] = {}
         self.versions = ("v1",)
-        self.table = WatchedTable(self)
+        self.table = ObservedTable(self)
         self.objects = MemoryObjects()
         self.weights = MemoryWeights({MODEL: ("v1", "v2")})
         self.vms = MemoryVms()
@@ -72,8 +72,8 @@
         self.node_by_name: dict[str, Node] = {}
         self.callers: list[Caller] = []
         self.on_step = lambda step, process: None
-        self.lost_answers: Counter[str] = Counter()
-        self._turn = 0
+        self.responses_to_lose: Counter[str] = Counter()
+        self._next_node_index = 0
         self._handlers: dict[asyncio.Task, Process] = {}
         self._tasks: set[asyncio.Task] = set()
         for name in _PLATFORM:
@@ -81,7 +81,7 @@
         self.operator = self.network.add("operator", "office")
         for domain in DOMAINS if has_stores else ():
             self.network.add(f"store-{domain}", domain)
-            store = WatchedStore(self, f"store-{domain}")
+            store = ObservedStore(self, f"store-{domain}")
             self.store_by_name[store.name] = store
         for domain in DOMAINS:
             name = f"engine-{domain}"
@@ -92,16 +92,16 @@
     def see(self, observation) -> None:
         self.checker.see(observation)
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Accept the first bundle and start the nodes."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._on_unhandled)
-        await self.finish_soon(self.accept(self.make_bundle(1)))
+        await self.run_to_completion(self.accept(self.make_bundle(1)))
         for domain in DOMAINS:
-            await self.finish_soon(self.start_node(f"node-{domain}", domain))
+            await self.run_to_completion(self.start_node(f"node-{domain}", domain))
 
-    async def finish_soon(self, work) -> None:
-        """Run ``work`` to its end, moving time as far as it needs."""
+    async def run_to_completion(self, work) -> None:
+        """Run ``work`` until it is done, and advance the clock meanwhile."""
         task = self.spawn(work)
         for _ in range(1_000):
             if task.done():
@@ -110,7 +110,7 @@
         task.result()
 
     def _on_unhandled(self, loop, context) -> None:
-        """Note what ended a task that nobody awaits."""
+        """Record the exception of a task that is not awaited."""
         error = context.get("exception")
         if error is not None:
             self.errors.append(f"a task ended by {error!r}")
@@ -153,7 +153,7 @@
         )
 
     async def accept(self, bundle: Bundle, process: Process | None = None):
-        """Have an operator's process make ``bundle`` the one in force."""
+        """Accept ``bundle`` from an operator's process."""
         process = process or self.operator
         base = self.bundle_state
         signed = sign_bundle(bundle, author=_AUTHOR, approver=_APPROVER, base=base)
@@ -167,7 +167,7 @@
         return await store.accept(bundle, signed, base=base)
 
     def on_accepted(self, number: int, digest: str) -> None:
-        """Note which of the offered bundles the table took."""
+        """Record which of the offered bundles was committed to the table."""
         signed, base = self.offered_by_digest[digest]
         if base is None:
             self.bundle_state = verify_snapshot(
@@ -195,12 +195,14 @@
         process.tasks.update(node._tasks)
         return node
 
-    def ready_node(self) -> Node | None:
-        """Return the next ready node, as the platform's balancer would."""
+    def next_ready_node(self) -> Node | None:
+        """Return the next ready node, as the platform's balancer does."""
         names = sorted(self.node_by_name)
-        self._turn += 1
+        self._next_node_index += 1
         for index in range(len(names)):
-            node = self.node_by_name[names[(self._turn + index) % len(names)]]
+            node = self.node_by_name[
+                names[(self._next_node_index + index) % len(names)]
+            ]
             process = node.process
             is_paused = process.paused_until_ms > self.clock.now_ms()
             if process.is_alive and node.io.is_listening and not is_paused:
@@ -208,7 +210,7 @@
                     return node
         return None
 
-    def handle(self, node: Node, work) -> asyncio.Task:
+    def run_handler(self, node: Node, work) -> asyncio.Task:
         """Run a request's handler in a node's process."""
         task = node.process.spawn(work)
         self._handlers[task] = node.process
@@ -218,20 +220,29 @@
     def handlers_of(self, process: Process) -> list[asyncio.Task]:
         return [task for task, owner in self._handlers.items() if owner is process]
 
-    def ask(self, name: str, account: str = ACCOUNTS[0], **kind) -> asyncio.Task:
-        caller = Caller(self, Ask(name, account, **kind))
+    def start_caller(
+        self, name: str, account: str = ACCOUNTS[0], **kind
+    ) -> asyncio.Task:
+        caller = Caller(self, CallerRequest(name, account, **kind))
         self.callers.append(caller)
         return self.spawn(caller.run())
 
     def account_of(self, request: str) -> str:
-        """Return the account of the caller that asked ``request``."""
-        asks = (caller.ask for caller in self.callers)
-        return next((ask.account for ask in asks if ask.name == request), "")
+        """Return the account of the caller that sent ``request``."""
+        caller_requests = (caller.caller_request for caller in self.callers)
+        return next(
+            (
+                caller_request.account
+                for caller_request in caller_requests
+                if caller_request.name == request
+            ),
+            "",
+        )
 
     def kill_node(self, node: Node) -> None:
         self.see(NodeLost(self.clock.now_ms(), node.settings["node_name"]))
         node.io.is_listening = False
-        node.process.die()
+        node.process.crash()
         for task in node._tasks:
             task.cancel()
 
@@ -243,30 +254,38 @@
         self.see(StopBegan(self.clock.now_ms(), name))
         return node.process.spawn(node.stop())
 
-    def see_reachable(self) -> None:
-        """Tell the checker which nodes have a way to the platform now."""
-        is_away = self.table.away or self.objects.away
-        direct = {
+    def report_reachability(self) -> None:
+        """Report to the checker which nodes can reach the platform now.
+
+        A node can reach it directly or through another failure domain.
+        """
+        is_platform_unavailable = self.table.away or self.objects.away
+        connected_domains = {
             domain
             for domain in DOMAINS
-            if not is_away and not self.network.is_cut(domain, "platform")
+            if not is_platform_unavailable
+            and not self.network.is_cut(domain, "platform")
         }
         for name, node in self.node_by_name.items():
             domain = node.settings["failure_domain"]
-            ways = {other for other in direct if not self.network.is_cut(domain, other)}
+            paths = {
+                other
+                for other in connected_domains
+                if not self.network.is_cut(domain, other)
+            }
             is_paused = node.process.paused_until_ms > self.clock.now_ms()
-            is_reachable = bool(ways) and not is_paused
+            is_reachable = bool(paths) and not is_paused
             self.see(Reachable(self.clock.now_ms(), name, is_reachable))
 
-    async def end(self) -> None:
-        """Let nothing of this world go on."""
+    async def close(self) -> None:
+        """Crash all processes and cancel all tasks."""
         for node in self.node_by_name.values():
-            node.process.die()
+            node.process.crash()
             for task in node._tasks:
                 task.cancel()
         for task in self._tasks:
             task.cancel()
-        self.operator.die()
+        self.operator.crash()
         await asyncio.sleep(0)
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
--- a/tests/faults/_stores.py
+++ b/tests/faults/_stores.py
@@ -1,4 +1,4 @@
-"""Stores of kept work, and engines that import from them, as the checker sees."""
+"""Stores of kept KV blocks and importing engines that report to the checker."""
 
 from dataclasses import replace
 
@@ -10,56 +10,58 @@
 COSTS = StoreCosts(memory_slots=32, disk_slots=32, block_bytes=1_000)
 
 
-class WatchedStore(StoreModel):
-    """A store that tells the checker when a block is whole and when it is freed."""
+class ObservedStore(StoreModel):
+    """A store that reports to the checker when a block is published or freed."""
 
-    def __init__(self, world, name: str) -> None:
+    def __init__(self, simulation, name: str) -> None:
         super().__init__(name, COSTS)
-        self.world = world
+        self.simulation = simulation
 
     def publish(self, refs):
-        done = super().publish(refs)
-        for ref in done.refs:
-            owner = self.world.owner_by_key.get(ref.key, ("", ""))
-            now_ms = self.world.clock.now_ms()
-            place = self.name, ref.key, ref.generation
-            self.world.see(BlockSealed(now_ms, *place, *owner, ref.checksum))
-        return done
+        published = super().publish(refs)
+        for ref in published.refs:
+            owner = self.simulation.owner_by_key.get(ref.key, ("", ""))
+            now_ms = self.simulation.clock.now_ms()
+            block_fields = self.name, ref.key, ref.generation
+            self.simulation.see(
+                BlockSealed(now_ms, *block_fields, *owner, ref.checksum)
+            )
+        return published
 
     def _clear(self, slot) -> None:
-        self._see_freed(slot)
+        self._report_freed(slot)
         super()._clear(slot)
 
     def restart_empty(self, epoch: int) -> None:
         for slot in self._slot_by_number.values():
-            self._see_freed(slot)
+            self._report_freed(slot)
         super().restart_empty(epoch)
 
-    def _see_freed(self, slot) -> None:
+    def _report_freed(self, slot) -> None:
         if slot.key:
-            now_ms = self.world.clock.now_ms()
+            now_ms = self.simulation.clock.now_ms()
             freed = BlockFreed(now_ms, self.name, slot.key, slot.generation)
-            self.world.see(freed)
+            self.simulation.see(freed)
 
     def fill(self, blocks: int) -> None:
-        """Keep so many other blocks."""
-        now_ms = self.world.clock.now_ms()
+        """Publish ``blocks`` unrelated blocks."""
+        now_ms = self.simulation.clock.now_ms()
         wanted = tuple(Wanted(f"{number:032x}", 1) for number in range(blocks))
         for ref in self.reserve(now_ms, wanted).refs:
             payload = kv_payload(ref.key)
             self.write(ref, payload)
             checksum = block_checksum(ref.key, ref.generation, payload)
-            whole = replace(ref, length=len(payload), checksum=checksum)
-            self.seal((whole,))
-            self.publish((whole,))
+            sealed = replace(ref, length=len(payload), checksum=checksum)
+            self.seal((sealed,))
+            self.publish((sealed,))
 
 
-class WatchedKv(EngineKv):
-    """An engine's import that tells the checker which bytes it takes."""
+class ObservedKv(EngineKv):
+    """An engine's KV import that reports each imported block to the checker."""
 
-    def __init__(self, world, engine, clock, store_of) -> None:
+    def __init__(self, simulation, engine, clock, store_of) -> None:
         super().__init__(engine, clock, store_of, 0.0)
-        self.world = world
+        self.simulation = simulation
 
     async def _load(self, store, ref):
         payload = await store.read(ref)
@@ -69,13 +71,18 @@
     async def _fetch(self, order, ref, until_ms):
         payload = await super()._fetch(order, ref, until_ms)
         if isinstance(payload, bytes):
-            owner = self.world.owner_by_key.get(ref.key, ("", ""))
+            owner = self.simulation.owner_by_key.get(ref.key, ("", ""))
             checksum = block_checksum(ref.key, ref.generation, payload)
-            place = ref.store, ref.key, ref.generation
+            block_fields = ref.store, ref.key, ref.generation
             now_ms = self.clock.now_ms()
-            self.world.see(
+            self.simulation.see(
                 BlockRead(
-                    now_ms, self.read_at_ms, *place, checksum, order.order_id, *owner
+                    now_ms,
+                    self.read_at_ms,
+                    *block_fields,
+                    checksum,
+                    order.order_id,
+                    *owner,
                 )
             )
         return payload
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -1,4 +1,7 @@
-"""Takes out one protection of the product at a time; the checker must see each."""
+"""Removes one protection of the program at a time.
+
+The checker must report the violated promise each time.
+"""
 
 import asyncio
 import unittest
@@ -23,38 +26,38 @@
 from fireflyward.upstreams import BlockRef, ImportOrder
 from tests.faults import _fakes
 from tests.faults._callers import MODEL
-from tests.faults._matrix import repeatable
-from tests.faults._simulation import ACCOUNTS, World
-from tests.faults._stores import WatchedKv, WatchedStore
+from tests.faults._matrix import deterministic_draws
+from tests.faults._simulation import ACCOUNTS, Simulation
+from tests.faults._stores import ObservedKv, ObservedStore
 
 KEY = "ab" * 16
 OTHER_KEY = "cd" * 16
 
 
-async def prompts_of_both_accounts(world):
+async def prompts_of_both_accounts(simulation):
     for index in range(6):
-        await world.ask(f"prompt-{index}", ACCOUNTS[index // 2 % 2])
+        await simulation.start_caller(f"prompt-{index}", ACCOUNTS[index // 2 % 2])
 
 
-async def prompts_across_a_swap(world):
-    world.versions = ("v1", "v2")
-    await prompts_of_both_accounts(world)
-    for vm in world.engine_by_name.values():
+async def prompts_across_a_swap(simulation):
+    simulation.versions = ("v1", "v2")
+    await prompts_of_both_accounts(simulation)
+    for vm in simulation.engine_by_name.values():
         vm.model.version_by_model[MODEL] = "v2"
-    await world.accept(world.make_bundle(2, version="v2"))
-    await world.clock.sleep_ms(9_100)
-    await world.ask("after", ACCOUNTS[0])
+    await simulation.accept(simulation.make_bundle(2, version="v2"))
+    await simulation.clock.sleep_ms(9_100)
+    await simulation.start_caller("after", ACCOUNTS[0])
 
 
-async def stored_and_read_after_its_slot_was_used_again(world):
-    world.owner_by_key = {KEY: ("bridge", "v1"), OTHER_KEY: ("bridge", "v1")}
-    store = WatchedStore(world, "store")
-    ref = await write(world, store, KEY)
+async def block_read_after_its_slot_was_reused(simulation):
+    simulation.owner_by_key = {KEY: ("bridge", "v1"), OTHER_KEY: ("bridge", "v1")}
+    store = ObservedStore(simulation, "store")
+    ref = await write(simulation, store, KEY)
     store.free((ref,), state=SlotState.PUBLISHED, fencing=1)
-    await world.clock.sleep_ms(10)
-    await write(world, store, OTHER_KEY)
-    client = MemoryStore(store, world.clock)
-    kv = WatchedKv(world, engine(), world.clock, lambda name, url: client)
+    await simulation.clock.sleep_ms(10)
+    await write(simulation, store, OTHER_KEY)
+    client = MemoryStore(store, simulation.clock)
+    kv = ObservedKv(simulation, engine(), simulation.clock, lambda name, url: client)
     await kv.import_blocks(ImportOrder("order", MODEL, "v1", (ref,), {}, 1_000))
 
 
@@ -62,8 +65,8 @@
     return EngineModel({MODEL: "v1"})
 
 
-async def write(world, store, key) -> BlockRef:
-    [reserved] = store.reserve(world.clock.now_ms(), (Wanted(key, 1),)).refs
+async def write(simulation, store, key) -> BlockRef:
+    [reserved] = store.reserve(simulation.clock.now_ms(), (Wanted(key, 1),)).refs
     payload = _engine_kv.kv_payload(key)
     store.write(reserved, payload)
     checksum = _engine_kv.block_checksum(key, reserved.generation, payload)
@@ -72,71 +75,78 @@
     return store.publish((sealed,)).refs[0]
 
 
-async def stream_while_all_engines_fail(world):
-    asked = world.ask("stream", is_stream=True)
-    await world.clock.sleep_ms(130)
-    for name in world.engine_by_name:
-        world.network.process_by_name[name].die()
-    await world.clock.sleep_ms(8_000)
-    for name, vm in world.engine_by_name.items():
+async def stream_while_all_engines_fail(simulation):
+    caller_task = simulation.start_caller("stream", is_stream=True)
+    await simulation.clock.sleep_ms(130)
+    for name in simulation.engine_by_name:
+        simulation.network.process_by_name[name].crash()
+    await simulation.clock.sleep_ms(8_000)
+    for name, vm in simulation.engine_by_name.items():
         vm.restart()
-        world.network.add(name, vm.name.rpartition("-")[2])
-    await asked
+        simulation.network.add(name, vm.name.rpartition("-")[2])
+    await caller_task
 
 
-async def call_while_its_service_fails(world):
-    asked = world.ask("call", is_call=True)
-    await world.clock.sleep_ms(20)
+async def call_while_its_service_fails(simulation):
+    caller_task = simulation.start_caller("call", is_call=True)
+    await simulation.clock.sleep_ms(20)
     for name in ("service-norte", "service-sur"):
-        world.network.process_by_name[name].die()
-    await asked
+        simulation.network.process_by_name[name].crash()
+    await caller_task
 
 
-async def call_that_is_asked_twice(world):
-    asked = world.ask("call", is_call=True)
-    await world.clock.sleep_ms(10)
-    await world.callers[0].ask_again()
-    await asked
+async def duplicate_call(simulation):
+    caller_task = simulation.start_caller("call", is_call=True)
+    await simulation.clock.sleep_ms(10)
+    await simulation.callers[0].send_duplicate()
+    await caller_task
 
 
-async def prompts_after_an_engine_said_that_it_leaves(world):
-    # The engine that routing prefers leaves, or nothing would go to it anyway.
-    await asyncio.gather(*(world.ask(f"before-{index}") for index in range(4)))
-    engines = world.engine_by_name.values()
+async def prompts_after_an_engine_reported_leaving(simulation):
+    # The engine that routing prefers is the one that leaves: any other engine would get
+    # no requests anyway.
+    await asyncio.gather(
+        *(simulation.start_caller(f"before-{index}") for index in range(4))
+    )
+    engines = simulation.engine_by_name.values()
     vm = max(engines, key=lambda engine: len(engine.model.run_by_id))
     vm.is_leaving = True
-    world.see(UpstreamLeaving(world.clock.now_ms(), vm.name))
-    await world.clock.sleep_ms(3_100)
-    await asyncio.gather(*(world.ask(f"prompt-{index}") for index in range(8)))
+    simulation.see(UpstreamLeaving(simulation.clock.now_ms(), vm.name))
+    await simulation.clock.sleep_ms(3_100)
+    await asyncio.gather(
+        *(simulation.start_caller(f"prompt-{index}") for index in range(8))
+    )
 
 
-async def stream_through_a_planned_stop(world):
-    asked = [world.ask(f"stream-{index}", is_stream=True) for index in range(2)]
-    await world.clock.sleep_ms(100)
-    world.stop_node("node-norte")
-    await asyncio.gather(*asked)
+async def stream_through_a_planned_stop(simulation):
+    caller_tasks = [
+        simulation.start_caller(f"stream-{index}", is_stream=True) for index in range(2)
+    ]
+    await simulation.clock.sleep_ms(100)
+    simulation.stop_node("node-norte")
+    await asyncio.gather(*caller_tasks)
 
 
-async def bundle_accepted(world):
-    await world.accept(world.make_bundle(2))
-    await world.clock.sleep_ms(9_100)
-    await prompts_of_both_accounts(world)
+async def bundle_accepted(simulation):
+    await simulation.accept(simulation.make_bundle(2))
+    await simulation.clock.sleep_ms(9_100)
+    await prompts_of_both_accounts(simulation)
 
 
-async def bundle_followed_by_an_old_one(world):
-    await bundle_accepted(world)
-    for node in world.node_by_name.values():
-        node.apply(world.make_bundle(1))
+async def bundle_followed_by_an_older_bundle(simulation):
+    await bundle_accepted(simulation)
+    for node in simulation.node_by_name.values():
+        node.apply(simulation.make_bundle(1))
         number = node.holder.number
         name = node.settings["node_name"]
-        world.see(BundleServed(world.clock.now_ms(), name, number))
+        simulation.see(BundleServed(simulation.clock.now_ms(), name, number))
 
 
-async def one_prompt(world):
-    await asyncio.wait({world.ask("prompt")}, timeout=None)
+async def one_prompt(simulation):
+    await asyncio.wait({simulation.start_caller("prompt")}, timeout=None)
 
 
-def names_without(part):
+def block_names_without(part):
     original = BlockNames.of_prompt
 
     def of_prompt(self, account, model, version, *rest, **named):
@@ -147,13 +157,13 @@
     return mock.patch.object(BlockNames, "of_prompt", of_prompt)
 
 
-def slots_without_generations():
+def slots_without_generation_check():
     return mock.patch.object(
         StoreModel, "_slot", lambda self, ref: self._slot_by_number.get(ref.slot)
     )
 
 
-def reads_without_keys():
+def reads_without_key_check():
     return mock.patch.object(
         StoreModel, "read", lambda self, ref: self._slot(ref).payload
     )
@@ -168,11 +178,11 @@
     return mock.patch.object(_completions._ResponseWriter, "end", end)
 
 
-def every_failure_called_not_run():
+def every_failure_reported_as_not_run():
     return mock.patch.object(_service_task, "Unknown", NotRun)
 
 
-def records_that_are_always_new():
+def claims_that_always_succeed():
     async def claim(self, key, record):
         return Permit(1 << 60), 1
 
@@ -192,11 +202,11 @@
     return mock.patch.object(Node, "stop", Node.close)
 
 
-def library_that_waits_for_nobody():
-    return mock.patch.object(_fakes, "_LIBRARY_WAIT_MS", 0)
+def shutdown_without_waiting_for_handlers():
+    return mock.patch.object(_fakes, "_SHUTDOWN_TIMEOUT_MS", 0)
 
 
-def offers_that_are_never_taken():
+def newer_bundles_ignored():
     def update(self, bundle):
         return not self.number and original(self, bundle)
 
@@ -204,7 +214,7 @@
     return mock.patch.object(BundleHolder, "update", update)
 
 
-def offers_without_comparison():
+def bundles_without_number_comparison():
     original = BundleHolder.update
 
     def update(self, bundle):
@@ -214,7 +224,7 @@
     return mock.patch.object(BundleHolder, "update", update)
 
 
-def answers_that_never_come():
+def requests_that_never_finish():
     async def serve(*_):
         await asyncio.Event().wait()
 
@@ -224,94 +234,94 @@
 CASES = {
     "generation and key": (
         Promise.WHOLE_BLOCKS,
-        stored_and_read_after_its_slot_was_used_again,
+        block_read_after_its_slot_was_reused,
         [
-            slots_without_generations,
-            reads_without_keys,
+            slots_without_generation_check,
+            reads_without_key_check,
             lambda: mock.patch.object(_engine_kv, "check_block", lambda *_: None),
         ],
     ),
     "account in block names": (
         Promise.OWN_ACCOUNT,
         prompts_of_both_accounts,
-        [lambda: names_without("account")],
+        [lambda: block_names_without("account")],
     ),
     "weight version in block names": (
         Promise.OWN_VERSION,
         prompts_across_a_swap,
-        [lambda: names_without("version")],
+        [lambda: block_names_without("version")],
     ),
     "end marker": (
         Promise.WHOLE_ANSWER,
         stream_while_all_engines_fail,
         [answers_without_end_marker],
     ),
-    "unknown told apart from not run": (
+    "unknown distinguished from not run": (
         Promise.TRUE_REFUSAL,
         call_while_its_service_fails,
-        [every_failure_called_not_run],
+        [every_failure_reported_as_not_run],
     ),
     "record before dispatch": (
         Promise.AT_MOST_ONCE,
-        call_that_is_asked_twice,
-        [records_that_are_always_new],
+        duplicate_call,
+        [claims_that_always_succeed],
     ),
     "leaving in load reports": (
         Promise.LEAVING_UPSTREAM,
-        prompts_after_an_engine_said_that_it_leaves,
+        prompts_after_an_engine_reported_leaving,
         [reports_without_leaving],
     ),
     "draining": (
         Promise.GRACEFUL_STOP,
         stream_through_a_planned_stop,
-        [stop_without_draining, library_that_waits_for_nobody],
+        [stop_without_draining, shutdown_without_waiting_for_handlers],
     ),
-    "taking of new bundles": (
+    "application of newer bundles": (
         Promise.BUNDLE_IN_FORCE,
         bundle_accepted,
-        [offers_that_are_never_taken],
+        [newer_bundles_ignored],
     ),
     "comparison of bundle numbers": (
         Promise.BUNDLE_IN_FORCE,
-        bundle_followed_by_an_old_one,
-        [offers_without_comparison],
+        bundle_followed_by_an_older_bundle,
+        [bundles_without_number_comparison],
     ),
-    "an end to every run": (
+    "a result for every run": (
         Promise.NOTHING_LOST,
         one_prompt,
-        [answers_that_never_come],
+        [requests_that_never_finish],
     ),
 }
 
 
-def promises_broken_in(drive, protections) -> set[Promise]:
+def broken_promises(scenario, protections) -> set[Promise]:
     async def run():
-        world = World()
-        await world.begin()
-        work = world.spawn(drive(world))
-        with ExitStack() as stack:
+        simulation = Simulation()
+        await simulation.start()
+        work = simulation.spawn(scenario(simulation))
+        with ExitStack() as patches:
             for protection in protections:
-                stack.enter_context(protection())
+                patches.enter_context(protection())
             for _ in range(200):
                 if work.done():
                     break
-                await world.clock.advance_ms(200)
+                await simulation.clock.advance_ms(200)
         if work.done():
             work.result()
-        found = world.checker.finish(world.clock.now_ms())
-        await world.end()
-        return {violation.promise for violation in found}
+        violations = simulation.checker.finish(simulation.clock.now_ms())
+        await simulation.close()
+        return {violation.promise for violation in violations}
 
-    with repeatable():
+    with deterministic_draws():
         return asyncio.run(run())
 
 
 class ProtectionTests(unittest.TestCase):
-    def test_each_taken_out_breaks_its_promise(self):
-        for name, (promise, drive, protections) in CASES.items():
+    def test_removing_a_protection_breaks_its_promise(self):
+        for name, (promise, scenario, protections) in CASES.items():
             with self.subTest(name):
-                self.assertEqual(promises_broken_in(drive, ()), set())
-                self.assertIn(promise, promises_broken_in(drive, protections))
+                self.assertEqual(broken_promises(scenario, ()), set())
+                self.assertIn(promise, broken_promises(scenario, protections))
 
-    def test_every_promise_has_a_protection_that_can_be_taken_out(self):
+    def test_every_promise_has_a_removable_protection(self):
         self.assertEqual({promise for promise, *_ in CASES.values()}, set(Promise))
--- a/tests/fuzz/test_frames.py
+++ b/tests/fuzz/test_frames.py
@@ -10,8 +10,8 @@
 import fireflyward
 from fireflyward.peers import PeerCodec, pack, unpack
 from fireflyward.peers._codec import MAX_FRAME_BYTES, Envelope
-from tests.faults._matrix import repeatable
-from tests.faults._simulation import World
+from tests.faults._matrix import deterministic_draws
+from tests.faults._simulation import Simulation
 from tests.fuzz.profiles import fuzz
 
 SOURCES = Path(fireflyward.__file__).parent
@@ -83,12 +83,12 @@
 
     @classmethod
     def setUpClass(cls):
-        cls.enterClassContext(repeatable())
+        cls.enterClassContext(deterministic_draws())
         cls.runner = cls.enterClassContext(asyncio.Runner())
-        cls.world = World()
-        cls.runner.run(cls.world.begin())
-        cls.addClassCleanup(lambda: cls.runner.run(cls.world.end()))
-        cls.node = cls.world.node_by_name["node-sur"]
+        cls.simulation = Simulation()
+        cls.runner.run(cls.simulation.start())
+        cls.addClassCleanup(lambda: cls.runner.run(cls.simulation.close()))
+        cls.node = cls.simulation.node_by_name["node-sur"]
 
     @fuzz(50)
     @given(st.data(), st.binary(max_size=60))
@@ -106,7 +106,7 @@
         for _ in range(60):
             if task.done():
                 break
-            await self.world.clock.advance_ms(100)
+            await self.simulation.clock.advance_ms(100)
         self.assertTrue(task.done(), f"{kind} hangs")
         task.result()
 
@@ -115,10 +115,10 @@
     """Draw a struct whose fields have the right types and any values."""
     fields = {}
     for spec in struct_type.thrift_spec.values():
-        drawn = _values_of(spec)
-        if drawn is None:
+        rng = _values_of(spec)
+        if rng is None:
             return st.none()
-        fields[spec[1]] = drawn
+        fields[spec[1]] = rng
     return st.builds(struct_type, **fields)
 
 
