--- a/tests/fuzz/test_answers.py
+++ b/tests/fuzz/test_answers.py
@@ -1,4 +1,4 @@
-"""Foreign bytes where a node expects an upstream's, a store's or the platform's."""
+"""Arbitrary bytes as answers of upstreams, stores and platform services."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 )
 from tests.fuzz.profiles import fuzz
 
-LIMIT_S = 5
+TIMEOUT_S = 5
 CALL = EngineCall("run", "m", "v1", "prompt", 4)
 REF = BlockRef("ab" * 16, "s", 1, 1, 3, "c", 1)
 json_values = st.recursive(
@@ -52,8 +52,8 @@
 statuses = st.sampled_from([200, 404, 409, 412, 500, 503, 504])
 
 
-class ForeignServer:
-    """Answers every request with the same bytes, and closes."""
+class FixedResponder:
+    """Answers every request with the same bytes and closes the connection."""
 
     def __init__(self):
         self.answer = b""
@@ -73,13 +73,13 @@
     @classmethod
     def setUpClass(cls):
         cls.runner = cls.enterClassContext(asyncio.Runner())
-        cls.foreign = ForeignServer()
+        cls.responder = FixedResponder()
         cls.runner.run(cls.start())
         cls.addClassCleanup(lambda: cls.runner.run(cls.stop()))
 
     @classmethod
     async def start(cls):
-        cls.server = await asyncio.start_server(cls.foreign.serve, "127.0.0.1", 0)
+        cls.server = await asyncio.start_server(cls.responder.serve, "127.0.0.1", 0)
         port = cls.server.sockets[0].getsockname()[1]
         cls.url = f"http://127.0.0.1:{port}"
         cls.session = aiohttp.ClientSession()
@@ -91,8 +91,8 @@
 
     def exchange(self, work, status, body):
         head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n"
-        self.foreign.answer = head.encode() + body
-        return self.runner.run(asyncio.wait_for(work, LIMIT_S))
+        self.responder.answer = head.encode() + body
+        return self.runner.run(asyncio.wait_for(work, TIMEOUT_S))
 
     @fuzz(60)
     @given(statuses, bodies)
@@ -149,9 +149,9 @@
 
     @fuzz(30)
     @given(st.binary(max_size=120))
-    def test_bytes_that_are_no_answer(self, data):
-        self.foreign.answer = data
+    def test_arbitrary_bytes_are_a_broken_answer(self, data):
+        self.responder.answer = data
         work = HttpService(self.session, self.url).call(ServiceCall("POST", "/x"))
-        result = self.runner.run(asyncio.wait_for(work, LIMIT_S))
+        result = self.runner.run(asyncio.wait_for(work, TIMEOUT_S))
         self.assertIsInstance(result, Broken)
         self.assertTrue(result.may_have_run)
--- a/tests/fuzz/test_frames.py
+++ b/tests/fuzz/test_frames.py
@@ -1,4 +1,4 @@
-"""Foreign and damaged frames between nodes."""
+"""Arbitrary and damaged frames between nodes."""
 
 import asyncio
 import unittest
@@ -20,12 +20,12 @@
 
 
 def find_structs():
-    """Return every struct of every definition in the product."""
-    found = []
+    """Return every struct of all Thrift files of the program."""
+    structs = []
     for path in sorted(SOURCES.rglob("*.thrift")):
         module = thriftpy2.load(str(path), module_name=f"fuzz_{path.stem}_thrift")
-        found += module.__thrift_meta__["structs"]
-    return found
+        structs += module.__thrift_meta__["structs"]
+    return structs
 
 
 STRUCTS = find_structs()
@@ -42,44 +42,46 @@
 class CodecTests(unittest.TestCase):
     @fuzz(60)
     @given(st.binary(max_size=200))
-    def test_foreign_bytes_are_no_frame(self, data):
+    def test_arbitrary_bytes_are_rejected(self, data):
         self.assertIsNone(CODEC.open(data))
 
     @fuzz(60)
     @given(frames, st.data())
-    def test_a_frame_with_one_changed_bit_is_refused(self, frame, data):
-        at = data.draw(st.integers(0, len(frame) * 8 - 1))
+    def test_a_frame_with_one_changed_bit_is_rejected(self, frame, data):
+        bit_index = data.draw(st.integers(0, len(frame) * 8 - 1))
         changed = bytearray(frame)
-        changed[at // 8] ^= 1 << at % 8
+        changed[bit_index // 8] ^= 1 << bit_index % 8
         self.assertIsNotNone(CODEC.open(frame))
         self.assertIsNone(CODEC.open(bytes(changed)))
 
-    def test_a_frame_longer_than_the_limit_is_not_read(self):
+    def test_a_frame_longer_than_the_limit_is_rejected(self):
         envelope = Envelope(sender="s", incarnation=1, sequence=1, kind="k", body=b"")
         frame = CODEC.seal(envelope)
         self.assertIsNone(CODEC.open(frame + b"\0" * MAX_FRAME_BYTES))
 
     @fuzz(80)
     @given(st.sampled_from(STRUCTS), st.binary(max_size=120))
-    def test_any_bytes_are_a_struct_or_nothing(self, struct_type, data):
+    def test_arbitrary_bytes_unpack_to_a_struct_or_none(self, struct_type, data):
         result = unpack(struct_type, data)
         self.assertTrue(result is None or isinstance(result, struct_type))
 
     @fuzz(80)
     @given(st.sampled_from(STRUCTS), st.binary(min_size=1, max_size=60), st.data())
-    def test_a_struct_cut_short_is_a_struct_or_nothing(self, struct_type, tail, data):
-        body = pack(struct_type()) if not required(struct_type) else b""
-        cut = data.draw(st.integers(0, len(body)))
-        result = unpack(struct_type, body[:cut] + tail)
+    def test_a_truncated_struct_unpacks_to_a_struct_or_none(
+        self, struct_type, tail, data
+    ):
+        body = pack(struct_type()) if not has_required_fields(struct_type) else b""
+        length = data.draw(st.integers(0, len(body)))
+        result = unpack(struct_type, body[:length] + tail)
         self.assertTrue(result is None or isinstance(result, struct_type))
 
 
-def required(struct_type):
+def has_required_fields(struct_type):
     return any(spec[-1] for spec in struct_type.thrift_spec.values())
 
 
 class HandlerTests(unittest.TestCase):
-    """Every message that a node takes, with bodies from a node gone wrong."""
+    """Sends messages of every kind, with arbitrary content, to a node."""
 
     @classmethod
     def setUpClass(cls):
@@ -92,7 +94,7 @@
 
     @fuzz(50)
     @given(st.data(), st.binary(max_size=60))
-    def test_no_handler_raises_and_the_node_serves_on(self, data, body):
+    def test_no_handler_raises_and_the_node_stays_ready(self, data, body):
         handlers = self.node.link._handler_by_kind
         kind = data.draw(st.sampled_from(sorted(handlers)))
         struct_type = handlers[kind][0]
@@ -112,13 +114,13 @@
 
 
 def messages_of(struct_type):
-    """Draw a struct whose fields have the right types and any values."""
+    """Return a strategy for structs with fields of the right types and any values."""
     fields = {}
     for spec in struct_type.thrift_spec.values():
-        rng = _values_of(spec)
-        if rng is None:
+        strategy = _values_of(spec)
+        if strategy is None:
             return st.none()
-        fields[spec[1]] = rng
+        fields[spec[1]] = strategy
     return st.builds(struct_type, **fields)
 
 
--- a/tests/fuzz/test_http.py
+++ b/tests/fuzz/test_http.py
@@ -1,4 +1,4 @@
-"""Hostile bytes against the caller port of a whole node on loopback."""
+"""Malformed and arbitrary requests to the caller port of a complete node."""
 
 import asyncio
 import json
@@ -10,10 +10,10 @@
 from fireflyward.demo import DemoDeployment
 from tests.fuzz.profiles import fuzz
 
-LIMIT_S = 10
-PATIENCE_S = 0.1
+TIMEOUT_S = 10
+READ_TIMEOUT_S = 0.1
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-MORE_TASKS = 8
+MAX_EXTRA_TASKS = 8
 KEY = b"Bearer key-bridge"
 names = st.sampled_from(
     [
@@ -82,7 +82,7 @@
         log = logging.getLogger("aiohttp.server")
         cls.addClassCleanup(log.setLevel, log.level)
         log.setLevel(logging.CRITICAL)
-        cls.runner.run(cls.talk(HEALTH, LIMIT_S))
+        cls.runner.run(cls.exchange(HEALTH, TIMEOUT_S))
         cls.tasks_before = cls.runner.run(cls.count_tasks())
 
     @staticmethod
@@ -90,41 +90,50 @@
         return len(asyncio.all_tasks())
 
     @classmethod
-    async def talk(cls, data, limit_s):
-        """Send bytes and read to the end; a node may wait for more of them."""
+    async def exchange(cls, data, timeout_s):
+        """Send bytes and return the answer.
+
+        Return no bytes on a timeout, since the node may wait for more of the request.
+        """
         reader, writer = await asyncio.open_connection("127.0.0.1", cls.node.port)
         try:
             writer.write(data)
-            return await asyncio.wait_for(reader.read(), limit_s)
+            return await asyncio.wait_for(reader.read(), timeout_s)
         except (TimeoutError, ConnectionError):
             return b""
         finally:
             writer.close()
 
-    async def drained(self):
-        """Return when nothing is in flight; a caller that closed may leave a run."""
+    async def wait_until_drained(self):
+        """Wait until nothing is in flight.
+
+        A run may go on for some time after its caller has closed the connection.
+        """
         while self.node.admission.total():
             await asyncio.sleep(0.01)
 
-    async def settled(self):
-        """Return when there are no more tasks than a request may leave.
+    async def wait_for_extra_tasks(self):
+        """Wait until there are no more tasks than a request may leave behind.
 
-        Duties that tick at once have more for some ms, which is no leak: what leaks
-        stays, and the wait for it ends by its limit.
+        Duties that tick at the same time have additional tasks for some ms. These are
+        no leak: leaked tasks remain, and then this wait times out.
         """
-        while await self.count_tasks() > self.tasks_before + MORE_TASKS:
+        while await self.count_tasks() > self.tasks_before + MAX_EXTRA_TASKS:
             await asyncio.sleep(0.01)
 
     def check(self, data):
-        """The node answers or closes, blames nobody else, and keeps nothing."""
-        answer = self.runner.run(self.talk(data, PATIENCE_S))
+        """Check that the node answers or closes, stays alive and leaks nothing.
+
+        The answer must not be an internal error.
+        """
+        answer = self.runner.run(self.exchange(data, READ_TIMEOUT_S))
         self.assertTrue(not answer or answer.startswith(b"HTTP/1."), answer[:80])
         self.assertNotIn(b'"code":"internal"', answer)
         self.assertNotIn(b" 500 ", answer[:16])
-        alive = self.runner.run(self.talk(HEALTH, LIMIT_S))
+        alive = self.runner.run(self.exchange(HEALTH, TIMEOUT_S))
         self.assertIn(b"alive", alive)
-        self.runner.run(asyncio.wait_for(self.drained(), LIMIT_S))
-        self.runner.run(asyncio.wait_for(self.settled(), LIMIT_S))
+        self.runner.run(asyncio.wait_for(self.wait_until_drained(), TIMEOUT_S))
+        self.runner.run(asyncio.wait_for(self.wait_for_extra_tasks(), TIMEOUT_S))
 
     @fuzz(40)
     @given(st.binary(max_size=200))
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -1,4 +1,4 @@
-"""Foreign bytes from the platform end no process and no task."""
+"""Arbitrary bytes from the platform must not stop a process or a task."""
 
 import asyncio
 import unittest
@@ -63,7 +63,7 @@
     return json.dumps({"ends": ends, "trials": draw(st.integers())}).encode()
 
 
-class _Foreign(RawServer):
+class _FixedResponder(RawServer):
     status, body = 200, b""
 
     async def answer(self, request, writer):
@@ -75,7 +75,7 @@
     @classmethod
     def setUpClass(cls):
         cls.runner = asyncio.Runner()
-        cls.server = _Foreign()
+        cls.server = _FixedResponder()
         cls.address = cls.runner.run(cls.server.start())
         cls.store = StoreClient(cls.address, clock=Clock())
         cls.api = ReplicaApi(ConnectionPool(Clock()), clock=Clock())
@@ -86,43 +86,44 @@
         cls.runner.run(cls.server.stop())
         cls.runner.close()
 
-    def ask(self, call, status, body):
+    def exchange(self, call, status, body):
         self.server.status, self.server.body = status, body
         return self.runner.run(call)
 
     @fuzz(40)
     @given(st.sampled_from((200, 410, 412, 503)), bodies())
-    def test_every_answer_of_the_store_has_its_value(self, status, body):
+    def test_every_store_answer_gives_a_result(self, status, body):
         store = self.store
-        found = self.ask(store.rows("t"), status, body)
-        self.assertIsInstance(found, Snapshot | Unavailable | HistoryLost)
+        result = self.exchange(store.rows("t"), status, body)
+        self.assertIsInstance(result, Snapshot | Unavailable | HistoryLost)
         call = store.changes("t", after=at(1), wait_ms=0, limit_ms=500)
-        found = self.ask(call, status, body)
-        self.assertIsInstance(found, Changes | Unavailable | HistoryLost)
+        result = self.exchange(call, status, body)
+        self.assertIsInstance(result, Changes | Unavailable | HistoryLost)
         call = store.write(table="t", part="", expected={"k": at(0)}, puts={"k": b"v"})
-        found = self.ask(call, status, body)
-        self.assertIsInstance(found, Committed | Conflict | Unavailable | Uncertain)
+        result = self.exchange(call, status, body)
+        self.assertIsInstance(result, Committed | Conflict | Unavailable | Uncertain)
 
     @fuzz(40)
     @given(st.sampled_from((200, 429, 503)), bodies())
-    def test_every_answer_of_a_replica_or_kv_store_has_its_value(self, status, body):
-        """Symptom: every node ends, and ends again a second after its start.
+    def test_every_replica_or_kv_store_answer_gives_a_result(self, status, body):
+        """Guards against nodes that exit, and exit again a second after each start.
 
-        A KV store answered with something else, and its followers' task ended.
+        A KV store sent an unexpected answer, and in each node the task that follows
+        the store failed.
         """
         api, address = self.api, self.address
-        found = self.ask(api.report(address, "i", limit_ms=500), status, body)
-        self.assertIsInstance(found, ReplicaReport | None)
+        result = self.exchange(api.report(address, "i", limit_ms=500), status, body)
+        self.assertIsInstance(result, ReplicaReport | None)
         call = api.kv_events(address, since=0, wait_ms=0, limit_ms=500)
-        self.assertIsInstance(self.ask(call, status, body), KvUpdate | None)
+        self.assertIsInstance(self.exchange(call, status, body), KvUpdate | None)
         call = api.kv_list(address, limit_ms=500)
-        self.assertIsInstance(self.ask(call, status, body), KvUpdate | None)
+        self.assertIsInstance(self.exchange(call, status, body), KvUpdate | None)
 
 
 class RowTests(unittest.TestCase):
     @fuzz(150)
     @given(bodies())
-    def test_every_row_is_something_or_nothing(self, value):
+    def test_every_row_decodes_to_a_value_or_none(self, value):
         self.assertIsInstance(decode_replica("i", value), ReplicaEntry | None)
         self.assertIsInstance(decode_weight_target(value), WeightTarget | None)
         self.assertIsInstance(decode_configuration(value), Configuration | None)
@@ -130,14 +131,14 @@
 
     @fuzz(60)
     @given(st.lists(st.tuples(names, bodies()), max_size=4), st.booleans())
-    def test_what_follows_tables_goes_on(self, rows, is_whole):
-        news = TableUpdate(
+    def test_table_views_accept_any_rows(self, rows, is_full):
+        update = TableUpdate(
             tuple(
                 TableRow(f"{prefix}{key}", value, at(number))
                 for number, (key, value) in enumerate(rows)
                 for prefix in ("", "node/", "version/", "evacuate/")
             ),
-            is_whole,
+            is_full,
             0,
         )
         clock = Clock()
@@ -148,7 +149,7 @@
             directory=directory,
             pool=ConnectionPool(clock),
             on_gone=lambda state: None,
-        ).on_news(news)
+        ).on_news(update)
         OperatorView(
             clock=clock,
             routes=routes,
@@ -156,24 +157,27 @@
             directory=directory,
             failure_domains=("a",),
             on_configuration=lambda configuration: None,
-        ).on_news(news)
-        PeerRegister(None, "n").on_news(news)
+        ).on_news(update)
+        PeerRegister(None, "n").on_news(update)
 
     @fuzz(150)
     @given(bodies() | suspect_bodies())
-    def test_whatever_a_row_says_of_a_suspect_it_is_decided_and_told(self, value):
-        """Symptom: each answer of a request fails by a fault of the program.
+    def test_any_suspect_row_gives_a_verdict_and_a_packable_message(self, value):
+        """Guards against an internal error for each answered request.
 
-        A row of another writer named a start that no number of a replica is, and
-        the news that it is cleared could not be packed.
+        A row of another writer contained an incarnation id that no replica can have,
+        and the message that the suspect is cleared could not be packed.
         """
         suspects, clock = Suspects(), Clock()
         rows = SuspectRows(suspects, store=None, table="t", node="n", clock=clock)
-        found = (TableRow("suspect/a", value, at(1)), TableRow("trial", value, at(1)))
-        rows.on_table_update(TableUpdate(found, False, 0, position=at(1)))
+        rows_of_suspect = (
+            TableRow("suspect/a", value, at(1)),
+            TableRow("trial", value, at(1)),
+        )
+        rows.on_table_update(TableUpdate(rows_of_suspect, False, 0, position=at(1)))
         verdict = suspects.verdict(clock.now_ms(), "a")
         self.assertIsInstance(verdict, Free | Held | OnTrial)
         if suspects.crashes_of("a"):
             self.assertGreaterEqual(suspects.row_of("a", trials=-1).trials, 0)
-        starts = sorted(suspects.clear("a"))
-        self.assertTrue(pack(ClearNews(fingerprint="a", starts=starts)))
+        incarnation_ids = sorted(suspects.clear("a"))
+        self.assertTrue(pack(ClearNews(fingerprint="a", starts=incarnation_ids)))
--- a/tests/fuzz/test_texts.py
+++ b/tests/fuzz/test_texts.py
@@ -1,4 +1,4 @@
-"""Texts and bytes that people and other systems hand to a node."""
+"""Arbitrary bundles, settings and prompts as input of a node."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 TOML = to_toml(bundle())
 SIGNED = sign_bundle(bundle(), author=ANA, approver=BRUNO)
 settings_names = st.sampled_from([setting.name for setting in SERVE_SETTINGS])
-words = st.sampled_from(
+toml_fragments = st.sampled_from(
     ["[", "]", "=", '"', "'", "\n", "models", "accounts.x", "1e999", "{", "}", "\0"]
 )
 
@@ -42,32 +42,38 @@
         self.check(text)
 
     @fuzz(200)
-    @given(st.integers(0, len(TOML)), st.integers(0, 30), words | st.text(max_size=9))
-    def test_a_changed_bundle_is_a_bundle_or_errors(self, at, cut, put):
-        self.check(TOML[:at] + put + TOML[at + cut :])
+    @given(
+        st.integers(0, len(TOML)),
+        st.integers(0, 30),
+        toml_fragments | st.text(max_size=9),
+    )
+    def test_a_changed_bundle_is_a_bundle_or_errors(
+        self, offset, removed_length, inserted
+    ):
+        self.check(TOML[:offset] + inserted + TOML[offset + removed_length :])
 
     @fuzz(100)
     @given(st.integers(0, len(SIGNED.document) - 1), st.integers(1, 255))
-    def test_a_signed_document_with_a_changed_byte_is_refused(self, at, change):
+    def test_a_signed_document_with_a_changed_byte_is_rejected(self, offset, change):
         document = bytearray(SIGNED.document)
-        document[at] ^= change
-        changed = SignedBundle(bytes(document), *_rest(SIGNED))
+        document[offset] ^= change
+        changed = SignedBundle(bytes(document), *_other_fields(SIGNED))
         result = verify_snapshot(changed, (), roots=ROOTS, deployment="demo")
         self.assertIsInstance(result, BundleError)
 
     @fuzz(100)
     @given(st.binary(max_size=100))
-    def test_any_document_is_refused(self, document):
-        changed = SignedBundle(document, *_rest(SIGNED))
+    def test_any_document_is_rejected(self, document):
+        changed = SignedBundle(document, *_other_fields(SIGNED))
         result = verify_snapshot(changed, (), roots=ROOTS, deployment="demo")
         self.assertIsInstance(result, BundleError)
 
-    def test_the_unchanged_document_is_taken(self):
+    def test_the_unchanged_document_is_accepted(self):
         result = verify_snapshot(SIGNED, (), roots=ROOTS, deployment="demo")
         self.assertIsInstance(result, BundleState)
 
 
-def _rest(signed):
+def _other_fields(signed):
     names = SignedBundle.__struct_fields__[1:]
     return [getattr(signed, name) for name in names]
 
@@ -75,11 +81,11 @@
 class SettingsTests(unittest.TestCase):
     @fuzz(200)
     @given(settings_names, st.text(max_size=30))
-    def test_any_value_is_taken_or_refused_by_name(self, name, text):
+    def test_any_value_is_accepted_or_rejected_by_name(self, name, text):
         result = load(SERVE_SETTINGS, KEYS | {name: text}, {})
         if isinstance(result, Settings):
             return
-        self.assertTrue(all(isinstance(refused, InvalidSetting) for refused in result))
+        self.assertTrue(all(isinstance(error, InvalidSetting) for error in result))
         self.assertIn(name, str(result[0]))
 
 
