--- a/tests/long_run/__init__.py
+++ b/tests/long_run/__init__.py
@@ -1,1 +1,1 @@
-"""``python -m tests.long_run``: real node processes under load and under faults."""
+"""Real node processes under load and faults: ``python -m tests.long_run``."""
--- a/tests/long_run/__main__.py
+++ b/tests/long_run/__main__.py
@@ -1,4 +1,7 @@
-"""Prints the figures of a long run as JSON; exits 1 if anything went wrong."""
+"""Prints the figures of a long run as JSON.
+
+Exits with code 1 if a promise was violated or a call was executed twice.
+"""
 
 import argparse
 import asyncio
--- a/tests/long_run/_nodes.py
+++ b/tests/long_run/_nodes.py
@@ -1,4 +1,4 @@
-"""Node processes that are killed, paused and started again by their own pids."""
+"""Node processes, which are killed, paused and restarted by their pids only."""
 
 import asyncio
 import signal
@@ -10,12 +10,12 @@
 
 from fireflyward.demo import DOMAINS
 
-_READY_S = 0.1
+_READY_POLL_S = 0.1
 _HOST = "127.0.0.1"
 
 
 class NodeProcess:
-    """One ``fireflyward serve`` on fixed ports."""
+    """One ``fireflyward serve`` process on fixed ports."""
 
     def __init__(self, deployment, index: int, log: Path) -> None:
         self.name = f"entry-{index + 1}"
@@ -37,21 +37,21 @@
             "rollout_watch_ms": "500",
             "log_level": "warning",
         }
-        words = [
-            word
+        arguments = [
+            argument
             for name, value in flags.items()
-            for word in (f"--{name.replace('_', '-')}", value)
+            for argument in (f"--{name.replace('_', '-')}", value)
         ]
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                *(sys.executable, "-m", "fireflyward", "serve", *words),
+                *(sys.executable, "-m", "fireflyward", "serve", *arguments),
                 stdout=log,
                 stderr=log,
             )
         while not await self.is_ready():
             if self._process.returncode is not None:
-                raise RuntimeError(f"{self.name} ended; see {self._log}")
-            await asyncio.sleep(_READY_S)
+                raise RuntimeError(f"{self.name} exited; see {self._log}")
+            await asyncio.sleep(_READY_POLL_S)
 
     async def is_ready(self) -> bool:
         timeout = aiohttp.ClientTimeout(total=1.0)
@@ -62,12 +62,12 @@
         except (aiohttp.ClientError, TimeoutError):
             return False
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to this process only."""
         self._process.send_signal(number)
 
-    async def ended(self) -> int:
-        """Wait for the end and return the exit code."""
+    async def wait_for_exit(self) -> int:
+        """Wait until the process exits and return its exit code."""
         return await self._process.wait()
 
     async def close(self) -> None:
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -1,4 +1,4 @@
-"""Load over node processes while things happen to them."""
+"""Sends load to node processes while faults are injected."""
 
 import asyncio
 import random
@@ -24,23 +24,23 @@
 _NODES = 4
 _KEYS = {"bridge-team": "key-bridge", "tower-team": "key-tower"}
 _COSTS = EngineCosts(prefill_ms_per_token=0.02, decode_ms_per_token=2.0)
-_BETWEEN_S = (1.0, 2.5)
-_PAUSE_S = 4.0
-_AWAY_S = 3.0
+_EVENT_INTERVAL_S = (1.0, 2.5)
+_PAUSE_DURATION_S = 4.0
+_OUTAGE_S = 3.0
 _AFTER_STOP_S = 0.5
-_SAMPLE_S = 1.0
+_SAMPLE_INTERVAL_S = 1.0
 
 
 class LongRun:
-    """Holds the stand-ins, the nodes and what happens; ``run`` returns figures.
+    """Runs stand-ins and nodes and injects events; ``run`` returns the figures.
 
-    The first node is paused but never killed, so that its memory can be followed
-    from the start to the end.
+    The first node is paused but never killed, so that its memory can be measured from
+    the start of the run to its end.
     """
 
     def __init__(self, *, seconds: float, seed: int, callers: int) -> None:
         self._seconds = seconds
-        self._drawn = random.Random(seed)
+        self._rng = random.Random(seed)
         self._clock = Clock()
         self._checker = Checker()
         self._plan = LoadPlan(seed, 10_000_000, _KEYS)
@@ -53,7 +53,7 @@
         )
 
     async def run(self) -> dict[str, object]:
-        """Run for the given time and return the figures."""
+        """Run for the given duration and return the figures."""
         with tempfile.TemporaryDirectory() as folder:
             async with self._deployment:
                 self._checker.see(BundleAccepted(self._clock.now_ms(), 1, "1"))
@@ -72,27 +72,27 @@
             await node.start()
         urls = [node.url for node in self._nodes]
         load = LoadRun(self._plan, urls, callers=self._callers, checker=self._checker)
-        loading = asyncio.create_task(load.run())
-        sampling = asyncio.create_task(self._sample())
+        load_task = asyncio.create_task(load.run())
+        sampling_task = asyncio.create_task(self._sample_memory())
         try:
-            await self._let_happen()
+            await self._inject_events()
             load.stop()
-            report = await loading
+            report = await load_task
         finally:
-            sampling.cancel()
-            loading.cancel()
+            sampling_task.cancel()
+            load_task.cancel()
         return self._figures(report)
 
     def _figures(self, report) -> dict[str, object]:
         bodies = Counter(self._deployment.service.bodies)
-        asked = {
+        name_by_body = {
             item.text.encode(): item.name
             for _, item in zip(
                 range(report.requests), draw_requests(self._plan), strict=False
             )
             if item.way is Way.CALL
         }
-        third = max(1, len(self._rss_mb) // 3)
+        third_length = max(1, len(self._rss_mb) // 3)
         return {
             "requests": report.requests,
             "answers": report.answers,
@@ -101,99 +101,99 @@
             "lost": report.lost,
             "unknown": report.unknown,
             "calls_doubled": sum(count > 1 for count in bodies.values()),
-            "calls_run": len(bodies.keys() & asked.keys()),
+            "calls_run": len(bodies.keys() & name_by_body.keys()),
             "retries": report.retries,
             "ttft_ms": report.ttft_ms,
             "events": dict(self._count_by_event),
-            "rss_mb_first_third": round(max(self._rss_mb[:third]), 1),
-            "rss_mb_last_third": round(max(self._rss_mb[-third:]), 1),
+            "rss_mb_first_third": round(max(self._rss_mb[:third_length]), 1),
+            "rss_mb_last_third": round(max(self._rss_mb[-third_length:]), 1),
             "violations": report.violations,
         }
 
-    async def _sample(self) -> None:
+    async def _sample_memory(self) -> None:
         while True:
-            await asyncio.sleep(_SAMPLE_S)
+            await asyncio.sleep(_SAMPLE_INTERVAL_S)
             self._rss_mb.append(self._nodes[0].rss_mb())
 
-    async def _let_happen(self) -> None:
+    async def _inject_events(self) -> None:
         events = {
             "kill": self._kill,
             "pause": self._pause,
-            "planned stop": self._stop,
-            "bundle": self._accept,
-            "table away": self._table_away,
-            "stores slow": self._stores_slow,
-            "engine lost": self._engine_lost,
+            "planned stop": self._planned_stop,
+            "bundle": self._accept_bundle,
+            "table away": self._table_outage,
+            "stores slow": self._slow_stores,
+            "engine lost": self._engine_outage,
         }
-        until_ms = self._clock.now_ms() + self._seconds * 1_000
-        while self._clock.now_ms() < until_ms:
-            await asyncio.sleep(self._drawn.uniform(*_BETWEEN_S))
-            name = self._drawn.choice(sorted(events))
+        end_ms = self._clock.now_ms() + self._seconds * 1_000
+        while self._clock.now_ms() < end_ms:
+            await asyncio.sleep(self._rng.uniform(*_EVENT_INTERVAL_S))
+            name = self._rng.choice(sorted(events))
             self._count_by_event[name] += 1
             await events[name]()
 
-    def _pick(self, *, may_be_first: bool) -> NodeProcess:
-        return self._drawn.choice(self._nodes[0 if may_be_first else 1 :])
+    def _pick_node(self, *, may_be_first: bool) -> NodeProcess:
+        return self._rng.choice(self._nodes[0 if may_be_first else 1 :])
 
     def _see(self, kind, *fields) -> None:
         self._checker.see(kind(self._clock.now_ms(), *fields))
 
     async def _kill(self) -> None:
-        node = self._pick(may_be_first=False)
+        node = self._pick_node(may_be_first=False)
         self._see(NodeLost, node.url)
         self._see(Reachable, node.url, False)
-        node.send(signal.SIGKILL)
-        await node.ended()
+        node.send_signal(signal.SIGKILL)
+        await node.wait_for_exit()
         await node.start()
         self._see(Reachable, node.url, True)
 
     async def _pause(self) -> None:
-        node = self._pick(may_be_first=True)
+        node = self._pick_node(may_be_first=True)
         self._see(Reachable, node.url, False)
-        node.send(signal.SIGSTOP)
-        await asyncio.sleep(_PAUSE_S)
-        node.send(signal.SIGCONT)
+        node.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(_PAUSE_DURATION_S)
+        node.send_signal(signal.SIGCONT)
         self._see(Reachable, node.url, True)
 
-    async def _stop(self) -> None:
-        node = self._pick(may_be_first=False)
+    async def _planned_stop(self) -> None:
+        node = self._pick_node(may_be_first=False)
         self._see(StopBegan, node.url)
-        node.send(signal.SIGTERM)
-        code = await node.ended()
+        node.send_signal(signal.SIGTERM)
+        code = await node.wait_for_exit()
         self._count_by_event[f"planned stop ended with {code}"] += 1
         await asyncio.sleep(_AFTER_STOP_S)
         self._see(NodeLost, node.url)
         await node.start()
 
-    async def _accept(self) -> None:
+    async def _accept_bundle(self) -> None:
         number = self._deployment.accepted_number + 1
         await self._deployment.accept(self._deployment.make_bundle(number))
         self._see(BundleAccepted, number, str(number))
 
-    async def _table_away(self) -> None:
+    async def _table_outage(self) -> None:
         platform = self._deployment.platform
         for node in self._nodes:
             self._see(Reachable, node.url, False)
         platform.table.away = platform.objects.away = True
-        await asyncio.sleep(_AWAY_S)
+        await asyncio.sleep(_OUTAGE_S)
         platform.table.away = platform.objects.away = False
         for node in self._nodes:
             self._see(Reachable, node.url, True)
 
-    async def _stores_slow(self) -> None:
+    async def _slow_stores(self) -> None:
         faults = [server.model.faults for server in self._stores()]
         for fault in faults:
             fault.late_ms = 400.0
-        await asyncio.sleep(_AWAY_S)
+        await asyncio.sleep(_OUTAGE_S)
         for fault in faults:
             fault.late_ms = 0.0
 
     def _stores(self) -> list:
         return list(self._deployment.store_by_name.values())
 
-    async def _engine_lost(self) -> None:
+    async def _engine_outage(self) -> None:
         engines = self._deployment.engine_by_name
-        server = engines[self._drawn.choice(sorted(engines))]
+        server = engines[self._rng.choice(sorted(engines))]
         await server.stop()
-        await asyncio.sleep(_AWAY_S)
+        await asyncio.sleep(_OUTAGE_S)
         await server.start()
