--- a/tests/positions.py
+++ b/tests/positions.py
@@ -4,5 +4,5 @@
 
 
 def at(version, era=0):
-    """Return a position; most tests have one era."""
+    """Return a position; most tests use a single era."""
     return Position(era, version)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples in docstrings show what the code does."""
+"""Runs the examples in docstrings."""
 
 import doctest
 import importlib
@@ -7,7 +7,7 @@
 
 import fireflyward
 
-# Modules that do something when they are imported.
+# Modules with side effects on import.
 _PROGRAMS = ("__main__", "_light_imports")
 
 
@@ -18,7 +18,7 @@
 
 
 class ExampleTests(unittest.TestCase):
-    def test_each_example_gives_what_it_says(self):
+    def test_each_example_gives_its_documented_result(self):
         attempted = 0
         for module in _modules():
             with self.subTest(module.__name__):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,6 +1,6 @@
 import unittest
 
-from tests.__main__ import listed_tests, without
+from tests.__main__ import exclude_tests, listed_tests
 
 LINE = "tests.a.T.test_x | cause | make test | none | seen | issue 1"
 
@@ -18,19 +18,19 @@
         self.assertEqual(listed_tests(LINE + "\n\n"), ["tests.a.T.test_x"])
         self.assertEqual(listed_tests(""), [])
 
-    def test_a_line_without_its_reasons_fails(self):
+    def test_a_line_without_all_fields_is_rejected(self):
         with self.assertRaises(ValueError):
             listed_tests("tests.a.T.test_x")
 
-    def test_a_fourth_fails(self):
+    def test_a_fourth_line_is_rejected(self):
         with self.assertRaises(ValueError):
             listed_tests("\n".join([LINE] * 4))
 
-    def test_only_listed_tests_are_passed_over(self):
+    def test_only_listed_tests_are_excluded(self):
         suite = unittest.TestSuite([_Sample("test_one"), _Sample("test_two")])
-        kept = without(suite, [_Sample("test_one").id()])
-        self.assertEqual([test.id() for test in kept], [_Sample("test_two").id()])
+        remaining = exclude_tests(suite, [_Sample("test_one").id()])
+        self.assertEqual([test.id() for test in remaining], [_Sample("test_two").id()])
 
-    def test_a_line_that_outlived_its_test_fails(self):
+    def test_a_line_without_an_existing_test_is_rejected(self):
         with self.assertRaises(ValueError):
-            without(unittest.TestSuite(), ["tests.gone"])
+            exclude_tests(unittest.TestSuite(), ["tests.gone"])
