--- a/fireflyward/runs/__init__.py
+++ b/fireflyward/runs/__init__.py
@@ -1,8 +1,15 @@
-"""Runs: from an admitted request to its one outcome."""
+"""Runs: each takes an admitted request to its single outcome."""
 
 from ._attempt import Prepare
 from ._budget import RetryBudget
 from ._detached import finish_detached
+from ._idempotency_record import (
+    ClaimResult,
+    EarlierAnswer,
+    EarlierRun,
+    IdempotencyRecord,
+    Permit,
+)
 from ._ids import RunIds
 from ._messages import (
     AttemptEvent,
@@ -25,13 +32,12 @@
     Wait,
     Waited,
 )
-from ._once import ClaimResult, EarlierAnswer, EarlierRun, Once, Permit
-from ._record_of_run import RecordOfRun
 from ._records import RunRecords
+from ._request_record import RequestRecord
 from ._run import Run
 from ._service_task import ServiceTask
 from ._steps import OnceStep, PromptStep, StreamStep
-from ._sweep import LOOK_MS, Sweeper, SweepStep
+from ._sweep import SWEEP_INTERVAL_MS, Sweeper, SweepStep
 from ._task import RunTask
 
 __all__ = [
@@ -49,15 +55,15 @@
     "EarlierAnswer",
     "EarlierRun",
     "End",
-    "LOOK_MS",
+    "SWEEP_INTERVAL_MS",
     "Mark",
-    "Once",
+    "IdempotencyRecord",
     "OnceStep",
     "Permit",
     "Placed",
     "Prepare",
     "PromptStep",
-    "RecordOfRun",
+    "RequestRecord",
     "Resume",
     "RetryBudget",
     "Run",
--- a/tests/daemon/test_kept_duty.py
+++ b/tests/daemon/test_kept_duty.py
@@ -8,10 +8,10 @@
 from fireflyward.bundles import Upstream
 from fireflyward.clock import Clock
 from fireflyward.demo import KEPT_KEY, DemoDeployment
-from fireflyward.kept import BlockNames, ImportAsk, Importer, Wanted
+from fireflyward.kept import BlockNames, Importer, ImportRequest, SlotRequest
 from fireflyward.routing import RunShape
 from fireflyward.standins import EngineCosts, StoreCosts, StoreModel, StoreServer
-from tests.kept.kv_fixtures import Until
+from tests.kept.kv_fixtures import FixedLimit
 
 PROMPT = "Clause 8.4: connections shall be detailed as follows. " * 600
 BLOCK_BYTES = 8 << 20
@@ -92,7 +92,7 @@
 
     async def test_slots_of_crashed_writers_are_swept_by_the_lease_holder_only(self):
         store = self.deployment.store.model
-        store.reserve(Clock().now_ms() - 120_000, (Wanted("aa" * 16, 1),))
+        store.reserve(Clock().now_ms() - 120_000, (SlotRequest("aa" * 16, 1),))
         nodes = list(self.deployment.node_by_name.values())
         async with asyncio.timeout(20):
             while store.used_slots():
@@ -113,8 +113,10 @@
             node.clock, node.kept.url_by_store, lambda model, version: True
         )
         store = node.kept.store_by_name["store-1"]
-        limit = Until(node.clock.now_ms() + 30_000)
+        limit = FixedLimit(node.clock.now_ms() + 30_000)
         for name, engine in node.kept.kv_by_replica.items():
-            import_request = ImportAsk(name, "clauses", "v1", self.block_keys()[:96])
+            import_request = ImportRequest(
+                name, "clauses", "v1", self.block_keys()[:96]
+            )
             result = await importer.load(import_request, engine, store, limit)
             self.assertEqual((result.blocks, result.reason), (96, None))
--- a/tests/faults/_fakes.py
+++ b/tests/faults/_fakes.py
@@ -9,7 +9,7 @@
 from fireflyward.bundles._store import HEAD_KEY, Head
 from fireflyward.checker import BlockRead, BlockSealed, Ran
 from fireflyward.daemon import NodeIO
-from fireflyward.kept import StoreAway
+from fireflyward.kept import StoreUnavailable
 from fireflyward.outcomes import Reason
 from fireflyward.standins import (
     EngineCosts,
@@ -261,7 +261,7 @@
                 network = self._simulation.network
                 connection = await network.connect(self._process, self.name)
             except LinkDown as error:
-                return StoreAway(str(error), False)
+                return StoreUnavailable(str(error), False)
             try:
                 await connection.transfer(CALL_TIMEOUT_MS)
                 store = MemoryStore(
@@ -270,7 +270,7 @@
                 result = await getattr(store, method)(*positional, **named)
                 await connection.transfer(CALL_TIMEOUT_MS)
             except LinkLost as error:
-                return StoreAway(str(error))
+                return StoreUnavailable(str(error))
             return result
 
         return call
--- a/tests/faults/_procedures.py
+++ b/tests/faults/_procedures.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from fireflyward.backing import Committed
-from fireflyward.kept import Wanted
+from fireflyward.kept import SlotRequest
 
 from ._callers import MODEL
 from ._simulation import ACCOUNTS, Simulation
@@ -95,7 +95,7 @@
     """Leave reserved blocks without a payload, and wait for the sweep."""
     for store in simulation.store_by_name.values():
         store.fill(_FILLED_BLOCKS)
-        store.reserve(simulation.clock.now_ms(), (Wanted("ab" * 16, 1),))
+        store.reserve(simulation.clock.now_ms(), (SlotRequest("ab" * 16, 1),))
     await _export_and_import(simulation)
     await simulation.clock.sleep_ms(_SWEEP_MS)
 
