--- a/tests/soak/_callers.py
+++ b/tests/soak/_callers.py
@@ -75,7 +75,7 @@
 
 
 def _problem(result, response, body):
-    """Return what is wrong with an answer by itself, or an empty string."""
+    """Return what is wrong with a single answer, or an empty string."""
     answered_id = response.headers.get("X-Request-Id")
     if response.status != 200:
         is_signed = "X-Server-Seal" in response.headers
--- a/tests/soak/_soak.py
+++ b/tests/soak/_soak.py
@@ -90,9 +90,11 @@
     def check(self):
         """Return the violations that callers and replicas observed.
 
-        Each answer is correct on its own. A non-idempotent request is executed at most
-        once, a rejected one never, and none long after its key was revoked. The
-        fencing tokens of weight orders never decrease, and each has one holder.
+        These conditions are checked: Each answer is correct. A non-idempotent request
+        is executed at most once, a rejected request never, and no request is executed
+        more than ``_REVOCATION_LIMIT_S`` after its key was withdrawn. For each replica
+        the fencing tokens of weight orders never decrease, and each token has one
+        holder.
         """
         violations = list(self.violations)
         execution_counts = Counter(
