--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -1,22 +1,22 @@
-"""The one checker behind the fault matrix, the load tool and the long run."""
+"""The checker that the fault matrix, the load tool and the long run share."""
 
 from functools import singledispatchmethod
 
 from ._blocks import BlockChecker
 from ._bundles import BundleChecker
 from ._observations import (
-    Asked,
+    AttemptEnded,
     BlockFreed,
     BlockRead,
     BlockSealed,
     BundleAccepted,
     BundleServed,
-    CallerLeft,
-    Ended,
+    CallerDisconnected,
     NodeLost,
     Observation,
-    Ran,
-    Reachable,
+    ReachabilityChanged,
+    RequestSent,
+    RunStarted,
     StopBegan,
     UpstreamLeaving,
 )
@@ -24,19 +24,20 @@
 from ._requests import RequestChecker
 
 _LEAVING_LIMIT_MS = 3_000
-_FORCE_LIMIT_MS = 9_000
+_IN_FORCE_LIMIT_MS = 9_000
 
 
 class Checker:
-    """Takes observations in the order of time and says which promises broke.
+    """Receives observations in the order of time and returns the broken promises.
 
-    Without ``sees_platform`` nobody tells it of accepted bundles, and it only holds
-    the numbers that a node serves by against each other.
+    Without ``observes_platform`` the checker receives no ``BundleAccepted``. For
+    bundles it then only checks that the number of each node never decreases.
 
-    >>> from fireflyward.checker import Asked, Checker, Ended, Ending
+    >>> from fireflyward.checker import AttemptEnded, AttemptStatus
+    >>> from fireflyward.checker import Checker, RequestSent
     >>> checker = Checker()
-    >>> checker.see(Asked(0, "r", "a", ("yes",)))
-    >>> checker.see(Ended(9, "r", Ending.ANSWERED, "yes"))
+    >>> checker.observe(RequestSent(0, "r", "a", ("yes",)))
+    >>> checker.observe(AttemptEnded(9, "r", AttemptStatus.ANSWERED, "yes"))
     >>> checker.finish(10)
     ()
     """
@@ -47,17 +48,19 @@
         self,
         *,
         leaving_limit_ms: int = _LEAVING_LIMIT_MS,
-        force_limit_ms: int = _FORCE_LIMIT_MS,
-        sees_platform: bool = True,
+        in_force_limit_ms: int = _IN_FORCE_LIMIT_MS,
+        observes_platform: bool = True,
     ) -> None:
         self._requests = RequestChecker()
         self._blocks = BlockChecker()
-        self._bundles = BundleChecker(force_limit_ms, sees_platform=sees_platform)
+        self._bundles = BundleChecker(
+            in_force_limit_ms, observes_platform=observes_platform
+        )
         self._leaving_limit_ms = leaving_limit_ms
         self._leaving_ms: dict[str, int] = {}
 
     def finish(self, now_ms: int) -> tuple[Violation, ...]:
-        """Return every violation, those of unended requests included."""
+        """Return every violation, including those of requests without an outcome."""
         found = [
             *self._requests.finish(now_ms),
             *self._blocks.violations,
@@ -66,17 +69,19 @@
         return tuple(sorted(found, key=lambda violation: violation.at_ms))
 
     @singledispatchmethod
-    def see(self, observation: Observation) -> None:
-        """Take one observation."""
-        raise TypeError(f"no check takes {observation!r}")
+    def observe(self, observation: Observation) -> None:
+        """Pass one observation to the checks that it concerns."""
+        raise TypeError(f"no check handles {observation!r}")
 
-    @see.register(Asked | Ended | CallerLeft | StopBegan | NodeLost)
+    @observe.register(
+        RequestSent | AttemptEnded | CallerDisconnected | StopBegan | NodeLost
+    )
     def _(self, observation: Observation) -> None:
-        self._requests.see(observation)
+        self._requests.observe(observation)
 
-    @see.register
-    def _(self, observation: Ran) -> None:
-        self._requests.see(observation)
+    @observe.register
+    def _(self, observation: RunStarted) -> None:
+        self._requests.observe(observation)
         left_ms = self._leaving_ms.get(observation.upstream)
         if left_ms is None or observation.at_ms <= left_ms + self._leaving_limit_ms:
             return
@@ -86,14 +91,14 @@
             Violation(Promise.LEAVING_UPSTREAM, observation.at_ms, detail)
         )
 
-    @see.register
+    @observe.register
     def _(self, observation: UpstreamLeaving) -> None:
         self._leaving_ms.setdefault(observation.upstream, observation.at_ms)
 
-    @see.register(BlockSealed | BlockFreed | BlockRead)
+    @observe.register(BlockSealed | BlockFreed | BlockRead)
     def _(self, observation: Observation) -> None:
-        self._blocks.see(observation)
+        self._blocks.observe(observation)
 
-    @see.register(BundleAccepted | BundleServed | Reachable)
+    @observe.register(BundleAccepted | BundleServed | ReachabilityChanged)
     def _(self, observation: Observation) -> None:
-        self._bundles.see(observation)
+        self._bundles.observe(observation)
--- a/tests/entry/test_prefixes.py
+++ b/tests/entry/test_prefixes.py
@@ -48,7 +48,7 @@
         self.assertEqual((status, answer["error"]["type"]), (400, "not_run"))
 
     async def test_complete_prefix_is_accepted_without_the_object_store(self):
-        self.deployment.platform.objects.away = True
+        self.deployment.platform.objects.unavailable = True
         status, headers, _ = await self.complete(
             self.nodes[0], keep="clauses", prefix_text=CLAUSES, prompt="beam 7?"
         )
--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -11,7 +11,13 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
-from fireflyward.checker import Asked, BundleServed, CallerLeft, Ended, Ending
+from fireflyward.checker import (
+    AttemptEnded,
+    AttemptStatus,
+    BundleServed,
+    CallerDisconnected,
+    RequestSent,
+)
 from fireflyward.standins import answer_text
 
 TOKENS = 6
@@ -151,7 +157,7 @@
 
     def __init__(self, simulation, caller_request: CallerRequest) -> None:
         self.caller_request = caller_request
-        self.ending: Ending | None = None
+        self.ending: AttemptStatus | None = None
         self._simulation = simulation
         self._clock = simulation.clock
         self._writer: _Writer | None = None
@@ -164,8 +170,8 @@
         if self.ending is None and not self._has_disconnected:
             self._has_disconnected = True
             self._transport.is_closed = True
-            self._simulation.see(
-                CallerLeft(self._clock.now_ms(), self.caller_request.name)
+            self._simulation.observe(
+                CallerDisconnected(self._clock.now_ms(), self.caller_request.name)
             )
 
     def slow_down(self, slow_ms: int) -> None:
@@ -180,8 +186,8 @@
         at_most_once = caller_request.is_call or caller_request.is_non_idempotent
         versions = self._simulation.versions
         answers = caller_request.possible_answers(versions)
-        self._simulation.see(
-            Asked(
+        self._simulation.observe(
+            RequestSent(
                 started_ms,
                 caller_request.name,
                 caller_request.account,
@@ -218,13 +224,13 @@
                 f"{self.caller_request.name}: internal error"
             )
         is_final = not is_duplicate and (
-            ending is Ending.ANSWERED
-            or (at_most_once and (ending is Ending.UNKNOWN or is_late))
+            ending is AttemptStatus.ANSWERED
+            or (at_most_once and (ending is AttemptStatus.UNKNOWN or is_late))
         )
         run_id = writer.headers.get("X-Request-Id", "")
         now_ms, name = self._clock.now_ms(), node.settings["node_name"]
-        self._simulation.see(
-            Ended(
+        self._simulation.observe(
+            AttemptEnded(
                 now_ms,
                 self.caller_request.name,
                 ending,
@@ -236,9 +242,9 @@
             )
         )
         self.ending = ending if is_final else self.ending
-        if ending is not Ending.CUT:
+        if ending is not AttemptStatus.CUT:
             number = int(writer.headers.get("X-Bundle", 0))
-            self._simulation.see(BundleServed(now_ms, name, number, started_ms))
+            self._simulation.observe(BundleServed(now_ms, name, number, started_ms))
 
     async def _send(self, node) -> _Writer:
         writer = _Writer(self._clock, self._transport)
@@ -278,28 +284,28 @@
     await response.write_eof()
 
 
-def _read(caller_request: CallerRequest, writer: _Writer) -> tuple[Ending, str]:
+def _read(caller_request: CallerRequest, writer: _Writer) -> tuple[AttemptStatus, str]:
     """Parse the part of a response that arrived."""
     outcome = writer.headers.get("X-Outcome", "")
-    if not outcome or (outcome != Ending.ANSWERED and not writer.is_finished):
-        return Ending.CUT, ""
-    if outcome != Ending.ANSWERED:
-        return Ending(outcome), ""
+    if not outcome or (outcome != AttemptStatus.ANSWERED and not writer.is_finished):
+        return AttemptStatus.CUT, ""
+    if outcome != AttemptStatus.ANSWERED:
+        return AttemptStatus(outcome), ""
     if caller_request.is_stream:
         return _read_stream(writer.data)
     if not writer.is_finished:
-        return Ending.CUT, ""
+        return AttemptStatus.CUT, ""
     if caller_request.is_call:
-        return Ending.ANSWERED, writer.data.decode()
-    return Ending.ANSWERED, json.loads(writer.data)["choices"][0]["text"]
+        return AttemptStatus.ANSWERED, writer.data.decode()
+    return AttemptStatus.ANSWERED, json.loads(writer.data)["choices"][0]["text"]
 
 
-def _read_stream(data: bytes) -> tuple[Ending, str]:
+def _read_stream(data: bytes) -> tuple[AttemptStatus, str]:
     text = ""
     for event in data.split(b"\n\n"):
         line = event.rpartition(b"data: ")[2]
         if event.startswith(b"event: error"):
-            return Ending(json.loads(line)["error"]["type"]), text
+            return AttemptStatus(json.loads(line)["error"]["type"]), text
         if line and line != b"[DONE]" and b"data: " in event:
             text += json.loads(line)["choices"][0].get("text") or ""
-    return (Ending.ANSWERED if data.endswith(_DONE) else Ending.CUT), text
+    return (AttemptStatus.ANSWERED if data.endswith(_DONE) else AttemptStatus.CUT), text
--- a/tests/faults/_fakes.py
+++ b/tests/faults/_fakes.py
@@ -7,7 +7,7 @@
 from fireflyward.backing import Unavailable, Uncertain
 from fireflyward.bundles import Upstream
 from fireflyward.bundles._store import HEAD_KEY, Head
-from fireflyward.checker import BlockRead, BlockSealed, Ran
+from fireflyward.checker import BlockRead, BlockSealed, RunStarted
 from fireflyward.daemon import NodeIO
 from fireflyward.kept import StoreUnavailable
 from fireflyward.outcomes import Reason
@@ -126,7 +126,7 @@
         if isinstance(result, Accepted):
             request = request_of(call.prompt)
             execution = (now_ms, self.name, request, call.run_id, result.version, node)
-            self.simulation.see(Ran(*execution))
+            self.simulation.observe(RunStarted(*execution))
             self._report_cache_use(now_ms, call, request, result)
         return result
 
@@ -139,7 +139,7 @@
         for index, key in enumerate(call.block_keys):
             block_fields = self.name, key, self.epoch
             if index < cached:
-                self.simulation.see(
+                self.simulation.observe(
                     BlockSealed(
                         now_ms, *block_fields, *self.simulation.owner_by_key[key], ""
                     )
@@ -147,10 +147,10 @@
                 read = BlockRead(
                     now_ms, now_ms, *block_fields, "", request, account, call.version
                 )
-                self.simulation.see(read)
+                self.simulation.observe(read)
             else:
                 sealed = BlockSealed(now_ms, *block_fields, account, call.version, "")
-                self.simulation.see(sealed)
+                self.simulation.observe(sealed)
 
     def report(self):
         now_ms = self.simulation.clock.now_ms()
@@ -331,7 +331,7 @@
                 return Refused(Reason.OVERLOADED, "the service did not run it")
             clock, request = self._network.clock, request_of(call.body.decode())
             execution = (clock.now_ms(), self._name, request, call.run_id)
-            self._simulation.see(Ran(*execution, node=self._process.name))
+            self._simulation.observe(RunStarted(*execution, node=self._process.name))
             await clock.sleep_ms(_SERVICE_WORK_MS)
             await connection.transfer()
         except LinkLost as error:
--- a/tests/faults/_faults.py
+++ b/tests/faults/_faults.py
@@ -103,8 +103,8 @@
 def _make_unavailable(name: str) -> InjectFault:
     def inject(simulation, process):
         service = getattr(simulation, name)
-        service.away = True
-        return lambda: setattr(service, "away", False)
+        service.unavailable = True
+        return lambda: setattr(service, "unavailable", False)
 
     return inject
 
@@ -192,7 +192,7 @@
     """An engine reports that it is leaving, but still accepts requests."""
     vm = _busiest_engine(simulation)
     vm.is_leaving = True
-    simulation.see(UpstreamLeaving(simulation.clock.now_ms(), vm.name))
+    simulation.observe(UpstreamLeaving(simulation.clock.now_ms(), vm.name))
 
 
 @_register_fault("operators race")
@@ -284,6 +284,6 @@
 IMPOSSIBLE: dict[tuple[str, str], str] = {}
 _register_store_fault("store dies", _crash_store, _RESTART_MS)
 _register_store_fault("store full", _store_full)
-_register_store_fault("cache events late", _cache_event_fault(late=4))
-_register_store_fault("cache events doubled", _cache_event_fault(doubled=True))
+_register_store_fault("cache events late", _cache_event_fault(withheld=4))
+_register_store_fault("cache events doubled", _cache_event_fault(duplicated=True))
 _register_store_fault("cache events missing", _cache_event_fault(drop_every=2))
--- a/tests/faults/_simulation.py
+++ b/tests/faults/_simulation.py
@@ -20,7 +20,13 @@
     verify_change,
     verify_snapshot,
 )
-from fireflyward.checker import BundleAccepted, Checker, NodeLost, Reachable, StopBegan
+from fireflyward.checker import (
+    BundleAccepted,
+    Checker,
+    NodeLost,
+    ReachabilityChanged,
+    StopBegan,
+)
 from fireflyward.clock import ManualClock
 from fireflyward.daemon import Node
 from fireflyward.settings import SERVE_SETTINGS, load
@@ -89,8 +95,8 @@
             self.engine_by_name[name] = EngineVm(self, name, {MODEL: "v1"})
             self.network.add(f"service-{domain}", domain)
 
-    def see(self, observation) -> None:
-        self.checker.see(observation)
+    def observe(self, observation) -> None:
+        self.checker.observe(observation)
 
     async def start(self) -> None:
         """Accept the first bundle and start the nodes."""
@@ -175,7 +181,7 @@
             )
         else:
             self.bundle_state = verify_change(signed, base, deployment="demo")
-        self.see(BundleAccepted(self.clock.now_ms(), number, digest))
+        self.observe(BundleAccepted(self.clock.now_ms(), number, digest))
 
     async def start_node(self, name: str, domain: str) -> Node:
         process = self.network.add(name, domain)
@@ -240,7 +246,7 @@
         )
 
     def kill_node(self, node: Node) -> None:
-        self.see(NodeLost(self.clock.now_ms(), node.settings["node_name"]))
+        self.observe(NodeLost(self.clock.now_ms(), node.settings["node_name"]))
         node.io.is_listening = False
         node.process.crash()
         for task in node._tasks:
@@ -251,7 +257,7 @@
 
     def stop_node(self, name: str) -> asyncio.Task:
         node = self.node_by_name[name]
-        self.see(StopBegan(self.clock.now_ms(), name))
+        self.observe(StopBegan(self.clock.now_ms(), name))
         return node.process.spawn(node.stop())
 
     def report_reachability(self) -> None:
@@ -259,7 +265,7 @@
 
         A node can reach it directly or through another failure domain.
         """
-        is_platform_unavailable = self.table.away or self.objects.away
+        is_platform_unavailable = self.table.unavailable or self.objects.unavailable
         connected_domains = {
             domain
             for domain in DOMAINS
@@ -275,7 +281,7 @@
             }
             is_paused = node.process.paused_until_ms > self.clock.now_ms()
             is_reachable = bool(paths) and not is_paused
-            self.see(Reachable(self.clock.now_ms(), name, is_reachable))
+            self.observe(ReachabilityChanged(self.clock.now_ms(), name, is_reachable))
 
     async def close(self) -> None:
         """Crash all processes and cancel all tasks."""
--- a/tests/faults/_stores.py
+++ b/tests/faults/_stores.py
@@ -23,7 +23,7 @@
             owner = self.simulation.owner_by_key.get(ref.key, ("", ""))
             now_ms = self.simulation.clock.now_ms()
             block_fields = self.name, ref.key, ref.generation
-            self.simulation.see(
+            self.simulation.observe(
                 BlockSealed(now_ms, *block_fields, *owner, ref.checksum)
             )
         return published
@@ -41,7 +41,7 @@
         if slot.key:
             now_ms = self.simulation.clock.now_ms()
             freed = BlockFreed(now_ms, self.name, slot.key, slot.generation)
-            self.simulation.see(freed)
+            self.simulation.observe(freed)
 
     def fill(self, blocks: int) -> None:
         """Publish ``blocks`` unrelated blocks."""
@@ -63,19 +63,19 @@
         super().__init__(engine, clock, store_of, 0.0)
         self.simulation = simulation
 
-    async def _load(self, store, ref):
+    async def _load_block(self, store, ref):
         payload = await store.read(ref)
         self.read_at_ms = self.clock.now_ms()
         return payload
 
-    async def _fetch(self, order, ref, until_ms):
-        payload = await super()._fetch(order, ref, until_ms)
+    async def _fetch(self, order, ref, deadline_ms):
+        payload = await super()._fetch(order, ref, deadline_ms)
         if isinstance(payload, bytes):
             owner = self.simulation.owner_by_key.get(ref.key, ("", ""))
             checksum = block_checksum(ref.key, ref.generation, payload)
             block_fields = ref.store, ref.key, ref.generation
             now_ms = self.clock.now_ms()
-            self.simulation.see(
+            self.simulation.observe(
                 BlockRead(
                     now_ms,
                     self.read_at_ms,
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -111,7 +111,7 @@
     engines = simulation.engine_by_name.values()
     vm = max(engines, key=lambda engine: len(engine.model.run_by_id))
     vm.is_leaving = True
-    simulation.see(UpstreamLeaving(simulation.clock.now_ms(), vm.name))
+    simulation.observe(UpstreamLeaving(simulation.clock.now_ms(), vm.name))
     await simulation.clock.sleep_ms(3_100)
     await asyncio.gather(
         *(simulation.start_caller(f"prompt-{index}") for index in range(8))
@@ -139,7 +139,7 @@
         node.apply(simulation.make_bundle(1))
         number = node.holder.number
         name = node.settings["node_name"]
-        simulation.see(BundleServed(simulation.clock.now_ms(), name, number))
+        simulation.observe(BundleServed(simulation.clock.now_ms(), name, number))
 
 
 async def one_prompt(simulation):
--- a/tests/kept/test_export.py
+++ b/tests/kept/test_export.py
@@ -63,15 +63,15 @@
                 self.assertEqual(self.store.model.used_slots(), kept)
 
     async def test_blocks_after_a_missing_one_are_abandoned(self):
-        self.world.engine.cache._place_by_key.pop(KEYS[2])
+        self.world.engine.cache._entry_by_key.pop(KEYS[2])
         result = await self.export()
         self.assertEqual(result.blocks, 2)
         self.assertEqual(self.store.model.used_slots(), 2)
 
     async def test_export_to_an_unavailable_or_full_store_stores_nothing(self):
-        self.store.model.faults.dead = True
+        self.store.model.faults.unavailable = True
         self.assertIsInstance(await self.export(), NotExported)
-        self.store.model.faults.dead = False
+        self.store.model.faults.unavailable = False
         self.store.model.faults.full = True
         self.assertEqual(await self.export(), Exported(0, is_full=True))
 
--- a/tests/kept/test_import.py
+++ b/tests/kept/test_import.py
@@ -57,7 +57,7 @@
 
     async def test_store_faults_cause_recomputation_and_are_counted(self):
         cases = {
-            "dead": MissReason.STORE_AWAY,
+            "unavailable": MissReason.STORE_AWAY,
             "wrong_bytes": MissReason.WRONG_CHECKSUM,
             "damaged_bytes": MissReason.WRONG_CHECKSUM,
         }
@@ -76,7 +76,7 @@
 
         The store needs seconds to answer, and imports had no limit.
         """
-        self.store.model.faults.late_ms = 60_000
+        self.store.model.faults.delay_ms = 60_000
         began_ms = self.world.clock.now_ms()
         result = await self.load(limit_ms=25)
         self.assertEqual(result.reason, MissReason.DEADLINE)
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -11,12 +11,12 @@
     BundleAccepted,
     Checker,
     NodeLost,
-    Reachable,
+    ReachabilityChanged,
     StopBegan,
 )
 from fireflyward.clock import Clock
 from fireflyward.demo import DemoDeployment
-from fireflyward.load import LoadPlan, LoadRun, Way, draw_requests
+from fireflyward.load import LoadPlan, LoadRun, RequestMode, draw_requests
 from fireflyward.standins import EngineCosts
 
 from ._nodes import NodeProcess
@@ -56,7 +56,7 @@
         """Run for the given duration and return the figures."""
         with tempfile.TemporaryDirectory() as folder:
             async with self._deployment:
-                self._checker.see(BundleAccepted(self._clock.now_ms(), 1, "1"))
+                self._checker.observe(BundleAccepted(self._clock.now_ms(), 1, "1"))
                 try:
                     return await self._run(Path(folder))
                 finally:
@@ -90,7 +90,7 @@
             for _, item in zip(
                 range(report.requests), draw_requests(self._plan), strict=False
             )
-            if item.way is Way.CALL
+            if item.mode is RequestMode.CALL
         }
         third_length = max(1, len(self._rss_mb) // 3)
         return {
@@ -136,24 +136,24 @@
         return self._rng.choice(self._nodes[0 if may_be_first else 1 :])
 
     def _see(self, kind, *fields) -> None:
-        self._checker.see(kind(self._clock.now_ms(), *fields))
+        self._checker.observe(kind(self._clock.now_ms(), *fields))
 
     async def _kill(self) -> None:
         node = self._pick_node(may_be_first=False)
         self._see(NodeLost, node.url)
-        self._see(Reachable, node.url, False)
+        self._see(ReachabilityChanged, node.url, False)
         node.send_signal(signal.SIGKILL)
         await node.wait_for_exit()
         await node.start()
-        self._see(Reachable, node.url, True)
+        self._see(ReachabilityChanged, node.url, True)
 
     async def _pause(self) -> None:
         node = self._pick_node(may_be_first=True)
-        self._see(Reachable, node.url, False)
+        self._see(ReachabilityChanged, node.url, False)
         node.send_signal(signal.SIGSTOP)
         await asyncio.sleep(_PAUSE_DURATION_S)
         node.send_signal(signal.SIGCONT)
-        self._see(Reachable, node.url, True)
+        self._see(ReachabilityChanged, node.url, True)
 
     async def _planned_stop(self) -> None:
         node = self._pick_node(may_be_first=False)
@@ -173,20 +173,20 @@
     async def _table_outage(self) -> None:
         platform = self._deployment.platform
         for node in self._nodes:
-            self._see(Reachable, node.url, False)
-        platform.table.away = platform.objects.away = True
+            self._see(ReachabilityChanged, node.url, False)
+        platform.table.unavailable = platform.objects.unavailable = True
         await asyncio.sleep(_OUTAGE_S)
-        platform.table.away = platform.objects.away = False
+        platform.table.unavailable = platform.objects.unavailable = False
         for node in self._nodes:
-            self._see(Reachable, node.url, True)
+            self._see(ReachabilityChanged, node.url, True)
 
     async def _slow_stores(self) -> None:
         faults = [server.model.faults for server in self._stores()]
         for fault in faults:
-            fault.late_ms = 400.0
+            fault.delay_ms = 400.0
         await asyncio.sleep(_OUTAGE_S)
         for fault in faults:
-            fault.late_ms = 0.0
+            fault.delay_ms = 0.0
 
     def _stores(self) -> list:
         return list(self._deployment.store_by_name.values())
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -46,7 +46,7 @@
         self.simulation = FaultySimulation()
         # An engine that forgets order ids executes an order that arrives too late.
         for orders in self.simulation.fleet.orders_by_name.values():
-            orders.remembers_ids = False
+            orders.deduplicates_orders = False
         self.number = 1
         self.drivers_started = 0
         self.is_capacity_checked = True
@@ -97,16 +97,16 @@
 
     @rule(duration_ms=st.sampled_from((1_000, 15_000)))
     def table_unavailable(self, duration_ms):
-        self.simulation.table.away = True
+        self.simulation.table.unavailable = True
         self.run_ms(duration_ms)
-        self.simulation.table.away = False
+        self.simulation.table.unavailable = False
 
     @rule(name=st.sampled_from(REPLICAS), duration_ms=st.sampled_from((3_000, 70_000)))
     def replica_unavailable(self, name, duration_ms):
         self.is_capacity_checked = self.simulation.is_floor_checked = False
-        self.simulation.fleet.orders_by_name[name].away = True
+        self.simulation.fleet.orders_by_name[name].unavailable = True
         self.run_ms(duration_ms)
-        self.simulation.fleet.orders_by_name[name].away = False
+        self.simulation.fleet.orders_by_name[name].unavailable = False
 
     @rule(duration_ms=st.sampled_from((500, 1_500)), kills=st.booleans())
     def hold_orders(self, duration_ms, kills):
@@ -131,7 +131,7 @@
         self.is_capacity_checked = self.simulation.is_floor_checked = False
         self.simulation.are_loads_checked = False
         for engine in self.simulation.fleet.engine_by_name.values():
-            engine.let_go()
+            engine.deliver_held_orders()
 
     @rule(name=st.sampled_from(REPLICAS))
     def fail_a_load(self, name):
@@ -141,13 +141,13 @@
     @invariant()
     def at_most_two_loads(self):
         if self.simulation.are_loads_checked:
-            assert self.simulation.fleet.weights.most_at_once <= 2
+            assert self.simulation.fleet.weights.max_concurrent_loads <= 2
         assert len(self.simulation.row.claims) <= 2
 
     @invariant()
     def orders_arrive_in_order_of_holders(self):
         for orders in self.simulation.fleet.orders_by_name.values():
-            numbers = [order.fencing for order in orders.taken]
+            numbers = [order.fencing for order in orders.applied_orders]
             assert numbers == sorted(numbers), numbers
 
     @invariant()
@@ -163,7 +163,7 @@
     @invariant()
     def capacity_stays_above_the_floor(self):
         if self.is_capacity_checked:
-            serving = self.simulation.fleet.serving(
+            serving = self.simulation.fleet.count_serving(
                 self.simulation.clock.now_ms(), MODEL
             )
             assert serving >= self.simulation.limits.floor_of(len(REPLICAS)), serving
@@ -173,13 +173,13 @@
         self.loop.close()
 
     async def recover(self):
-        self.simulation.table.away = False
+        self.simulation.table.unavailable = False
         self.simulation.table.lose_answers = 0
         self.simulation.are_loads_checked = self.simulation.is_floor_checked = False
         for name, orders in self.simulation.fleet.orders_by_name.items():
             orders.fail_loads = orders.lose_answers = 0
-            orders.away = False
-            self.simulation.fleet.engine_by_name[name].let_go()
+            orders.unavailable = False
+            self.simulation.fleet.engine_by_name[name].deliver_held_orders()
         await self.simulation.finish(RECOVERY_LIMIT_MS)
         if self.simulation.row.phase == Phase.HELD:
             self.number += 1
--- a/tests/runs/test_once.py
+++ b/tests/runs/test_once.py
@@ -200,7 +200,7 @@
         self.assertEqual(text, WANTED)
 
     async def test_request_with_the_table_unavailable_is_not_run(self):
-        self.table.away = True
+        self.table.unavailable = True
         _, outcome = await self.await_within(self.collect(self.make()), 200)
         self.assertIsInstance(outcome, NotRun)
         self.assertEqual(outcome.reason, Reason.PLATFORM_AWAY)
--- a/tests/runs/test_properties.py
+++ b/tests/runs/test_properties.py
@@ -57,7 +57,7 @@
             "unreachable",
             "paused",
             "paused",
-            "late_ms",
+            "delay_ms",
         ]
     ),
     st.integers(0, TOKENS),
@@ -151,12 +151,12 @@
             name, fault, after = argument
             for faults in self.faults_of(name):
                 faults.after_tokens = after
-                setattr(faults, fault, 700 if fault == "late_ms" else 1)
+                setattr(faults, fault, 700 if fault == "delay_ms" else 1)
         elif kind == "heal":
             faults = self.engine_by_name[argument].faults
             faults.unreachable = faults.paused = False
         elif kind == "table":
-            self.table.away = argument == "away"
+            self.table.unavailable = argument == "away"
             self.table.lose_answers = int(argument == "lose_answers")
         elif kind == "submit":
             self.submit(argument)
@@ -195,7 +195,7 @@
         """End all lasting faults and let every run end."""
         for engine in self.engine_by_name.values():
             engine.faults.unreachable = engine.faults.paused = False
-        self.table.away = False
+        self.table.unavailable = False
         await self.pass_ms(61_000)
 
     def started(self):
--- a/tests/runs/test_records.py
+++ b/tests/runs/test_records.py
@@ -157,7 +157,7 @@
         )
 
     async def test_request_is_rejected_immediately_if_the_table_is_unavailable(self):
-        self.table.away = True
+        self.table.unavailable = True
         result = await self.await_within(self.record(0).claim("r"), 1)
         self.assertEqual((type(result), result.reason), (NotRun, Reason.PLATFORM_AWAY))
 
@@ -170,7 +170,7 @@
         await self.await_within(self.record(0).claim("r"))
 
         async def get(key):
-            self.table.away = True
+            self.table.unavailable = True
             return await MemoryTable.get(self.table, key)
 
         self.table.get = get
--- a/tests/runs/test_sweep.py
+++ b/tests/runs/test_sweep.py
@@ -126,5 +126,5 @@
 
     async def test_unavailable_table_causes_no_deletion_and_no_error(self):
         await self.finish(self.record().claim("r"))
-        self.table.away = True
+        self.table.unavailable = True
         self.assertEqual(await self.finish(self.sweeper.poll()), 0)
