--- a/tests/faults/_callers.py
+++ b/tests/faults/_callers.py
@@ -157,7 +157,7 @@
 
     def __init__(self, simulation, caller_request: CallerRequest) -> None:
         self.caller_request = caller_request
-        self.ending: AttemptStatus | None = None
+        self.status: AttemptStatus | None = None
         self._simulation = simulation
         self._clock = simulation.clock
         self._writer: _Writer | None = None
@@ -167,7 +167,7 @@
 
     def disconnect(self) -> None:
         """Disconnect permanently."""
-        if self.ending is None and not self._has_disconnected:
+        if self.status is None and not self._has_disconnected:
             self._has_disconnected = True
             self._transport.is_closed = True
             self._simulation.observe(
@@ -195,14 +195,14 @@
                 at_most_once,
             )
         )
-        while not self._has_disconnected and self.ending is None:
+        while not self._has_disconnected and self.status is None:
             is_late = self._clock.now_ms() - started_ms > _TIMEOUT_MS
             node = self._simulation.next_ready_node()
             if node is not None:
                 await self._attempt(node, at_most_once, is_late)
             elif is_late:
                 return
-            if self.ending is None:
+            if self.status is None:
                 await self._clock.sleep_ms(_PAUSE_MS)
 
     async def send_duplicate(self) -> None:
@@ -218,14 +218,14 @@
         writer = await self._send(node)
         if self._has_disconnected:
             return
-        ending, text = _read(self.caller_request, writer)
+        status, text = _read(self.caller_request, writer)
         if b'"code":"internal"' in writer.data:
             self._simulation.errors.append(
                 f"{self.caller_request.name}: internal error"
             )
         is_final = not is_duplicate and (
-            ending is AttemptStatus.ANSWERED
-            or (at_most_once and (ending is AttemptStatus.UNKNOWN or is_late))
+            status is AttemptStatus.ANSWERED
+            or (at_most_once and (status is AttemptStatus.UNKNOWN or is_late))
         )
         run_id = writer.headers.get("X-Request-Id", "")
         now_ms, name = self._clock.now_ms(), node.settings["node_name"]
@@ -233,7 +233,7 @@
             AttemptEnded(
                 now_ms,
                 self.caller_request.name,
-                ending,
+                status,
                 text,
                 run_id,
                 name,
@@ -241,8 +241,8 @@
                 started_ms,
             )
         )
-        self.ending = ending if is_final else self.ending
-        if ending is not AttemptStatus.CUT:
+        self.status = status if is_final else self.status
+        if status is not AttemptStatus.CUT:
             number = int(writer.headers.get("X-Bundle", 0))
             self._simulation.observe(BundleServed(now_ms, name, number, started_ms))
 
--- a/tests/long_run/_run.py
+++ b/tests/long_run/_run.py
@@ -135,50 +135,50 @@
     def _pick_node(self, *, may_be_first: bool) -> NodeProcess:
         return self._rng.choice(self._nodes[0 if may_be_first else 1 :])
 
-    def _see(self, kind, *fields) -> None:
+    def _observe(self, kind, *fields) -> None:
         self._checker.observe(kind(self._clock.now_ms(), *fields))
 
     async def _kill(self) -> None:
         node = self._pick_node(may_be_first=False)
-        self._see(NodeLost, node.url)
-        self._see(ReachabilityChanged, node.url, False)
+        self._observe(NodeLost, node.url)
+        self._observe(ReachabilityChanged, node.url, False)
         node.send_signal(signal.SIGKILL)
         await node.wait_for_exit()
         await node.start()
-        self._see(ReachabilityChanged, node.url, True)
+        self._observe(ReachabilityChanged, node.url, True)
 
     async def _pause(self) -> None:
         node = self._pick_node(may_be_first=True)
-        self._see(ReachabilityChanged, node.url, False)
+        self._observe(ReachabilityChanged, node.url, False)
         node.send_signal(signal.SIGSTOP)
         await asyncio.sleep(_PAUSE_DURATION_S)
         node.send_signal(signal.SIGCONT)
-        self._see(ReachabilityChanged, node.url, True)
+        self._observe(ReachabilityChanged, node.url, True)
 
     async def _planned_stop(self) -> None:
         node = self._pick_node(may_be_first=False)
-        self._see(StopBegan, node.url)
+        self._observe(StopBegan, node.url)
         node.send_signal(signal.SIGTERM)
         code = await node.wait_for_exit()
         self._count_by_event[f"planned stop ended with {code}"] += 1
         await asyncio.sleep(_AFTER_STOP_S)
-        self._see(NodeLost, node.url)
+        self._observe(NodeLost, node.url)
         await node.start()
 
     async def _accept_bundle(self) -> None:
         number = self._deployment.accepted_number + 1
         await self._deployment.accept(self._deployment.make_bundle(number))
-        self._see(BundleAccepted, number, str(number))
+        self._observe(BundleAccepted, number, str(number))
 
     async def _table_outage(self) -> None:
         platform = self._deployment.platform
         for node in self._nodes:
-            self._see(ReachabilityChanged, node.url, False)
+            self._observe(ReachabilityChanged, node.url, False)
         platform.table.unavailable = platform.objects.unavailable = True
         await asyncio.sleep(_OUTAGE_S)
         platform.table.unavailable = platform.objects.unavailable = False
         for node in self._nodes:
-            self._see(ReachabilityChanged, node.url, True)
+            self._observe(ReachabilityChanged, node.url, True)
 
     async def _slow_stores(self) -> None:
         faults = [server.model.faults for server in self._stores()]
