--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -1,4 +1,4 @@
-"""How a node joins the others: it finds them, is listed, and opens its link."""
+"""How a node joins the fleet: it finds the others, is listed and opens its link."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Collection
@@ -10,21 +10,21 @@
 from fireflyward.peers import Address, PeerCodec, PeerLink
 
 from ._paces import nodes_pace
-from ._peers import NODE_TABLE, OLD_LIST_MS, NodeRow, PeerRegister
+from ._peers import MAX_LIST_AGE_MS, NODE_TABLE, NodeRegistry, NodeRow
 
-# Tables are read from an aggregator, which is spoken to over the link between nodes.
-# That is open, and the others are listed, some 300 ms after the start; if they are
-# not by then, the store is asked.
-_PATIENCE_MS = 1_500
+# A node reads the tables from an aggregator, over the link between nodes. The link is
+# normally open, and the other nodes are listed, some 300 ms after the start. After this
+# timeout the node starts to read anyway, from the store if necessary.
+_JOIN_TIMEOUT_MS = 1_500
 
 
 class Joining:
-    """Follows the table of nodes; the link opens once the key of messages is known.
+    """Follows the table of nodes, and opens the link once the message key is known.
 
-    ``on_nodes`` hears the names of all nodes whenever the table was read,
-    ``on_rows`` all that changed in it, for whoever keeps other rows there, and
-    ``on_link`` prepares the link before it is started and returns a second step for
-    when it is open.
+    ``on_nodes`` gets the names of all nodes after each read of the table. ``on_rows``
+    gets each update of the table, for components that keep other rows in it.
+    ``on_link`` prepares the link before it is started, and returns a function that is
+    called once the link is open.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         settings: FleetSettings,
         *,
         clock: Clock,
-        register: PeerRegister,
+        registry: NodeRegistry,
         tables: SharedTables,
         aggregators: Aggregators,
         on_nodes: Callable[[Collection[str]], None],
@@ -43,70 +43,70 @@
         self._codec: PeerCodec | None = None
         self._settings = settings
         self._clock = clock
-        self._register = register
+        self._registry = registry
         self._aggregators = aggregators
         self._on_nodes = on_nodes
         self._on_rows = on_rows
-        self._is_wanted_soon = asyncio.Event()
+        self._poll_requested = asyncio.Event()
         self._on_link = on_link
-        self._has_joined = asyncio.Event()
+        self._joined = asyncio.Event()
         self._follower = FeedFollower(
             NODE_TABLE,
             reader=tables,
             clock=clock,
             on_update=tables.caching_listener(
-                NODE_TABLE, self._on_news, max_age_ms=OLD_LIST_MS
+                NODE_TABLE, self._on_table_update, max_age_ms=MAX_LIST_AGE_MS
             ),
             pace=self._pace,
         )
 
     async def run(self) -> None:
-        """Follow the table, and write what of this node is missing there."""
+        """Follow the table, and write the rows of this node that it lacks."""
         port = self._settings.peer_ports[0]
         if port:
-            self._register.announce(self._own_row((self._settings.ip, port)))
+            self._registry.announce(self._own_row((self._settings.ip, port)))
         while True:
             if await self._follower.step():
-                await self._take_nodes()
+                await self._apply_node_table()
             await self._pause(self._follower.pause_ms)
 
-    def look_soon(self) -> None:
-        """Read the table as soon as the call that is under way has ended."""
-        self._is_wanted_soon.set()
+    def poll_soon(self) -> None:
+        """Read the table again at once, or after the read that is in flight."""
+        self._poll_requested.set()
 
-    async def once_joined(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Begin some work when this node can be answered by others, or soon after."""
-        await within_ms(self._clock, _PATIENCE_MS, self._has_joined.wait())
+    async def run_after_joining(self, work: Callable[[], Awaitable[None]]) -> None:
+        """Start some work once this node has joined, or after a timeout."""
+        await within_ms(self._clock, _JOIN_TIMEOUT_MS, self._joined.wait())
         await work()
 
     async def _pause(self, pause_ms: int) -> None:
-        await within_ms(self._clock, pause_ms, self._is_wanted_soon.wait())
-        self._is_wanted_soon.clear()
+        await within_ms(self._clock, pause_ms, self._poll_requested.wait())
+        self._poll_requested.clear()
 
-    def _on_news(self, news: TableUpdate) -> None:
-        self._register.on_news(news)
-        self._on_rows(news)
+    def _on_table_update(self, update: TableUpdate) -> None:
+        self._registry.on_table_update(update)
+        self._on_rows(update)
 
     def _pace(self) -> Pace:
         return nodes_pace(
-            is_complete=self._register.is_complete,
+            is_complete=self._registry.is_complete,
             is_shared=self._aggregators.are_needed,
         )
 
-    async def _take_nodes(self) -> None:
-        self._on_nodes(self._register.names())
-        self._aggregators.set_members(self._register.others())
-        if self._register.key is not None:
-            await self._use_key(self._register.key)
-        await self._register.write_missing(self._clock.now_ms())
-        if self._register.is_complete:
-            self._has_joined.set()
+    async def _apply_node_table(self) -> None:
+        self._on_nodes(self._registry.names())
+        self._aggregators.set_members(self._registry.others())
+        if self._registry.key is not None:
+            await self._use_key(self._registry.key)
+        await self._registry.write_missing(self._clock.now_ms())
+        if self._registry.is_complete:
+            self._joined.set()
 
     async def _use_key(self, key: bytes) -> None:
-        """Open the link, or have it seal with a key that replaced the last one.
+        """Open the link, or rotate its key if another key replaced the last one.
 
-        The store may lose the key in a drill, and a node that starts before anybody
-        has written it again draws another.
+        The store lacks the key if it is restored from an older snapshot, and a node
+        that starts before another one has written the key again creates a new one.
         """
         if self._codec is None:
             self._codec = PeerCodec((key,))
@@ -125,7 +125,7 @@
         on_open = self._on_link(link)
         await link.start()
         self.link = link
-        self._register.announce(self._own_row(link.address))
+        self._registry.announce(self._own_row(link.address))
         on_open()
 
     def _own_row(self, address: Address) -> NodeRow:
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -1,4 +1,4 @@
-"""One process of a fleet: its parts, put together, from start to stop."""
+"""One node of a fleet: creates, connects, starts and stops its components."""
 
 import asyncio
 import logging
@@ -27,42 +27,43 @@
 from fireflyward.routes import RouteTable
 from fireflyward.weights import LoadAnnouncer, WeightTask
 
-from ._callers import CallerDoor
+from ._callers import CallerServer
 from ._gauges import link_gauges
 from ._joining import Joining
-from ._known_replicas import KnownReplicas
-from ._lost_rows import LostRows
-from ._own_pages import OwnPages
+from ._kv_stores import KvStoreFollowers
+from ._lost_rows import LostRowRecovery
 from ._paces import configuration_pace, replicas_pace
-from ._peers import NODE_TABLE, PeerRegister
+from ._peers import NODE_TABLE, NodeRegistry
+from ._replica_components import ReplicaComponents
 from ._start_gate import StartGate
-from ._stores import StoreFollowing
+from ._status_server import StatusServer
 from ._views import OperatorView, ReplicaView
 
 log = logging.getLogger("fireflyward.node")
 
-# Nodes that look for the lease. All of them looking would be a call a second each;
-# if all of these are gone at once the others find it within a minute.
-_CONTENDERS = 7
-# The balancer takes a node out after two questions, a second apart, without a 200.
-_NOTICED_MS = 2_600
-# What is kept of the grace for the last writes.
+# The number of nodes that contend for the lease. If all nodes did, each would make one
+# call per second. If all contenders are gone at once, the other nodes notice it within
+# a minute.
+_MAX_CONTENDERS = 7
+# The balancer removes a node after two failed readiness checks, which are 1 s apart.
+_BALANCER_NOTICE_MS = 2_600
+# The part of the grace period that is reserved for the last writes.
 _EXIT_MARGIN_MS = 500
 _LEASE = "weights"
 _METRICS_PORT_OFFSET = 1
 
 
 class FleetNode:
-    """Starts the parts in order, and stops them in the other."""
+    """Creates, connects, starts and stops the components of one node."""
 
     def __init__(
         self,
         settings: FleetSettings,
         *,
         clock: Clock,
-        noticed_ms: int = _NOTICED_MS,
+        balancer_notice_ms: int = _BALANCER_NOTICE_MS,
     ) -> None:
-        self._noticed_ms = noticed_ms
+        self._balancer_notice_ms = balancer_notice_ms
         bounds = settings.bounds
         self._settings = settings
         self._clock = clock
@@ -72,24 +73,24 @@
         self._weights = WeightVersions(version_ms=bounds.version_ms)
         self._routes = RouteTable(
             revoke_ms=bounds.revoke_ms,
-            closes_without_contact=bounds.closes_without_contact,
+            fails_closed=bounds.fails_closed,
         )
         self._budget = RetryBudget(
             ratio=bounds.retry_ratio,
             extra=bounds.retry_extra,
             window_ms=bounds.retry_window_ms,
         )
-        self._peers = PeerRegister(self._store, settings.node)
+        self._node_registry = NodeRegistry(self._store, settings.node)
         self._planner = PartPlanner()
         self._api = ReplicaApi(self._pool, clock=clock)
         self._aggregators = Aggregators(
             settings.node, settings.failure_domain, link_mbps=settings.link_mbps
         )
-        self._known = KnownReplicas(
+        self._replica_components = ReplicaComponents(
             settings, clock=clock, pool=self._pool, aggregators=self._aggregators
         )
-        self._directory = self._known.directory
-        self._news = LoadAnnouncer(
+        self._directory = self._replica_components.directory
+        self._load_announcer = LoadAnnouncer(
             clock=clock,
             directory=self._directory,
             peer_addresses=self._aggregators.all_addresses,
@@ -102,11 +103,11 @@
             table=NODE_TABLE,
             node=settings.node,
             peer_addresses=self._aggregators.all_addresses,
-            poll_soon=lambda: self._joining.look_soon(),
+            poll_soon=lambda: self._joining.poll_soon(),
         )
         self._forwarder = self._make_forwarder()
         self._gate = StartGate(clock)
-        self._door = CallerDoor(
+        self._caller_server = CallerServer(
             clock=clock,
             routes=self._routes,
             forwarder=self._forwarder,
@@ -136,41 +137,48 @@
         self._joining = Joining(
             settings,
             clock=clock,
-            register=self._peers,
+            registry=self._node_registry,
             tables=self._tables,
             aggregators=self._aggregators,
             on_nodes=self._on_nodes,
             on_rows=self._quarantine.on_table_update,
             on_link=self._on_link,
         )
-        # What nodes wrote of themselves may be lost, and is read by all others.
-        self._store.eras.on_new_era = self._joining.look_soon
-        self._lost_rows = LostRows(
+        # A new era may lack the rows that nodes wrote about themselves, and all nodes
+        # read these rows.
+        self._store.eras.on_new_era = self._joining.poll_soon
+        self._lost_rows = LostRowRecovery(
             CONFIGURATION_TABLE,
             tables=self._tables,
             clock=clock,
-            on_news=operators.on_news,
+            on_update=operators.on_table_update,
         )
         self._followers = (
             FeedFollower(
                 CONFIGURATION_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_update=self._kept(CONFIGURATION_TABLE, self._lost_rows.heard_by),
+                on_update=self._caching_listener(
+                    CONFIGURATION_TABLE, self._lost_rows.on_table_update
+                ),
                 pace=self._configuration_pace,
             ),
             FeedFollower(
                 REPLICA_TABLE,
                 reader=self._tables,
                 clock=clock,
-                on_update=self._kept(REPLICA_TABLE, self._replicas.on_news),
+                on_update=self._caching_listener(
+                    REPLICA_TABLE, self._replicas.on_table_update
+                ),
                 pace=self._replicas_pace,
             ),
         )
         self._lease = self._make_lease()
-        self._lease_news = LeaseAnnouncer(
+        self._lease_announcer = LeaseAnnouncer(
             self._lease,
-            contenders=lambda: self._peers.addresses_of_first(_CONTENDERS, _LEASE),
+            contenders=lambda: self._node_registry.addresses_of_first(
+                _MAX_CONTENDERS, _LEASE
+            ),
         )
         self._weight_task = WeightTask(
             clock=clock,
@@ -178,8 +186,8 @@
             api=self._api,
             directory=self._directory,
             weights=self._weights,
-            announcer=self._news,
-            busy_ms=self._known.chooser.queue_ms,
+            announcer=self._load_announcer,
+            busy_ms=self._replica_components.chooser.queue_ms,
             node=settings.node,
             lease_ms=bounds.lease_ms,
             slack_ms=bounds.thaw_slack_ms,
@@ -193,17 +201,17 @@
             may_act=lambda: self._lease.claim() is not None,
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._stores = StoreFollowing(
+        self._kv_store_followers = KvStoreFollowers(
             self._planner,
             api=self._api,
             clock=clock,
             aggregators=self._aggregators,
-            guarded=self._guarded,
+            run_or_exit=self._run_or_exit,
         )
-        self._own_pages = OwnPages(
+        self._status_server = StatusServer(
             self._metrics,
             is_ready=lambda: self.is_ready,
-            take_gauges=self._take_gauges,
+            update_gauges=self._update_gauges,
         )
         self._is_stopping = False
         self.callers_address = ""
@@ -211,7 +219,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether requests that come now can be served."""
+        """Return whether the node can serve requests now."""
         return (
             not self._is_stopping
             and self._routes.version is not None
@@ -220,11 +228,11 @@
         )
 
     def reload(self, settings: FleetSettings) -> None:
-        """Take new settings; what only a start can change stays as it is."""
+        """Apply new settings, except those that take effect only at a start."""
         bounds = settings.bounds
         self._routes.set_bounds(
             revoke_ms=bounds.revoke_ms,
-            closes_without_contact=bounds.closes_without_contact,
+            fails_closed=bounds.fails_closed,
         )
         self._budget.set_bounds(
             ratio=bounds.retry_ratio,
@@ -235,51 +243,57 @@
         log.info("node: settings reloaded")
 
     async def start(self) -> None:
-        """Listen, and follow the store."""
+        """Start to listen and to follow the store."""
         settings = self._settings
         port = settings.peer_ports[0]
         port += _METRICS_PORT_OFFSET if port else 0
-        self.readiness_address = await self._own_pages.listen(
+        self.readiness_address = await self._status_server.listen(
             settings.readiness_address, f"{settings.ip}:{port}"
         )
-        self.callers_address = await self._door.listen(settings.callers_address)
+        self.callers_address = await self._caller_server.listen(
+            settings.callers_address
+        )
         self._start(
             self._joining.run(),
-            *(self._joining.once_joined(follower.run) for follower in self._followers),
+            *(
+                self._joining.run_after_joining(follower.run)
+                for follower in self._followers
+            ),
             self._lost_rows.run(),
             self._lease.run(),
             self._weight_task.run(),
             self._garbage_collector.run(),
             self._quarantine.run(),
-            self._known.notices.run(),
+            self._replica_components.notices.run(),
         )
         log.info("node: %s listens at %s", settings.node, settings.callers_address)
 
     async def stop(self) -> None:
-        """Leave without cutting a request: first the balancer, then callers.
+        """Stop without cutting requests: first leave the balancer, then drain.
 
-        Callers reach this node until the balancer has noticed, and on connections
-        that are open for longer, so it serves on and asks each to go elsewhere.
+        Callers reach this node until the balancer has removed it, and later on open
+        connections. The node therefore continues to serve at first, and closes each
+        connection after its next response.
         """
-        began_ms = self._clock.now_ms()
-        end_ms = began_ms + self._settings.bounds.grace_ms - _EXIT_MARGIN_MS
+        started_ms = self._clock.now_ms()
+        end_ms = started_ms + self._settings.bounds.grace_ms - _EXIT_MARGIN_MS
         self._is_stopping = True
-        self._door.begin_stop()
-        log.info("node: stopping, %d requests in flight", self._door.in_flight)
-        handing_over = asyncio.create_task(self._lease.hand_over())
-        await self._clock.sleep_ms(self._noticed_ms)
-        self._door.close_listener()
-        await self._door.drain(end_ms - self._clock.now_ms())
-        tasks = [handing_over, *self._tasks, *self._stores.tasks]
-        tasks += [*self._quarantine.tasks, *self._known.reach.tasks]
+        self._caller_server.begin_stop()
+        log.info("node: stopping, %d requests in flight", self._caller_server.in_flight)
+        lease_handover = asyncio.create_task(self._lease.hand_over())
+        await self._clock.sleep_ms(self._balancer_notice_ms)
+        self._caller_server.close_listener()
+        await self._caller_server.drain(end_ms - self._clock.now_ms())
+        tasks = [lease_handover, *self._tasks, *self._kv_store_followers.tasks]
+        tasks += [*self._quarantine.tasks, *self._replica_components.reach.tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._close()
-        log.info("node: stopped, %d requests in flight", self._door.in_flight)
+        log.info("node: stopped, %d requests in flight", self._caller_server.in_flight)
 
     async def _close(self) -> None:
-        await self._own_pages.close()
+        await self._status_server.close()
         if self._joining.link is not None:
             await self._joining.link.stop()
         self._pool.close()
@@ -289,13 +303,13 @@
         return Forwarder(
             clock=self._clock,
             pool=self._pool,
-            chooser=self._known.chooser,
+            chooser=self._replica_components.chooser,
             budget=self._budget,
             weights=self._weights,
             planner=self._planner,
             gate=self._quarantine,
-            reach=self._known.reach,
-            notices=self._known.notices,
+            reach=self._replica_components.reach,
+            notices=self._replica_components.notices,
         )
 
     def _make_lease(self) -> LeaseTask:
@@ -307,7 +321,7 @@
             lease_ms=self._settings.bounds.lease_ms,
             contends=self._contends,
             on_change=self._on_lease,
-            on_row_written=lambda row, position: self._lease_news.announce(
+            on_row_written=lambda row, position: self._lease_announcer.announce(
                 row, position
             ),
             poll_interval_ms=lambda: self._weight_task.lease_poll_ms(),
@@ -318,7 +332,7 @@
 
     def _on_configuration(self, configuration: Configuration) -> None:
         self._directory.set_services(configuration.service_by_name)
-        self._stores.take(configuration)
+        self._kv_store_followers.set_configuration(configuration)
 
     def _configuration_pace(self) -> Pace:
         return configuration_pace(
@@ -333,55 +347,65 @@
             serves_other_nodes=self._tables.serves_other_nodes,
         )
 
-    def _kept(
-        self, table: str, on_news: Callable[[TableUpdate], None]
+    def _caching_listener(
+        self, table: str, on_update: Callable[[TableUpdate], None]
     ) -> Callable[[TableUpdate], None]:
-        """Keep a table's news for others; the last one needed opens the gate."""
-        is_operators = table == CONFIGURATION_TABLE
-        take = self._tables.caching_listener(table, on_news, retains_rows=is_operators)
+        """Return a listener that caches a table's updates for other nodes.
+
+        It also opens the start gate once the node is ready.
+        """
+        is_configuration = table == CONFIGURATION_TABLE
+        apply_update = self._tables.caching_listener(
+            table, on_update, retains_rows=is_configuration
+        )
 
-        def take_and_note(news: TableUpdate) -> None:
-            # An aggregator may tell of a new era before the store itself does.
-            self._store.eras.observe(news.position.era)
-            take(news)
+        def record_era_and_apply(update: TableUpdate) -> None:
+            # An aggregator may report a new era to this node before the store does.
+            self._store.eras.observe(update.position.era)
+            apply_update(update)
 
-        return self._gate.opened_by(take_and_note, is_ready=lambda: self.is_ready)
+        return self._gate.opening_listener(
+            record_era_and_apply, is_ready=lambda: self.is_ready
+        )
 
     def _on_nodes(self, names: Collection[str]) -> None:
         self._budget.set_nodes(len(names))
         self._forwarder.set_nodes(len(names))
-        self._known.set_nodes(names)
+        self._replica_components.set_nodes(names)
 
     def _contends(self) -> bool:
-        return not self._is_stopping and self._peers.is_among_first(_CONTENDERS, _LEASE)
+        return not self._is_stopping and self._node_registry.is_among_first(
+            _MAX_CONTENDERS, _LEASE
+        )
 
     def _on_link(self, link: PeerLink) -> Callable[[], None]:
-        speaking = (self._news, self._tables, self._lease_news)
-        for part in (*speaking, self._quarantine, self._known):
+        senders = (self._load_announcer, self._tables, self._lease_announcer)
+        for part in (*senders, self._quarantine, self._replica_components):
             part.use(link)
         return lambda: self._start(
-            self._known.under_way_task.run(link), self._stores.run(link)
+            self._replica_components.load_report_task.run(link),
+            self._kv_store_followers.run(link),
         )
 
     def _start(self, *runs: Coroutine[None, None, None]) -> None:
-        self._tasks += [asyncio.create_task(self._guarded(run)) for run in runs]
+        self._tasks += [asyncio.create_task(self._run_or_exit(run)) for run in runs]
 
-    async def _guarded(self, run: Coroutine[None, None, None]) -> None:
-        """End the process if one of its tasks ends by a fault of the program.
+    async def _run_or_exit(self, run: Coroutine[None, None, None]) -> None:
+        """Exit the process if one of its tasks fails with an unexpected exception.
 
-        A node without its feed would go on by an ever older configuration; one
-        that starts anew knows everything within a second.
+        A node without its feed would continue with an ever older configuration. A
+        restarted node has read the current state within a second.
         """
         try:
             await run
         except Exception:
-            log.exception("node: a task failed, so the process ends")
+            log.exception("node: a task failed, so the process exits")
             os._exit(3)
 
-    def _take_gauges(self) -> None:
+    def _update_gauges(self) -> None:
         now_ms = self._clock.now_ms()
         gauges = {
-            "in_flight": self._door.in_flight,
+            "in_flight": self._caller_server.in_flight,
             "configuration_age_ms": self._routes.age_ms(now_ms),
             "configuration_version": self._routes.version or 0,
             "requests_cut_by_ends_total": self._quarantine.cut,
@@ -389,7 +413,7 @@
             "store_calls_total": self._store.calls,
             "store_era": self._store.eras.latest,
             "connections_opened_total": self._pool.opened,
-            **self._known.gauges(),
+            **self._replica_components.gauges(),
             **link_gauges(self._joining.link),
         }
         for name, value in gauges.items():
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -9,7 +9,7 @@
 from fireflyward.clock import Clock
 from fireflyward.deployment import Configuration, Evacuation, ReplicaEntry, WeightTarget
 from fireflyward.feeds import Changes, HistoryLost, Snapshot, TableRow, TableUpdate
-from fireflyward.fleet._peers import PeerRegister
+from fireflyward.fleet._peers import NodeRegistry
 from fireflyward.fleet._views import OperatorView, ReplicaView
 from fireflyward.forwarding import WeightVersions
 from fireflyward.http1 import ConnectionPool
@@ -143,13 +143,13 @@
         )
         clock = Clock()
         directory = ReplicaDirectory()
-        routes = RouteTable(revoke_ms=5_000, closes_without_contact=True)
+        routes = RouteTable(revoke_ms=5_000, fails_closed=True)
         ReplicaView(
             clock=clock,
             directory=directory,
             pool=ConnectionPool(clock),
             on_gone=lambda state: None,
-        ).on_news(update)
+        ).on_table_update(update)
         OperatorView(
             clock=clock,
             routes=routes,
@@ -157,8 +157,8 @@
             directory=directory,
             failure_domains=("a",),
             on_configuration=lambda configuration: None,
-        ).on_news(update)
-        PeerRegister(None, "n").on_news(update)
+        ).on_table_update(update)
+        NodeRegistry(None, "n").on_table_update(update)
 
     @fuzz(150)
     @given(bodies() | suspect_bodies())
--- a/tests/soak/_soak.py
+++ b/tests/soak/_soak.py
@@ -169,7 +169,7 @@
         await fleet.stop()
         for node in fleet.nodes:
             text = node.log.read_text()
-            if "Traceback" in text or "fault of the program" in text:
+            if "Traceback" in text or "unexpected exception" in text:
                 traceback_at = text.find("Traceback")
                 fleet.violations.append(
                     f"{node.name} logged: {text[traceback_at : traceback_at + 900]}"
