--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -3,7 +3,7 @@
 import asyncio
 from types import SimpleNamespace
 
-from tests.platform_standins import Manner, StoreManner
+from tests.platform_standins import ReplicaBehavior, StoreBehavior
 
 from .node_fixtures import STREAM, NodeTestCase
 
@@ -31,7 +31,7 @@
 
     async def assert_used(self, replica, *, full):
         """Check that a replica serves requests while another one is full."""
-        full.manners = [Manner.FULL]
+        full.behaviors = [ReplicaBehavior.FULL]
         self.assertEqual(await self.fetch_repeatedly(), {200})
         self.assertGreater(self.run_count([replica]), 0)
 
@@ -54,7 +54,7 @@
             await self.fetch_repeatedly("POST", "/s/x", headers=STREAM), {200}
         )
         self.assertEqual(self.run_count([self.plain[1], self.engines[1]]), 0)
-        self.operator.take_back_evacuation("b")
+        self.operator.withdraw_evacuation("b")
         await self.until(lambda: not self.evacuated)
         await self.assert_used(self.plain[1], full=self.plain[0])
 
@@ -66,7 +66,7 @@
         """
         await self.start_ready()
         await self.evacuate("b")
-        self.plain[0].manners = [Manner.RESETS]
+        self.plain[0].behaviors = [ReplicaBehavior.RESETS]
         await self.fetch("GET", "/r/x")
         self.assertEqual(self.run_count(self.plain[1:]), 0)
 
@@ -74,7 +74,7 @@
         """Symptom: streams that a replica cut resumed in the evacuated domain."""
         await self.start_ready()
         await self.evacuate("b")
-        self.engines[0].manners = [Manner.CUTS_STREAM] * 3
+        self.engines[0].behaviors = [ReplicaBehavior.TRUNCATES_STREAM] * 3
         async with asyncio.timeout(5):
             try:
                 await self.fetch("POST", "/s/x", headers=STREAM)
@@ -111,7 +111,7 @@
         """Symptom: for its first moments a restarted node used an evacuated domain."""
         self.operator.evacuate("b")
         await self.start_ready()
-        self.plain[0].manners = [Manner.FULL] * 40
+        self.plain[0].behaviors = [ReplicaBehavior.FULL] * 40
         self.assertEqual(await self.fetch_repeatedly(), {503})
         self.assertEqual(self.run_count(self.plain[1:]), 0)
 
@@ -119,7 +119,7 @@
         """Symptom: the evacuated domain was used while the store was unavailable."""
         await self.start_ready()
         await self.evacuate("b")
-        self.store.manner = StoreManner.BUSY
+        self.store.behavior = StoreBehavior.BUSY
         await asyncio.sleep(0.3)
         self.assertEqual(await self.fetch_repeatedly("POST", "/w/x", data=b"1"), {200})
         self.assertEqual(self.run_count(self.plain[1:]), 0)
@@ -132,8 +132,8 @@
         """
         await self.start_ready()
         await self.evacuate("b")
-        self.store.manner = StoreManner.FORGETS
-        self.operator.take_back_evacuation("b")
+        self.store.behavior = StoreBehavior.HISTORY_LOST
+        self.operator.withdraw_evacuation("b")
         await self.until(lambda: not self.evacuated)
 
     async def test_rows_without_a_known_domain_do_no_harm(self):
--- a/tests/fleet/test_leaving_replicas.py
+++ b/tests/fleet/test_leaving_replicas.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from tests.platform_standins import Manner, StoreManner
+from tests.platform_standins import ReplicaBehavior, StoreBehavior
 
 from .node_fixtures import STREAM, FleetTestCase
 
@@ -24,7 +24,7 @@
     async def fetch_until_notified(self):
         """Let one node get a response with the announcement."""
         self.leaving.notices = [LEAVING]
-        await self.fetch_until(lambda: self.leaving.ran)
+        await self.fetch_until(lambda: self.leaving.executed_requests)
 
     async def test_a_leaving_replica_gets_no_requests(self):
         """Guards against waiting for the list, which lags when the store does."""
@@ -76,7 +76,7 @@
         self.assertEqual(self.run_count([self.leaving]), before)
 
     async def test_it_applies_while_the_store_is_unavailable(self):
-        self.store.manner = StoreManner.BUSY
+        self.store.behavior = StoreBehavior.BUSY
         await self.fetch_until_notified()
         await self.until_known_as_leaving(self.nodes)
         before = self.run_count([self.leaving])
@@ -88,17 +88,19 @@
         await self.fetch_until_notified()
         await self.until_known_as_leaving(self.nodes)
         before = self.run_count([self.leaving])
-        self.other.manners = [Manner.FAILS] * 40
+        self.other.behaviors = [ReplicaBehavior.FAILS] * 40
         await self.fetch_from_all_nodes()
         self.assertEqual(self.run_count([self.leaving]), before)
 
     async def test_a_broken_stream_does_not_resume_at_a_leaving_replica(self):
         await self.fetch("POST", "/s/x", headers=STREAM)
-        leaving, other = sorted(self.engines, key=lambda engine: not engine.ran)
+        leaving, other = sorted(
+            self.engines, key=lambda engine: not engine.executed_requests
+        )
         leaving.notices = [LEAVING]
         await self.fetch("POST", "/s/x", headers=STREAM)
         before = self.run_count([leaving])
-        other.manners = [Manner.CUTS_STREAM] * 10
+        other.behaviors = [ReplicaBehavior.TRUNCATES_STREAM] * 10
         with contextlib.suppress(aiohttp.ClientPayloadError):
             await self.fetch("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.run_count([leaving]), before)
@@ -107,7 +109,7 @@
     async def test_with_all_replicas_leaving_requests_are_rejected_at_once(self):
         self.other.notices = [LEAVING]
         await self.fetch_until_notified()
-        await self.fetch_until(lambda: self.other.ran)
+        await self.fetch_until(lambda: self.other.executed_requests)
         ran = self.run_count(self.plain)
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
             async with asyncio.timeout(10):
@@ -119,7 +121,7 @@
     async def test_a_new_incarnation_with_the_same_name_is_used(self):
         """Guards against a replica that is never used again."""
         await self.fetch_until_notified()
-        self.leaving.start_again()
+        self.leaving.restart()
         self.leaving.notices = []
         self.store.put("servers", "p-1", self.leaving.entry("plain"))
-        await self.fetch_until(lambda: self.leaving.ran)
+        await self.fetch_until(lambda: self.leaving.executed_requests)
--- a/tests/fleet/test_random_restores.py
+++ b/tests/fleet/test_random_restores.py
@@ -10,7 +10,7 @@
 import unittest
 from unittest import mock
 
-from tests.platform_standins import StoreManner
+from tests.platform_standins import StoreBehavior
 
 from .node_fixtures import FleetTestCase
 
@@ -45,7 +45,7 @@
             self.withdraw_key,
             self.leave,
             self.evacuate,
-            self.name_weights,
+            self.set_weights_version,
             self.configure,
             self.restore_store,
             self.restore_store,
@@ -56,8 +56,8 @@
             # Most steps have not reached all nodes before the next one.
             await asyncio.sleep(self.random.choice((0.0, 0.05, 0.3)))
             self.check_nothing_is_reverted()
-        self.case.store.manner = StoreManner.WELL
-        self.case.store.write_again()
+        self.case.store.behavior = StoreBehavior.NORMAL
+        self.case.store.rewrite_lost_rows()
         self.configure()
         await self.case.until(self.is_all_applied)
         # State that was retained without a row has expired after this wait.
@@ -91,19 +91,23 @@
         if self.is_evacuated:
             self.case.operator.evacuate("b")
         else:
-            self.case.operator.take_back_evacuation("b")
+            self.case.operator.withdraw_evacuation("b")
 
-    def name_weights(self):
+    def set_weights_version(self):
         self.weights += 1
-        self.case.operator.name_weights("m", self.weights)
+        self.case.operator.set_weights_version("m", self.weights)
 
     def restore_store(self):
         store = self.case.store
-        manners = (StoreManner.WELL, StoreManner.BUSY, StoreManner.LOSES_ANSWERS)
-        store.manner = self.random.choice(manners)
+        behaviors = (
+            StoreBehavior.NORMAL,
+            StoreBehavior.BUSY,
+            StoreBehavior.DROPS_RESPONSES,
+        )
+        store.behavior = self.random.choice(behaviors)
         # Operators write their lost rows again before they write new ones.
-        store.write_again()
-        store.come_back_from_before(self.random.randrange(40), written_again=True)
+        store.rewrite_lost_rows()
+        store.restore_before_last_writes(self.random.randrange(40), rewrite_lost=True)
 
     def check_nothing_is_reverted(self):
         for node in self.nodes:
--- a/tests/fleet/test_restored_store.py
+++ b/tests/fleet/test_restored_store.py
@@ -82,7 +82,7 @@
         await self.until_leaving(replica)
         for _ in range(10):
             await self.fetch("GET", "/r/x")
-        self.assertEqual(replica.ran, [])
+        self.assertEqual(replica.executed_requests, [])
 
     async def test_a_withdrawn_key_stays_withdrawn_if_the_snapshot_has_it(self):
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
--- a/tests/platform_standins/__init__.py
+++ b/tests/platform_standins/__init__.py
@@ -1,22 +1,22 @@
-"""Small stand-ins of the users' platform: its store, its replicas, its operator.
+"""Small stand-ins for the users' platform: its store, its replicas and its operator.
 
-They speak the published protocol over loopback sockets and misbehave on demand.
+They implement the published protocol over loopback sockets and inject faults on demand.
 """
 
 from ._http import RawRequest, RawServer
 from ._operator import CONFIGURATION, Operator, settings_text
-from ._replica import DEADLY, Manner, ReplicaStandIn
-from ._store import StoreManner, StoreStandIn
+from ._replica import CRASHING_BODY, ReplicaBehavior, ReplicaStandIn
+from ._store import StoreBehavior, StoreStandIn
 
 __all__ = [
     "CONFIGURATION",
-    "DEADLY",
-    "Manner",
+    "CRASHING_BODY",
+    "ReplicaBehavior",
     "Operator",
     "RawRequest",
     "RawServer",
     "ReplicaStandIn",
-    "StoreManner",
+    "StoreBehavior",
     "StoreStandIn",
     "settings_text",
 ]
