--- a/tests/kept/test_life_cycle.py
+++ b/tests/kept/test_life_cycle.py
@@ -98,7 +98,7 @@
     @rule(
         target=described, key=sampled_from(KEYS), is_torn=booleans(), listing=booleans()
     )
-    def write_block(self, key, is_torn, listing):
+    def insert_block(self, key, is_torn, listing):
         """Do all steps of a write, so that the other rules often have blocks to use."""
         self.write_and_publish(key, is_torn, listing)
         return self.fetch_descriptors(key)
