--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from tests.platform_standins import Manner
+from tests.platform_standins import ReplicaBehavior
 
 from .node_fixtures import STREAM, FleetTestCase
 
@@ -36,7 +36,7 @@
         return statuses
 
     def max_requests_in_window(self, replica):
-        arrived_s = [request.arrived_s for request in replica.ran]
+        arrived_s = [request.arrived_s for request in replica.executed_requests]
         return max(
             sum(first <= at < first + WINDOW_S for at in arrived_s)
             for first in arrived_s
@@ -60,7 +60,7 @@
         await self.until(lambda: all(map(is_known, nodes)))
 
     async def notify_one_node(self):
-        await self.fetch_until(lambda: self.limited.ran)
+        await self.fetch_until(lambda: self.limited.executed_requests)
 
     async def test_nodes_without_such_a_response_know_of_it(self):
         """Guards against nodes that get to know a limit only by exceeding it."""
@@ -78,11 +78,11 @@
         for node in self.nodes:
             node._replica_components.notices._link = None
         await self.fetch_from_all_nodes(15)
-        before = len(self.limited.ran)
+        before = len(self.limited.executed_requests)
         await self.fetch_from_all_nodes(60)
         await self.until_limited(self.nodes)
-        del self.limited.ran[:before]
-        if self.limited.ran:
+        del self.limited.executed_requests[:before]
+        if self.limited.executed_requests:
             self.assertLessEqual(
                 self.max_requests_in_window(self.limited), MAX_REQUESTS_IN_WINDOW
             )
@@ -111,7 +111,7 @@
         """Guards against a limit that applies only to first attempts."""
         await self.notify_one_node()
         await self.until_limited(self.nodes)
-        self.other.manners = [Manner.FAILS] * 60
+        self.other.behaviors = [ReplicaBehavior.FAILS] * 60
         await self.fetch_from_all_nodes(60)
         self.assertLessEqual(
             self.max_requests_in_window(self.limited), MAX_REQUESTS_IN_WINDOW
@@ -120,9 +120,11 @@
     async def test_resumed_streams_keep_to_the_limit(self):
         """Guards against broken streams that all resume at the limited replica."""
         await self.fetch("POST", "/s/x", headers=STREAM)
-        limited, other = sorted(self.engines, key=lambda engine: not engine.ran)
+        limited, other = sorted(
+            self.engines, key=lambda engine: not engine.executed_requests
+        )
         limited.notices = [(LIMIT, str(PER_SECOND))]
-        other.manners = [Manner.CUTS_STREAM] * 90
+        other.behaviors = [ReplicaBehavior.TRUNCATES_STREAM] * 90
         for _ in range(30):
             with contextlib.suppress(aiohttp.ClientPayloadError):
                 await self.fetch("POST", "/s/x", headers=STREAM)
--- a/tests/platform_standins/_replica.py
+++ b/tests/platform_standins/_replica.py
@@ -1,4 +1,4 @@
-"""A replica: a plain service, or a model engine with streams and weights."""
+"""Stand-in for a replica: a plain service, or an engine with streams and weights."""
 
 import asyncio
 import enum
@@ -7,34 +7,35 @@
 from ._http import RawServer, json_response, reset, response
 
 SIGNATURE = ("X-Server-Seal", "3e1b.07.5a2")
-DEADLY = b"what no replica survives"
+CRASHING_BODY = b"what no replica survives"
 
 
-class Manner(enum.Enum):
-    """How a replica answers the next requests."""
+class ReplicaBehavior(enum.Enum):
+    """How a replica answers a request."""
 
-    WELL = "well"
+    NORMAL = "normal"
     FULL = "full"
     FAILS = "fails"
-    RESTS = "turns away and wants nothing for a while"
+    REQUESTS_BACKOFF = "rejects and requests a backoff"
     RESETS = "resets"
-    CUTS = "cuts"
-    CUTS_STREAM = "cuts stream"
-    ANSWERS_ANOTHER = "answers another"
-    ADDS_ANSWER = "adds an answer"
+    TRUNCATES = "truncates"
+    TRUNCATES_STREAM = "truncates stream"
+    WRONG_REQUEST_ID = "answers with the id of another request"
+    SENDS_EXTRA_RESPONSE = "sends an extra response"
     UNSIGNED = "unsigned"
     UNFRAMED = "unframed"
     UNFRAMED_RESET = "unframed, reset"
     SILENT = "silent"
-    SAYS_503 = "says 503 without saying that nothing ran"
+    EXECUTES_THEN_503 = "executes the request, then answers 503"
 
 
 class ReplicaStandIn(RawServer):
-    """Runs what it is sent and keeps it in ``ran``.
+    """Executes the requests that it receives and records them.
 
-    ``manners`` are used up one a request; then it answers well. A request with the body
-    ``DEADLY`` ends it as soon as it begins to run. ``notices`` are headers that each of
-    its answers bears, and ``rest`` is what it asks for when it turns a request away.
+    Each request consumes one entry of ``behaviors``; when the list is empty, the
+    replica answers normally. A request with the body ``CRASHING_BODY`` crashes the
+    replica as soon as it is executed. ``notices`` are headers that are added to each
+    answer. Rejections that request a backoff have ``retry_after`` as Retry-After.
     """
 
     def __init__(self, incarnation, *, model=None, version=1, events=4, pause_s=0.0):
@@ -42,25 +43,25 @@
         self.incarnation = incarnation
         self.model = model
         self.version = version
-        self.ran = []
+        self.executed_requests = []
         self.orders = []
-        self.manners = []
+        self.behaviors = []
         self.notices = []
-        self.rest = "5"
-        self.left_early = 0
+        self.retry_after = "5"
+        self.disconnected_callers = 0
         self.has_crashed = False
         self.loading_s = 0.0
         self.started_ms = 1_764_700_000_000
         self._events = events
         self._pause_s = pause_s
 
-    def start_again(self):
-        """Begin anew under the same name: nothing is held, no order was counted."""
+    def restart(self):
+        """Restart under the same name, without any recorded requests or orders."""
         self.started_ms += 1_000
-        self.ran, self.orders, self.manners = [], [], []
+        self.executed_requests, self.orders, self.behaviors = [], [], []
 
     def entry(self, service, state="ready", zone="a"):
-        """Return the row that this replica keeps of itself."""
+        """Return the row that a replica writes about itself."""
         models = [{"name": self.model, "version": self.version, "adapters": []}]
         value = {
             "service": service,
@@ -86,16 +87,16 @@
         if request.path == "/-/order":
             self.orders.append(request.json())
             asyncio.get_running_loop().call_later(
-                self.loading_s, self._load, request.json()["version"]
+                self.loading_s, self._set_version, request.json()["version"]
             )
             writer.write(response(202))
             return True
-        return await self._run(request, writer)
+        return await self._execute(request, writer)
 
-    def _load(self, version):
+    def _set_version(self, version):
         self.version = version
 
-    async def _run(self, request, writer):
+    async def _execute(self, request, writer):
         headers = request.headers
         if headers.get("x-expect-instance") not in (None, self.incarnation):
             writer.write(response(421, headers=[("X-Instance-Id", self.incarnation)]))
@@ -103,67 +104,74 @@
         if headers.get("x-expect-version", str(self.version)) != str(self.version):
             writer.write(response(421, headers=[("X-Instance-Id", self.incarnation)]))
             return True
-        manner = self.manners.pop(0) if self.manners else Manner.WELL
-        if manner is Manner.FULL:
-            refusal = [("X-Not-Executed", "1"), *self.notices]
-            writer.write(response(503, headers=refusal))
+        behavior = self.behaviors.pop(0) if self.behaviors else ReplicaBehavior.NORMAL
+        if behavior is ReplicaBehavior.FULL:
+            rejection_headers = [("X-Not-Executed", "1"), *self.notices]
+            writer.write(response(503, headers=rejection_headers))
             return True
-        if manner is Manner.RESTS:
-            refusal = [("X-Not-Executed", "1"), ("Retry-After", self.rest)]
-            writer.write(response(503, headers=[*refusal, *self.notices]))
+        if behavior is ReplicaBehavior.REQUESTS_BACKOFF:
+            rejection_headers = [
+                ("X-Not-Executed", "1"),
+                ("Retry-After", self.retry_after),
+            ]
+            writer.write(response(503, headers=[*rejection_headers, *self.notices]))
             return True
-        self.ran.append(request)
-        if request.body == DEADLY:
+        self.executed_requests.append(request)
+        if request.body == CRASHING_BODY:
             self.has_crashed = True
             self.crash()
             return False
-        own = [("X-Request-Id", headers["x-request-id"]), SIGNATURE, *self.notices]
+        own_headers = [
+            ("X-Request-Id", headers["x-request-id"]),
+            SIGNATURE,
+            *self.notices,
+        ]
         if self.model:
-            return await self._stream(request, writer, manner, own)
-        return await self._plain(request, writer, manner, own)
+            return await self._stream(request, writer, behavior, own_headers)
+        return await self._plain(request, writer, behavior, own_headers)
 
-    async def _plain(self, request, writer, manner, own):
+    async def _plain(self, request, writer, behavior, own_headers):
         body = b"answer of " + self.incarnation.encode()
-        if manner is Manner.SILENT:
-            await request.caller_left()
-            self.left_early += 1
+        if behavior is ReplicaBehavior.SILENT:
+            await request.wait_for_disconnect()
+            self.disconnected_callers += 1
             return False
-        if manner is Manner.RESETS:
+        if behavior is ReplicaBehavior.RESETS:
             reset(writer)
             return False
-        if manner is Manner.FAILS:
-            writer.write(response(500, headers=own))
-        elif manner is Manner.SAYS_503:
-            writer.write(response(503, headers=own))
-        elif manner is Manner.CUTS:
-            writer.write(response(200, body, own)[:-3])
+        if behavior is ReplicaBehavior.FAILS:
+            writer.write(response(500, headers=own_headers))
+        elif behavior is ReplicaBehavior.EXECUTES_THEN_503:
+            writer.write(response(503, headers=own_headers))
+        elif behavior is ReplicaBehavior.TRUNCATES:
+            writer.write(response(200, body, own_headers)[:-3])
             return False
-        elif manner is Manner.ANSWERS_ANOTHER:
+        elif behavior is ReplicaBehavior.WRONG_REQUEST_ID:
             other = [("X-Request-Id", "another"), SIGNATURE]
             writer.write(response(200, b"of another", other))
-        elif manner is Manner.UNSIGNED:
-            writer.write(response(200, body, own[:1] + self.notices))
-        elif manner in (Manner.UNFRAMED, Manner.UNFRAMED_RESET):
-            lines = [f"{name}: {value}" for name, value in own]
+        elif behavior is ReplicaBehavior.UNSIGNED:
+            writer.write(response(200, body, own_headers[:1] + self.notices))
+        elif behavior in (ReplicaBehavior.UNFRAMED, ReplicaBehavior.UNFRAMED_RESET):
+            lines = [f"{name}: {value}" for name, value in own_headers]
             head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""])
             writer.write(head.encode() + body)
             await writer.drain()
-            if manner is Manner.UNFRAMED_RESET:
+            if behavior is ReplicaBehavior.UNFRAMED_RESET:
                 await asyncio.sleep(0.05)
                 reset(writer)
             return False
         else:
-            writer.write(response(200, body, own))
-            if manner is Manner.ADDS_ANSWER:
+            writer.write(response(200, body, own_headers))
+            if behavior is ReplicaBehavior.SENDS_EXTRA_RESPONSE:
                 await asyncio.sleep(0.02)
-                writer.write(response(200, b"nobody's", own))
+                writer.write(response(200, b"nobody's", own_headers))
         return True
 
-    async def _stream(self, request, writer, manner, own):
-        lines = [f"{name}: {value}" for name, value in own]
+    async def _stream(self, request, writer, behavior, own_headers):
+        lines = [f"{name}: {value}" for name, value in own_headers]
         lines += ["Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""]).encode()
-        if manner is Manner.RESETS:
+        if behavior is ReplicaBehavior.RESETS:
             reset(writer)
             return False
         writer.write(head)
@@ -171,10 +179,10 @@
         for number in range(first, self._events + 1):
             await asyncio.sleep(self._pause_s)
             if writer.transport.is_closing():
-                self.left_early += 1
+                self.disconnected_callers += 1
                 return False
             event = f"id: {number}\ndata: {self.incarnation}\n\n".encode()
-            if manner is Manner.CUTS_STREAM and number == first + 1:
+            if behavior is ReplicaBehavior.TRUNCATES_STREAM and number == first + 1:
                 writer.write(_chunk(event[:-5]))
                 await writer.drain()
                 return False
@@ -182,7 +190,7 @@
             try:
                 await writer.drain()
             except ConnectionError:
-                self.left_early += 1
+                self.disconnected_callers += 1
                 return False
         writer.write(b"0\r\n\r\n")
         return True
