--- a/tests/fleet/test_restored_store.py
+++ b/tests/fleet/test_restored_store.py
@@ -4,7 +4,7 @@
 
 from fireflyward.feeds import TableUpdate
 from fireflyward.reach._reach_structs import SilenceNews
-from tests.platform_standins import StoreManner
+from tests.platform_standins import StoreBehavior
 from tests.positions import at
 
 from .node_fixtures import FleetTestCase, NodeTestCase
@@ -68,7 +68,7 @@
 
     async def test_a_configuration_of_the_new_era_is_applied(self):
         """Guards against ignoring a restored store until its versions catch up."""
-        self.store.come_back_from(self.snapshot_version)
+        self.store.restore_snapshot(self.snapshot_version)
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
         await self.until_in_force()
         status, _, _ = await self.fetch("GET", "/r/x")
@@ -76,7 +76,7 @@
 
     async def test_a_replica_that_leaves_in_the_new_era_gets_no_requests(self):
         """Guards against a list of replicas that no longer changes after a restore."""
-        self.store.come_back_from(self.snapshot_version)
+        self.store.restore_snapshot(self.snapshot_version)
         replica = self.plain[0]
         self.announce_leaving(replica)
         await self.until_leaving(replica)
@@ -87,7 +87,7 @@
     async def test_a_withdrawn_key_stays_withdrawn_if_the_snapshot_has_it(self):
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
         await self.until_in_force()
-        self.store.come_back_from(self.snapshot_version, written_again=False)
+        self.store.restore_snapshot(self.snapshot_version, rewrite_lost=False)
         await self.until_tables_reread()
         status, _, _ = await self.fetch("GET", "/r/x")
         self.assertEqual(status, 401)
@@ -96,13 +96,13 @@
         replica = self.plain[0]
         self.announce_leaving(replica)
         await self.until_leaving(replica)
-        self.store.come_back_from(self.snapshot_version, written_again=False)
+        self.store.restore_snapshot(self.snapshot_version, rewrite_lost=False)
         await self.until_tables_reread()
         self.assertTrue(self.state(replica.incarnation).is_leaving)
 
     async def test_two_restores_in_a_row(self):
         for _ in range(2):
-            self.store.come_back_from(self.snapshot_version)
+            self.store.restore_snapshot(self.snapshot_version)
             self.operator.configure()
         await self.until_in_force()
         await self.until(lambda: self.node._store.eras.latest == 3)
@@ -120,25 +120,25 @@
 
     async def test_versions_above_the_cursor_before_the_next_read(self):
         """Guards against missing changes below a cursor that is valid again."""
-        self.store.manner = StoreManner.BUSY
-        self.store.come_back_from(self.snapshot_version)
+        self.store.behavior = StoreBehavior.BUSY
+        self.store.restore_snapshot(self.snapshot_version)
         self.announce_leaving(self.plain[0])
         for _ in range(2 * _WRITES):
             self.store.put("other", "key", b"")
-        self.store.manner = StoreManner.WELL
+        self.store.behavior = StoreBehavior.NORMAL
         await self.until_leaving(self.plain[0])
 
     async def test_rows_written_again_after_the_first_read_are_applied(self):
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-2"]}])
-        self.store.come_back_from(self.snapshot_version, written_again=False)
+        self.store.restore_snapshot(self.snapshot_version, rewrite_lost=False)
         await self.until_tables_reread()
-        self.store.write_again()
+        self.store.rewrite_lost_rows()
         self.operator.configure(tenants=[{"name": "acme", "api-keys": ["key-3"]}])
         await self.until_in_force()
 
     async def test_new_weights_are_loaded_after_a_restore(self):
-        self.store.come_back_from(self.snapshot_version)
-        self.operator.name_weights("m", 2)
+        self.store.restore_snapshot(self.snapshot_version)
+        self.operator.set_weights_version("m", 2)
         await self.until(lambda: {e.version for e in self.engines} == {2})
 
 
@@ -161,15 +161,15 @@
         await self.until(lambda: self.store.value("fireflyward-nodes", "key"))
 
     async def test_nodes_write_their_rows_again(self):
-        self.store.come_back_from(self.snapshot_version)
+        self.store.restore_snapshot(self.snapshot_version)
         await self.until_listed()
         self.assertEqual(self.store.value("fireflyward-nodes", "key"), self.key)
 
     async def test_rows_are_written_again_although_responses_are_lost(self):
-        self.store.manner = StoreManner.LOSES_ANSWERS
-        self.store.come_back_from(self.snapshot_version)
+        self.store.behavior = StoreBehavior.DROPS_RESPONSES
+        self.store.restore_snapshot(self.snapshot_version)
         await self.until_listed()
-        self.store.manner = StoreManner.WELL
+        self.store.behavior = StoreBehavior.NORMAL
 
     async def test_a_node_that_starts_before_the_operator_writes_again_has_newer_rows(
         self,
@@ -180,20 +180,20 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: all(x._routes.version == version for x in self.nodes))
         await self.until(lambda: all(x._directory.evacuated for x in self.nodes))
-        self.store.come_back_from(self.snapshot_version, written_again=False)
+        self.store.restore_snapshot(self.snapshot_version, rewrite_lost=False)
         await self.until(lambda: all(x._store.eras.latest == 2 for x in self.nodes))
         late = await self.start_additional_node("entry-4")
         await self.until(lambda: late._routes.version == version)
         await self.until(lambda: late._directory.evacuated == {"b"})
         status, _, _ = await self.fetch("GET", "/r/x", node=late)
         self.assertEqual(status, 401)
-        self.store.write_again()
-        self.operator.take_back_evacuation("b")
+        self.store.rewrite_lost_rows()
+        self.operator.withdraw_evacuation("b")
         await self.until(lambda: not late._directory.evacuated)
 
     async def test_a_node_that_starts_during_a_restore_joins_the_others(self):
         """Guards against a node that permanently keeps a key of its own."""
-        self.store.come_back_from(self.snapshot_version)
+        self.store.restore_snapshot(self.snapshot_version)
         late = await self.start_additional_node("entry-4")
         await self.until(lambda: self.is_joined(late))
         link = self.nodes[1]._joining.link
--- a/tests/fleet/test_start_and_stop.py
+++ b/tests/fleet/test_start_and_stop.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from tests.platform_standins import StoreManner
+from tests.platform_standins import StoreBehavior
 
 from .node_fixtures import STREAM, NodeTestCase, event_numbers
 
@@ -46,7 +46,7 @@
         Each node listened before it had read its tables and rejected the requests that
         arrived, so callers used up their one retry.
         """
-        self.store.manner = StoreManner.BUSY
+        self.store.behavior = StoreBehavior.BUSY
         await self.node.start()
         # The longest wait is not what this test is about.
         with mock.patch("fireflyward.fleet._start_gate._MAX_WAIT_MS", 20_000):
@@ -54,13 +54,13 @@
             await self.until(lambda: self.node._caller_server.in_flight)
             self.assertFalse(self.node.is_ready)
             self.operator.configure()
-            self.store.manner = StoreManner.WELL
+            self.store.behavior = StoreBehavior.NORMAL
             status, _, _ = await response
         self.assertEqual(status, 200)
 
     async def test_a_node_serves_while_the_store_is_unavailable(self):
         await self.start_ready()
-        self.store.manner = StoreManner.BUSY
+        self.store.behavior = StoreBehavior.BUSY
         for _ in range(5):
             self.assertEqual((await self.fetch("GET", "/r/x"))[0], 200)
             await asyncio.sleep(0.05)
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -24,7 +24,7 @@
 
     async def restore(self, version=1):
         """Restore an older snapshot and wait until the client's connections close."""
-        self.store.come_back_from(version)
+        self.store.restore_snapshot(version)
         await asyncio.sleep(0.02)
 
     async def write(self, position):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -7,7 +7,7 @@
 from fireflyward.clock import Clock
 from fireflyward.feeds import HistoryLost
 from fireflyward.platform import LeaseTable, StoreClient
-from tests.platform_standins import StoreManner, StoreStandIn
+from tests.platform_standins import StoreBehavior, StoreStandIn
 from tests.positions import at
 
 
@@ -48,7 +48,7 @@
         self.assertEqual(changes.position, at(2, 1))
 
     async def test_lost_history_is_reported(self):
-        self.store.manner = StoreManner.FORGETS
+        self.store.behavior = StoreBehavior.HISTORY_LOST
         result = await self.client.changes("t", after=at(0, 1), wait_ms=0, limit_ms=500)
         self.assertEqual(result, HistoryLost())
 
@@ -57,14 +57,14 @@
         self.assertEqual(await self.write(), Conflict({"k": 1}))
 
     async def test_a_rejected_call_has_no_effect(self):
-        for manner in (StoreManner.BUSY, StoreManner.TOO_MANY):
-            self.store.manner = manner
+        for behavior in (StoreBehavior.BUSY, StoreBehavior.RATE_LIMITED):
+            self.store.behavior = behavior
             self.assertIsInstance(await self.write(), Unavailable)
             self.assertIsInstance(await self.client.rows("t"), Unavailable)
         self.assertIsNone(self.store.value("t", "k"))
 
     async def test_a_write_without_a_response_is_uncertain(self):
-        self.store.manner = StoreManner.LOSES_ANSWERS
+        self.store.behavior = StoreBehavior.DROPS_RESPONSES
         self.assertIsInstance(await self.write(), Uncertain)
         self.assertEqual(self.store.value("t", "k"), b"v")
 
@@ -76,10 +76,10 @@
         until they time out.
         """
         await asyncio.gather(*(self.client.rows("t") for _ in range(3)))
-        self.store.manner = StoreManner.SILENT
+        self.store.behavior = StoreBehavior.SILENT
         result = await self.client.rows("t", limit_ms=100)
         self.assertIsInstance(result, Unavailable)
-        self.store.manner = StoreManner.WELL
+        self.store.behavior = StoreBehavior.NORMAL
         before = self.store.connections
         await self.client.rows("t", limit_ms=500)
         self.assertEqual(self.store.connections, before + 1)
