--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -125,7 +125,7 @@
             clock=clock,
             directory=self._directory,
             pool=self._pool,
-            on_gone=self._quarantine.on_gone,
+            on_removed=self._quarantine.on_removed,
         )
         self._tables = SharedTables(
             self._store,
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -137,10 +137,10 @@
         clock: Clock,
         directory: ReplicaDirectory,
         pool: ConnectionPool,
-        on_gone: Callable[[ReplicaState], None],
+        on_removed: Callable[[ReplicaState], None],
     ) -> None:
         self._clock = clock
-        self._on_gone = on_gone
+        self._on_removed = on_removed
         self._directory = directory
         self._pool = pool
         self._outage_end_ms: int | None = None
@@ -175,7 +175,7 @@
         self.is_known = True
         for state in [*gone, *self._directory.expire(now_ms)]:
             self._pool.forget(state.entry.address)
-            self._on_gone(state)
+            self._on_removed(state)
 
     def _unsays_leaving(self, entry: ReplicaEntry) -> bool:
         """Tell whether an entry is from before its start was known to leave."""
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -161,7 +161,7 @@
         if self._counts_as_crash(replica):
             self._on_crash(replica)
 
-    def on_gone(self, replica: ReplicaState) -> None:
+    def on_removed(self, replica: ReplicaState) -> None:
         """Handle a replica that is not listed any more."""
         if not replica.is_leaving:
             self._on_crash(replica)
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -145,7 +145,7 @@
             clock=self.clock,
             directory=self.directory,
             pool=types.SimpleNamespace(forget=lambda address: None),
-            on_gone=self.gone.append,
+            on_removed=self.gone.append,
         )
 
     def row(self, state, version, era, *, is_restored=False):
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -147,7 +147,7 @@
             clock=clock,
             directory=directory,
             pool=ConnectionPool(clock),
-            on_gone=lambda state: None,
+            on_removed=lambda state: None,
         ).on_news(news)
         OperatorView(
             clock=clock,
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -124,7 +124,7 @@
             self.assertEqual(self.node.quarantine.held, 0)
         for name in NAMES[:3]:
             (gone,) = self.node.directory.on_changes(0, [], [name], after_outage=False)
-            self.node.quarantine.on_gone(gone)
+            self.node.quarantine.on_removed(gone)
         self.assertIsInstance(await self.node.admit("a"), Held)
 
     async def test_a_late_answer_opens_no_connection(self):
@@ -322,7 +322,7 @@
             directory.on_leaving(directory.find(name))
             await self.node.cut(name, "b")
             (gone,) = directory.on_changes(0, [], [name], after_outage=False)
-            self.node.quarantine.on_gone(gone)
+            self.node.quarantine.on_removed(gone)
         self.assertEqual(await self.node.admit("a"), Free())
         self.assertEqual(await self.node.admit("b"), Free())
 
@@ -333,7 +333,7 @@
             leaving = entry(name, leaving=True)
             self.node.directory.on_changes(0, [leaving], [], after_outage=False)
             (gone,) = self.node.directory.on_changes(0, [], [name], after_outage=False)
-            self.node.quarantine.on_gone(gone)
+            self.node.quarantine.on_removed(gone)
         self.assertEqual(await self.node.admit("a"), Free())
 
     async def test_rows_of_another_writer_hold_no_request(self):
