--- a/fireflyward/leaving/_task.py
+++ b/fireflyward/leaving/_task.py
@@ -23,7 +23,7 @@
 
 
 class LeavingTask:
-    """Polls the VM list, frequently on two nodes of each failure domain, else rarely.
+    """Polls the VM list, frequently on two nodes of each domain, rarely on the others.
 
     All nodes read the list from the same service: if 350 nodes polled it each second,
     it would get 350 reads a second. Two nodes of a domain poll it each second and
--- a/fireflyward/leaving/_upstreams.py
+++ b/fireflyward/leaving/_upstreams.py
@@ -20,8 +20,8 @@
     The platform's list is delayed, and its copies are delayed by different times.
     Therefore "live" in a list alone revokes nothing; it does so only after "leaving" in
     an earlier list. A peer's announcement counts for a minute; after that time this
-    node's own list says the same. An upstream that refused a connection is tried last
-    for three seconds; it may be available again.
+    node's own list contains the same state. An upstream that refused a connection is
+    tried last for three seconds; it may be available again.
 
     >>> leaving = LeavingUpstreams()
     >>> leaving.set_upstreams({"engine-1": "http://10.0.0.1:80"})
--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -303,7 +303,7 @@
         return []
 
     def _notify_stale_sender(self, packet: Packet, current: Member) -> list[Action]:
-        """Send a node the higher incarnation that is known of it.
+        """Send a node the higher incarnation that this node has recorded for it.
 
         The node restarted after its wall clock was set back, so its new incarnation
         is lower than the last. Without this answer, after which it chooses a higher
--- a/fireflyward/membership/_messages.py
+++ b/fireflyward/membership/_messages.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainAge:
-    """How long ago the sender, or its source, last had contact to a failure domain."""
+    """How long ago the sender, or its source, last had contact with a domain."""
 
     failure_domain: str
     age_ms: int
@@ -38,7 +38,7 @@
     """One datagram.
 
     ``sender`` is the sending node's row about itself. ``number`` pairs an ACK with its
-    PROBE; ``target`` is the name of the node that a PROBE_REQUEST asks to probe.
+    PROBE; ``target`` is the name of the node to probe for a PROBE_REQUEST.
     ``rows`` are gossip about members; a row without a failure domain leaves out the
     address, failure domain and region.
     """
--- a/fireflyward/membership/_rendezvous.py
+++ b/fireflyward/membership/_rendezvous.py
@@ -40,7 +40,7 @@
 class SteadyMembers:
     """Keeps a member that left for a grace time, in which most members come back.
 
-    A planned restart takes seconds, and 110 restarts happen on a day. Without the
+    A planned restart takes seconds, and there are 110 restarts a day. Without the
     grace time each of them would move the member's keys to other members and back.
     Kafka Streams, for the same reason, does not leave its group when it is closed
     and waits for the session to expire. This class suits work that can wait for the
--- a/fireflyward/membership/_sync.py
+++ b/fireflyward/membership/_sync.py
@@ -26,7 +26,7 @@
 
     Every datagram may be lost and gossip sends a row only a bounded number of times,
     so some nodes miss some rows; the comparison finds them within a few periods. It
-    is also how a new node learns of all others, and how two halves of a failure domain
+    is also how a new node finds all others, and how two halves of a failure domain
     that declared each other dead find each other again: now and then the digests go
     to a member that counts as dead, or to a seed.
     """
--- a/fireflyward/quarantine/_announcements.py
+++ b/fireflyward/quarantine/_announcements.py
@@ -38,15 +38,17 @@
         link.register(_CRASH, EndNews, self._on_crash)
         link.register(_CLEAR, ClearNews, self._on_clear)
 
-    def announce_crash(self, start: int, fingerprints: Sequence[str]) -> None:
+    def announce_crash(self, incarnation_id: int, fingerprints: Sequence[str]) -> None:
         """Announce this node's requests in flight at a replica that crashed."""
         for first in range(0, len(fingerprints), _MAX_PER_DATAGRAM):
             part = list(fingerprints[first : first + _MAX_PER_DATAGRAM])
-            self._announce(_CRASH, EndNews(start=start, fingerprints=part))
+            self._announce(_CRASH, EndNews(start=incarnation_id, fingerprints=part))
 
-    def announce_cleared(self, fingerprint: str, starts: Iterable[int]) -> None:
+    def announce_cleared(
+        self, fingerprint: str, incarnation_ids: Iterable[int]
+    ) -> None:
         """Announce that a request is harmless, and of which crashes it is cleared."""
-        message = ClearNews(fingerprint=fingerprint, starts=sorted(starts))
+        message = ClearNews(fingerprint=fingerprint, starts=sorted(incarnation_ids))
         self._announce(_CLEAR, message)
 
     def _announce(self, kind: str, message: Any) -> None:
--- a/fireflyward/quarantine/_cuts.py
+++ b/fireflyward/quarantine/_cuts.py
@@ -10,8 +10,9 @@
     """Requests that got no answer, by the replica's incarnation id; no I/O.
 
     A broken connection does not show its cause. Requests that were cut at a replica
-    were in flight at a crash only if the replica did crash. Either fact may be known
-    first; whichever of ``on_cut`` and ``on_crash`` comes second returns the requests.
+    were in flight at a crash only if the replica did crash. The cut and the crash may
+    be recorded in either order; the later call, ``on_cut`` or ``on_crash``, returns
+    the requests.
 
     >>> cuts = Cuts()
     >>> cuts.on_cut(0, "a", 7), cuts.on_crash(3, 7), cuts.on_cut(4, "b", 7)
@@ -37,7 +38,7 @@
         return ()
 
     def on_crash(self, now_ms: int, incarnation_id: int) -> tuple[str, ...]:
-        """Record a replica's crash; return the requests that were cut by it."""
+        """Record a replica's crash; return the requests that it cut."""
         self._drop_old(now_ms)
         if incarnation_id in self._crashed_ms_by_incarnation_id:
             return ()
--- a/fireflyward/quarantine/_rows.py
+++ b/fireflyward/quarantine/_rows.py
@@ -71,7 +71,8 @@
         if update.is_snapshot:
             listed = {row.key for row in update.rows}
             for key in self._position_by_key.keys() - listed:
-                # A read from before the row was written does not show that it is gone.
+                # A read from before the row was written does not show that the row was
+                # deleted since.
                 if self._position_by_key[key] > update.position:
                     continue
                 if update.is_new_era:
@@ -194,7 +195,7 @@
         try:
             suspect = msgspec.json.decode(row.value, type=SuspectRow)
         except msgspec.MsgspecError as error:
-            # An unreadable row has no effect; the other rows do.
+            # An unreadable row is ignored; the other rows still take effect.
             log.error("quarantine: row %s is not understood: %s", row.key, error)
             return
         self._suspects.on_row(now_ms, row.key.removeprefix(_SUSPECT_PREFIX), suspect)
--- a/fireflyward/quarantine/_suspects.py
+++ b/fireflyward/quarantine/_suspects.py
@@ -14,7 +14,7 @@
 _MIN_CRASHES_WRITTEN = 2
 # Trials that may show whether a suspect or a request that ran at the same time causes
 # the crashes. Together with the one or two sends in flight while the third crash is
-# announced they stay within three.
+# announced they stay within the three further sends.
 _MAX_TRIALS = 2
 # How long a suspect is held before its next trial, doubled by each further trial. An
 # hour is enough to reach the people who repair replicas; each trial may crash another
@@ -23,7 +23,8 @@
 _MAX_DOUBLINGS = 4
 # A suspect that was not written is dropped when it has had no crash for this long.
 _EXPIRY_MS = 3_600_000
-# The longest hold is sixteen hours: a request that is still sent was tried by then.
+# The longest hold is sixteen hours: a request that callers still repeat has had its
+# next trial before this time.
 _WRITTEN_EXPIRY_MS = 24 * 3_600_000
 # A crash cuts all requests of the replica, some hundred; this is enough for a hundred
 # crashes and takes some 3 MB.
@@ -56,8 +57,8 @@
     limit on trials, the request would go on to crash replicas.
 
     >>> suspects = Suspects()
-    >>> for start in (1, 2, 3):
-    ...     suspects.on_crashes(0, "a", [start])
+    >>> for incarnation_id in (1, 2, 3):
+    ...     suspects.on_crashes(0, "a", [incarnation_id])
     >>> suspects.verdict(1_000, "a")
     Held(detail='3 replicas ended under it', retry_after_ms=3599000)
     """
@@ -77,7 +78,7 @@
         return len(self._over_limit)
 
     def crashes_of(self, fingerprint: str) -> frozenset[int]:
-        """Return the incarnation ids of replicas that crashed under a request."""
+        """Return the incarnation ids of replicas that crashed during a request."""
         suspect = self._by_fingerprint.get(fingerprint)
         return frozenset(suspect.ends) if suspect is not None else frozenset()
 
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -45,8 +45,8 @@
     each time the other requests of one more replica fail too. The symptoms are single
     replicas that crash shortly after each other, and the same fingerprint among the
     requests cut at each of them. Repeated a dozen times at three nodes, such a request
-    crashed 12 replicas if it is sent once each time, and 24 if it is idempotent and
-    therefore retried; when it is held, 3 and 4
+    crashed 12 replicas if it was sent once each time, and 24 if it was idempotent and
+    therefore retried; with the quarantine it crashed 3 and 4
     (``tests.fleet.test_crashing_requests``). The nodes therefore announce to each other
     the requests that were in flight when a replica crashed, by fingerprint and not by
     id, and the table stores those with more than one crash. ``Suspects`` decides from
--- a/fireflyward/replicas/_backpressure.py
+++ b/fireflyward/replicas/_backpressure.py
@@ -1,4 +1,4 @@
-"""What one incarnation of a replica asks of the nodes that send requests to it."""
+"""Backpressure that one incarnation of a replica requests from the nodes."""
 
 
 class ReportedLimit:
@@ -53,12 +53,12 @@
 
 
 class Backpressure:
-    """Everything that one incarnation of a replica asked of this node.
+    """The rate limit, the backoff and the notices of one incarnation of a replica.
 
     ``changes`` counts the changes: a send that waits compares it to find out that its
-    choice is out of date. ``is_leaving`` is set once the replica said in an answer that
-    it is leaving, and ``has_unreadable_header`` once it sent a header that cannot
-    be parsed.
+    choice is out of date. ``is_leaving`` is set once the replica reported in an answer
+    to some node that it is leaving, and ``has_unreadable_header`` once it sent this
+    node a header that cannot be parsed.
     """
 
     __slots__ = (
@@ -77,7 +77,7 @@
         self._backoff_until_ms = 0.0
 
     def on_backoff(self, now_ms: int, for_ms: float) -> None:
-        """Extend the backoff that the replica asked this node for."""
+        """Extend the backoff to at least ``for_ms`` from now."""
         self._backoff_until_ms = max(self._backoff_until_ms, now_ms + for_ms)
         self.changes += 1
 
--- a/fireflyward/replicas/_chooser.py
+++ b/fireflyward/replicas/_chooser.py
@@ -28,7 +28,8 @@
 _LOADING_MS = 4_000.0
 # Per unit of the share of failed answers above the median of the service's replicas.
 _FAILING_MS = 600.0
-# Shortly after newer weights are announced, answers by older ones count a fifth less.
+# From shortly after newer weights are announced, answers by older ones count a fifth
+# less.
 _OLD_WEIGHTS_MS = 150.0
 # Random part of each cost, so that nodes with the same data choose different replicas.
 _JITTER_MS = 3.0
@@ -390,10 +391,10 @@
     """
     if not requirements.kv_tokens or not resident_tokens:
         return 0.0
-    over = (
+    excess_tokens = (
         resident_tokens + requirements.tokens - _MEMORY_SHARE * requirements.kv_tokens
     )
-    return _RUN_MS * max(0.0, over) / resident_tokens
+    return _RUN_MS * max(0.0, excess_tokens) / resident_tokens
 
 
 def _slot_ms(state: ReplicaState, requests: float) -> float:
--- a/fireflyward/replicas/_directory.py
+++ b/fireflyward/replicas/_directory.py
@@ -16,20 +16,20 @@
 _RETURN_GRACE_MS = 2_300
 # An entry that its replica does not renew expires after three heartbeats of a second.
 _ENTRY_EXPIRY_MS = 6_000
-# Number of incarnations that are no longer listed whose backpressure is retained.
+# Maximum number of removed incarnations whose backpressure is retained.
 _MAX_RETAINED = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class _UnconfirmedEntry:
-    """An entry restored from an older snapshot, of an incarnation known to be gone."""
+    """An entry from an older snapshot, of an incarnation that was already removed."""
 
     entry: ReplicaEntry
     until_ms: int
 
 
 class ReplicaDirectory:
-    """The list of replicas as this node has last received it; no I/O.
+    """The list of replicas as this node last received it; no I/O.
 
     An entry that is missing after an outage of the store may have expired only because
     its replica could not renew it. If it were dropped at once, a service would have no
@@ -43,9 +43,9 @@
     on serving.
 
     A store that was restored from an older snapshot lists older entries than this node
-    knows. Such an entry cannot revoke that an incarnation is leaving or that it is
-    gone. If an incarnation that is gone is still listed when its entry would have
-    expired, then the replica renews the entry, and it is listed again.
+    knows. Such an entry cannot revoke that an incarnation is leaving, nor that it was
+    removed. If the store still lists a removed incarnation when its entry would have
+    expired, then the replica renews the entry, and this node lists it again.
     """
 
     __slots__ = (
@@ -124,11 +124,11 @@
         return used
 
     def find(self, name: str) -> ReplicaState | None:
-        """Return the replica that is listed under a name, None once it is gone."""
+        """Return the replica that is listed under a name, or None."""
         return self._state_by_name.get(name)
 
     def find_incarnation(self, incarnation_id: int) -> ReplicaState | None:
-        """Return the replica with this incarnation id, None once it is gone."""
+        """Return the listed replica with this incarnation id, or None."""
         return self._state_by_incarnation_id.get(incarnation_id)
 
     def on_full_read(
@@ -139,7 +139,7 @@
         after_outage: bool,
         restored: Iterable[ReplicaEntry] = (),
     ) -> list[ReplicaState]:
-        """Replace the whole list; return the states of replicas that are gone.
+        """Replace the whole list; return the states of the removed replicas.
 
         Entries in ``restored`` come from an older snapshot of the list.
         """
@@ -148,12 +148,12 @@
         names = listed.keys() | old.keys()
         listed = {name: entry for name, entry in listed.items() if name not in old}
         missing = [name for name in self._state_by_name if name not in names]
-        gone = self._add(
+        dropped = self._add(
             now_ms, [*listed.values(), *self._new_in_snapshot(now_ms, old)]
         )
-        gone += self._remove(now_ms, missing, after_outage=after_outage)
+        dropped += self._remove(now_ms, missing, after_outage=after_outage)
         self._rebuild_indexes()
-        return gone
+        return dropped
 
     def on_changes(
         self,
@@ -163,11 +163,11 @@
         *,
         after_outage: bool,
     ) -> list[ReplicaState]:
-        """Apply changes of the list; return the states of replicas that are gone."""
-        gone = self._add(now_ms, entries)
-        gone += self._remove(now_ms, removed, after_outage=after_outage)
+        """Apply changes of the list; return the states of the removed replicas."""
+        dropped = self._add(now_ms, entries)
+        dropped += self._remove(now_ms, removed, after_outage=after_outage)
         self._rebuild_indexes()
-        return gone
+        return dropped
 
     def on_leaving(self, state: ReplicaState) -> None:
         """Record that a replica is leaving, by its answer or another node's report."""
@@ -177,14 +177,14 @@
 
     def drop(self, names: Iterable[str]) -> list[ReplicaState]:
         """Drop entries that no longer describe a replica; return their states."""
-        gone = [
+        dropped = [
             self._drop(name, "its entry does not describe a replica")
             for name in names
             if name in self._state_by_name
         ]
-        if gone:
+        if dropped:
             self._rebuild_indexes()
-        return gone
+        return dropped
 
     def expire(self, now_ms: int) -> list[ReplicaState]:
         """Drop entries that were not renewed in time after an outage."""
@@ -193,16 +193,16 @@
             for name, state in self._state_by_name.items()
             if state.gone_at_ms is not None and now_ms >= state.gone_at_ms
         ]
-        gone = [self._drop(name, "not renewed after an outage") for name in due]
+        dropped = [self._drop(name, "not renewed after an outage") for name in due]
         renewed = [
             unconfirmed.entry
             for unconfirmed in self._unconfirmed_by_name.values()
             if now_ms >= unconfirmed.until_ms
         ]
-        gone += self._add(now_ms, renewed)
-        if gone or renewed:
+        dropped += self._add(now_ms, renewed)
+        if dropped or renewed:
             self._rebuild_indexes()
-        return gone
+        return dropped
 
     def _new_in_snapshot(
         self, now_ms: int, restored_by_name: Mapping[str, ReplicaEntry]
@@ -254,7 +254,7 @@
     def _remove(
         self, now_ms: int, names: Iterable[str], *, after_outage: bool
     ) -> list[ReplicaState]:
-        gone = []
+        dropped = []
         for name in names:
             self._unconfirmed_by_name.pop(name, None)
             state = self._state_by_name.get(name)
@@ -264,8 +264,8 @@
                 if state.gone_at_ms is None:
                     state.gone_at_ms = now_ms + _RETURN_GRACE_MS
             else:
-                gone.append(self._drop(name, "removed"))
-        return gone
+                dropped.append(self._drop(name, "removed"))
+        return dropped
 
     def _drop(self, name: str, why: str) -> ReplicaState:
         state = self._state_by_name.pop(name)
@@ -302,6 +302,6 @@
     if entry.is_leaving and not known.is_leaving:
         log.info("replicas: %s of %s is leaving", entry.incarnation, entry.service)
     if entry.cold_ms != known.entry.cold_ms:
-        # A full read repeats unchanged entries: their remaining time is out of date.
+        # A full read repeats unchanged entries, whose remaining time is out of date.
         known.on_cold(now_ms, entry.cold_ms)
     known.update_entry(entry)
--- a/fireflyward/replicas/_load_reports.py
+++ b/fireflyward/replicas/_load_reports.py
@@ -62,18 +62,20 @@
         return bool(self._published)
 
     def due(self, now_ms: int, total: dict[int, InFlightLoad]) -> LoadByReplica | None:
-        """Return the entries to publish, none as a keepalive; None for no message."""
-        gone = {name: InFlightLoad() for name in self._published if name not in total}
+        """Return the entries to publish; empty for a keepalive, None for no message."""
+        withdrawn = {
+            name: InFlightLoad() for name in self._published if name not in total
+        }
         if (
             self._last_full_ms is None
             or now_ms - self._last_full_ms >= _FULL_SUM_PERIOD_MS
         ):
             self._last_full_ms = now_ms
-            changed = {**total, **gone}
+            changed = {**total, **withdrawn}
         else:
             known = self._published
             changed = {k: item for k, item in total.items() if known.get(k) != item}
-            changed |= gone
+            changed |= withdrawn
         self._published = total
         if not changed and now_ms - self._last_published_ms < _KEEPALIVE_MS:
             return None
@@ -217,9 +219,9 @@
     ) -> None:
         """Send the sum of the reports that this node received to other aggregators.
 
-        Two nodes of a domain may receive reports at the same time, from nodes that
-        consider different ones silent. Each aggregator that receives a sum from both
-        sends its own sum to both.
+        Two nodes of a domain may receive reports at the same time, when the reporting
+        nodes disagree about which of the two is silent. Each aggregator that receives
+        a sum from both sends its own sum to both.
         """
         senders = self._peers.sum_senders(now_ms)
         others = self._aggregators.publishing_nodes(now_ms, senders)
--- a/fireflyward/replicas/_node_shares.py
+++ b/fireflyward/replicas/_node_shares.py
@@ -50,5 +50,5 @@
         ranks = {node: rendezvous_rank(str(replica), node) for node in self._nodes}
         own = ranks[self._node]
         place = sum(rank > own for rank in ranks.values())
-        each, rest = divmod(amount, len(self._nodes))
-        return each + (place < rest)
+        each, remainder = divmod(amount, len(self._nodes))
+        return each + (place < remainder)
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -138,7 +138,7 @@
         return self._other_requests * 0.5 ** (age_ms / _LOAD_HALF_LIFE_MS)
 
     def on_load(self, now_ms: int, total: int) -> None:
-        """Record how many requests the replica says it has, running and waiting."""
+        """Record how many running and waiting requests the replica reports."""
         self._other_requests = max(0.0, total - self.in_flight - self.waiting_late)
         self._other_requests_at_ms = now_ms
 
--- a/fireflyward/rollout/_row_tracker.py
+++ b/fireflyward/rollout/_row_tracker.py
@@ -28,7 +28,7 @@
 
     ``row`` is None until it was read. A write contains the version that it replaces.
     So when two processes both assume that they hold the lease, the write of at most
-    one takes effect, and a write that a paused driver has sent meets another version.
+    one takes effect, and the late write of a paused driver finds another version.
     """
 
     __slots__ = ("_is_unavailable", "_pending", "_version", "row")
--- a/fireflyward/weights/_plan.py
+++ b/fireflyward/weights/_plan.py
@@ -21,7 +21,8 @@
     ``incarnation`` is the replica's name, ``incarnation_id`` identifies one start of
     it. ``busy_ms`` is the estimated time for the prompts that wait at the replica,
     which a load has to wait for. ``may_serve`` says whether the version of its weights
-    may serve new requests, ``is_evacuated`` that it gets none whatever its weights.
+    may serve new requests, ``is_evacuated`` whether its failure domain is evacuated, so
+    that it gets no requests whatever its weights.
     """
 
     incarnation: str
--- a/tests/leaving/test_upstreams.py
+++ b/tests/leaving/test_upstreams.py
@@ -83,4 +83,4 @@
         self.assertEqual(self.leaving(10_000), ["engine-1"])
 
     def test_unknown_names_are_ignored(self):
-        self.assertEqual(self.upstreams.on_peer_report(0, ["nobody"]), ())
+        self.assertEqual(self.upstreams.on_peer_report(0, ["unknown"]), ())
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -84,7 +84,7 @@
         self.assertEqual(self.alarms(AlarmKind.NODE_DEAD), [])
 
     def test_no_node_is_declared_dead_after_a_pause_of_three_seconds(self):
-        """Guards against deaths that are declared after a pause of one process.
+        """Guards against members declared dead after a pause of one process.
 
         After a pause of 3 s all timers of the process have expired. It might declare
         the others dead, or be declared dead by them.
@@ -174,7 +174,7 @@
         """Guards against a node with a broken link that declares its domain dead.
 
         The node receives nothing for minutes. When its link works again, it might
-        spread the deaths that it assumed meanwhile.
+        spread its assumption that all others are dead.
         """
         self.start(2, 6)
         self.net.is_blocked = lambda one, other: "entry-1-0" in (one, other)
@@ -224,7 +224,7 @@
         self.net.start("entry-0-0", "domain-0", (("entry-1-0", 1),), incarnation=0)
         self.assert_soon(self.all_nodes_see("entry-0-0", MemberState.LIVE), 5_000)
 
-    def test_old_datagrams_neither_revive_nor_kill(self):
+    def test_old_datagrams_do_not_change_the_state_of_a_member(self):
         """Guards against replayed datagrams that change the state of a member.
 
         A dead node might get work again, or a live one none.
--- a/tests/notices/test_task.py
+++ b/tests/notices/test_task.py
@@ -127,7 +127,7 @@
         self.assertEqual(directory.of_service("s"), [])
 
     async def test_an_unreadable_limit_changes_nothing_and_is_logged_once(self):
-        """Guards against garbage that ends a limit, stops a node or floods its log."""
+        """Guards against invalid values that end a limit, stop a node or flood logs."""
         self.answer(SIGNED, ("server-limit", "3.5"))
         await self.clock.advance_ms(10)
         with self.assertLogs("fireflyward.notices", "WARNING") as logged:
@@ -190,7 +190,7 @@
         self.assertTrue(self.first[0].find("r1").is_leaving)
 
     async def test_no_other_value_than_one_says_that_a_replica_is_leaving(self):
-        """Guards against garbage that takes a replica out of service."""
+        """Guards against invalid values that remove a replica from service."""
         self.answer(SIGNED, ("server-leaving", "0"))
         with self.assertLogs("fireflyward.notices", "WARNING"):
             self.answer(SIGNED, ("server-leaving", "perhaps"))
--- a/tests/quarantine/test_suspects.py
+++ b/tests/quarantine/test_suspects.py
@@ -49,7 +49,7 @@
         self.assertEqual(self.verdict("deadly"), OnTrial())
         self.assertEqual(self.verdict("beside"), OnTrial())
 
-    def test_a_further_crash_distinguishes_them(self):
+    def test_a_further_crash_distinguishes_two_requests(self):
         for start in (1, 2, 3):
             self.crash(start, "deadly", "beside")
         self.crash(4, "deadly")
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -64,7 +64,7 @@
         await self.clock.advance_ms(5)
 
     async def admit(self, fingerprint):
-        """Return the decision, at the latest when the longest wait is over."""
+        """Return the decision, at the latest after the longest wait for a trial."""
         admission = asyncio.create_task(self.quarantine.admit(fingerprint))
         for _ in range(_MAX_WAIT_MS // _STEP_MS):
             await self.clock.advance_ms(_STEP_MS)
@@ -315,7 +315,7 @@
         self.assertEqual(await self.node.admit("a"), Free())
 
     async def test_a_replica_that_announced_its_leaving_has_not_crashed(self):
-        """Guards against planned stops that seem to be crashes to an outdated list."""
+        """Guards against planned stops that count as crashes by an outdated list."""
         directory = self.node.directory
         for name in NAMES[:3]:
             await self.node.cut(name, "a", refused=False)
--- a/tests/reach/test_task.py
+++ b/tests/reach/test_task.py
@@ -185,7 +185,7 @@
         self.assertEqual(self.link.sent, [((("n2", 1),), "b")])
 
     async def receive_announcement_of_b(self):
-        await self.link.handle("n2", type("News", (), {"failure_domain": "b"}))
+        await self.link.handle("n2", type("Announcement", (), {"failure_domain": "b"}))
         await self.clock.advance_ms(151)
 
     async def test_a_node_that_receives_an_announcement_probes_and_does_not_announce(
--- a/tests/replicas/test_chooser.py
+++ b/tests/replicas/test_chooser.py
@@ -39,11 +39,11 @@
 
 
 class ChooserTests(ChooserCase):
-    def test_none_for_an_unknown_service(self):
+    def test_no_choice_for_an_unknown_service(self):
         self.make(entry("r1"))
         self.assertIsNone(self.chosen(Requirements("other")))
 
-    def test_the_less_loaded_one(self):
+    def test_the_less_loaded_replica_is_chosen(self):
         self.make(entry("r1"), entry("r2"))
         self.state("r1").in_flight = 3
         self.assertEqual({self.chosen() for _ in range(50)}, {"r2"})
@@ -128,7 +128,7 @@
             {self.chosen(Requirements("s", model="m")) for _ in range(20)}, {"r2"}
         )
 
-    def test_the_choice_has_the_queue_of_all_nodes(self):
+    def test_the_queue_of_a_choice_contains_the_load_of_all_nodes(self):
         self.make(entry("r1", version=1))
         self.state("r1").unprefilled_tokens = 900
         self.peers.on_load_report(0, "entry-2", load_at("r1", InFlightLoad(900, 900)))
--- a/tests/replicas/test_cold.py
+++ b/tests/replicas/test_cold.py
@@ -86,7 +86,7 @@
         for directory, _ in self.choosers:
             directory.set_evacuated(now_ms, frozenset())
 
-    def play(self, from_ms, seconds, per_second):
+    def simulate(self, from_ms, seconds, per_second):
         """Return the times of the requests to each replica; runs last 300 ms.
 
         Nodes receive each other's loads 150 ms late, as through aggregators.
@@ -132,9 +132,9 @@
         so yet. They were idle, so all nodes preferred them during a burst of twice the
         usual load, and one replica got 25 requests within a second.
         """
-        self.play(0, 1, 1_030)
+        self.simulate(0, 1, 1_030)
         self.end_evacuation(1_000)
-        sent = self.play(1_000, 2.5, 1_030)
+        sent = self.simulate(1_000, 2.5, 1_030)
         self.assertLessEqual(self.most_in_a_second(sent, "b"), BOUND)
         total = sum(map(len, sent.values()))
         self.assertGreater(total, 0.99 * 2.5 * 1_030)
@@ -145,7 +145,7 @@
         The load is more than the two other domains can serve in their slots.
         """
         self.end_evacuation(1_000)
-        sent = self.play(1_000, 2, 2_200)
+        sent = self.simulate(1_000, 2, 2_200)
         returned = [
             len(sent[item.incarnation])
             for item in self.entries
@@ -156,7 +156,7 @@
 
     def test_a_domain_gets_its_share_of_the_load_again_once_warm(self):
         self.end_evacuation(1_000)
-        sent = self.play(4_100, 1, 1_030)
+        sent = self.simulate(4_100, 1, 1_030)
         counts = Counter()
         for item in self.entries:
             counts[item.failure_domain] += len(sent[item.incarnation])
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -152,11 +152,11 @@
 class UnknownServiceTests(unittest.TestCase):
     def setUp(self):
         self.directory = ReplicaDirectory()
-        entries = [entry("r1"), entry("r2"), entry("x", service="unheard of")]
+        entries = [entry("r1"), entry("r2"), entry("x", service="unknown")]
         self.directory.on_full_read(0, entries, after_outage=False)
 
-    def test_an_entry_of_an_unknown_service_is_no_replica(self):
-        """Symptom: weights are loaded on a process that is no replica of ours."""
+    def test_an_entry_of_an_unknown_service_is_not_a_replica(self):
+        """Symptom: weights are loaded on a process that is not a replica."""
         self.directory.set_services({"s": Service("s")})
         names = [state.entry.incarnation for state in self.directory.all()]
         self.assertEqual(names, ["r1", "r2"])
@@ -164,9 +164,9 @@
 
     def test_a_service_that_is_added_later_has_its_replicas(self):
         self.directory.set_services({"s": Service("s")})
-        services = {name: Service(name) for name in ("s", "unheard of")}
+        services = {name: Service(name) for name in ("s", "unknown")}
         self.directory.set_services(services)
-        self.assertEqual(len(self.directory.of_service("unheard of")), 1)
+        self.assertEqual(len(self.directory.of_service("unknown")), 1)
 
     def test_a_replica_with_an_invalid_entry_is_dropped_at_once(self):
         gone = self.directory.drop(["r1", "never seen"])
--- a/tests/replicas/test_older_snapshot.py
+++ b/tests/replicas/test_older_snapshot.py
@@ -32,13 +32,13 @@
         found = [state.entry.incarnation for state in self.directory.all()]
         self.assertEqual(found, names)
 
-    def test_it_does_not_revoke_that_a_replica_is_leaving(self):
+    def test_a_snapshot_does_not_revoke_that_a_replica_is_leaving(self):
         self.change(entry("r1", leaving=True))
         self.restore(100, entry("r1"), entry("r2"))
         self.assertEqual(self.names(), ["r2"])
 
-    def test_it_does_not_restore_a_removed_replica(self):
-        """Guards against requests to a replica that was gone without notice."""
+    def test_a_snapshot_does_not_restore_a_removed_replica(self):
+        """Guards against requests to a replica that exited without notice."""
         self.change(removed=["r1"])
         self.restore(100, entry("r1"), entry("r2"))
         self.directory.expire(6_000)
@@ -51,7 +51,7 @@
         self.directory.expire(6_100)
         self.assertEqual(self.names(), ["r1", "r2"])
 
-    def test_a_second_read_does_not_restart_that_wait(self):
+    def test_a_second_read_does_not_restart_the_wait_for_a_renewed_entry(self):
         self.change(removed=["r1"])
         for now_ms in (100, 3_000):
             self.restore(now_ms, entry("r1"), entry("r2"))
--- a/tests/replicas/test_rate_limits.py
+++ b/tests/replicas/test_rate_limits.py
@@ -57,11 +57,11 @@
             )
             self.choosers.append((directory.find("r1"), chooser))
 
-    def name_limit(self, now_ms, per_second):
+    def report_limit(self, now_ms, per_second):
         for state, _ in self.choosers:
             state.backpressure.limit.on_limit_named(now_ms, per_second)
 
-    def play(self, from_ms, until_ms, *, each_ms=3):
+    def simulate(self, from_ms, until_ms, *, each_ms=3):
         """Return when random nodes chose the limited replica."""
         rng = random.Random(3)
         chosen_ms = []
@@ -81,57 +81,57 @@
         for nodes in (3, 9, 89):
             for limit in (1.0, 3.5, 4.0, 12.0):
                 self.make(nodes)
-                self.name_limit(0, limit)
-                chosen_ms = self.play(0, 20_000)
+                self.report_limit(0, limit)
+                chosen_ms = self.simulate(0, 20_000)
                 most = self.most_in_window(chosen_ms)
                 self.assertLessEqual(most, limit * 4 + 1, (nodes, limit))
 
     def test_the_limit_is_used(self):
         self.make(9)
-        self.name_limit(0, 4.0)
-        self.assertGreater(len(self.play(4_000, 20_000)), 0.9 * 16 * 3.75)
+        self.report_limit(0, 4.0)
+        self.assertGreater(len(self.simulate(4_000, 20_000)), 0.9 * 16 * 3.75)
 
     def test_nodes_that_receive_a_limit_at_once_do_not_send_at_once(self):
         """Guards against a burst of all requests of a window."""
         self.make(9)
-        self.name_limit(0, 4.0)
-        self.assertLessEqual(len(self.play(0, 1_000)), 8)
+        self.report_limit(0, 4.0)
+        self.assertLessEqual(len(self.simulate(0, 1_000)), 8)
 
     def test_a_limit_that_returns_does_not_start_with_a_burst(self):
         """Guards against a burst when no node has sent recently."""
         self.make(9)
-        self.name_limit(0, 4.0)
-        self.play(0, 4_000)
+        self.report_limit(0, 4.0)
+        self.simulate(0, 4_000)
         for state, _ in self.choosers:
             state.backpressure.limit.on_no_limit(4_000, 3_999)
-        self.name_limit(60_000, 4.0)
-        self.assertLessEqual(len(self.play(60_000, 61_000)), 8)
+        self.report_limit(60_000, 4.0)
+        self.assertLessEqual(len(self.simulate(60_000, 61_000)), 8)
 
     def test_a_limit_that_ends_and_returns_is_not_exceeded(self):
         """Guards against a new allowance after each answer without a limit."""
         self.make(9)
         chosen_ms = []
         for start_ms in range(0, 12_000, 500):
-            self.name_limit(start_ms, 4.0)
-            chosen_ms += self.play(start_ms, start_ms + 450)
+            self.report_limit(start_ms, 4.0)
+            chosen_ms += self.simulate(start_ms, start_ms + 450)
             for state, _ in self.choosers:
                 state.backpressure.limit.on_no_limit(start_ms + 450, start_ms + 449)
         self.assertLessEqual(self.most_in_window(chosen_ms), 4 * 4 + 1)
 
     def test_a_lower_limit_applies_at_once(self):
         self.make(9)
-        self.name_limit(0, 12.0)
-        self.play(0, 4_000)
-        self.name_limit(4_000, 1.0)
-        self.assertLessEqual(len(self.play(4_000, 8_000)), 4)
+        self.report_limit(0, 12.0)
+        self.simulate(0, 4_000)
+        self.report_limit(4_000, 1.0)
+        self.assertLessEqual(len(self.simulate(4_000, 8_000)), 4)
 
     def test_nodes_with_different_lists_of_nodes_stay_within_the_bound(self):
         self.make(9)
         names = [f"n{number}" for number in range(14)]
         for _, chooser in self.choosers[::2]:
             chooser._rate_limits.set_nodes(names)
-        self.name_limit(0, 4.0)
-        self.assertLessEqual(self.most_in_window(self.play(0, 20_000)), 29)
+        self.report_limit(0, 4.0)
+        self.assertLessEqual(self.most_in_window(self.simulate(0, 20_000)), 29)
 
     def test_rejected_callers_get_a_retry_time(self):
         self.make(1)
--- a/tests/rollout/test_task.py
+++ b/tests/rollout/test_task.py
@@ -156,10 +156,10 @@
             with self.subTest(step=step):
                 simulation = self.make_simulation()
 
-                def leave(simulation=simulation):
+                def make_unavailable(simulation=simulation):
                     simulation.table.unavailable = True
 
-                await self.begin(simulation, at(step, leave))
+                await self.begin(simulation, at(step, make_unavailable))
                 await simulation.run(15_000)
                 simulation.table.unavailable = False
                 await simulation.finish()
