--- a/fireflyward/quarantine/_announcements.py
+++ b/fireflyward/quarantine/_announcer.py
@@ -17,7 +17,7 @@
 _RESEND_AFTER_MS = (300, 1_500)
 
 
-class SuspectAnnouncements:
+class SuspectAnnouncer:
     """Announces crashes and requests that were cleared, and receives announcements."""
 
     def __init__(
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -12,7 +12,7 @@
 from fireflyward.platform import StoreClient
 from fireflyward.replicas import ReplicaDirectory, ReplicaState
 
-from ._announcements import SuspectAnnouncements
+from ._announcer import SuspectAnnouncer
 from ._cuts import Cuts
 from ._messages import Free, Held, Trial
 from ._rows import SuspectRows
@@ -78,7 +78,7 @@
         self._rows = SuspectRows(
             self._suspects, store=store, table=table, node=node, clock=clock
         )
-        self._announcements = SuspectAnnouncements(
+        self._announcer = SuspectAnnouncer(
             self._suspects, clock=clock, peer_addresses=peer_addresses
         )
         self._unsynced: set[str] = set()
@@ -95,7 +95,7 @@
 
     def use(self, link: PeerLink) -> None:
         """Send and receive announcements over a link from now on."""
-        self._announcements.use(link)
+        self._announcer.use(link)
 
     def on_table_update(self, update: TableUpdate) -> None:
         """Apply changes of the table."""
@@ -172,7 +172,7 @@
             return
         cleared_ids = self._suspects.clear(fingerprint)
         log.info("quarantine: %s cleared of %d ends", fingerprint, len(cleared_ids))
-        self._announcements.announce_cleared(fingerprint, cleared_ids)
+        self._announcer.announce_cleared(fingerprint, cleared_ids)
         self._unsynced.add(fingerprint)
         self._has_work.set()
 
@@ -241,7 +241,7 @@
         self.cut += len(fingerprints)
         for fingerprint in fingerprints:
             self._suspects.on_crashes(now_ms, fingerprint, [replica.incarnation_id])
-        self._announcements.announce_crash(replica.incarnation_id, fingerprints)
+        self._announcer.announce_crash(replica.incarnation_id, fingerprints)
         self._unsynced.update(fingerprints)
         self._has_work.set()
         self._poll_soon()
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -145,7 +145,7 @@
         all read holds them from the second on.
         """
         for node in self.nodes:
-            node._quarantine._announcements._link = None
+            node._quarantine._announcer._link = None
         statuses = await self.ask_over_and_over("POST", "/w/x", self.plain, "plain")
         self.assertLessEqual(len(self.ended), _MOST_ENDS)
         self.assertEqual(statuses[-1], 503)
