--- a/fireflyward/membership/_domain_watch.py
+++ b/fireflyward/membership/_domain_watch.py
@@ -8,7 +8,7 @@
 from ._members import Member, MemberState
 from ._messages import DomainAge, DomainDigest
 
-_AGES_IN_DATAGRAM = 3
+_AGES_PER_DATAGRAM = 3
 _DIGEST_BYTES = 7
 _CACHED_HASHES = 1_024
 
@@ -67,7 +67,7 @@
     def ages(self, now_ms: int) -> tuple[DomainAge, ...]:
         """Return the ages of a few failure domains, the next few at the next call."""
         names = self.names()
-        count = min(_AGES_IN_DATAGRAM, len(names))
+        count = min(_AGES_PER_DATAGRAM, len(names))
         picked = {names[next(self._domain_counter) % len(names)] for _ in range(count)}
         return tuple(
             DomainAge(name, max(0, now_ms - self._last_contact_ms_by_domain[name]))
--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -28,7 +28,7 @@
 from ._roster import Roster
 from ._sync import Sync
 
-_ROWS_IN_DATAGRAM = 4
+_MAX_ROWS_PER_DATAGRAM = 4
 _PUSH_NEAR_TARGETS = 3
 _PUSH_FAR_TARGETS = 1
 _PUSH_BURST = 8.0
@@ -384,7 +384,7 @@
         ]
         far = target.failure_domain != self.members.own.failure_domain
         rows += self._roster.gossip.take_rows(
-            _ROWS_IN_DATAGRAM - len(rows),
+            _MAX_ROWS_PER_DATAGRAM - len(rows),
             for_other_domain=far,
             without=frozenset({target.name, *(row.name for row in rows)}),
         )
--- a/fireflyward/quarantine/_announcer.py
+++ b/fireflyward/quarantine/_announcer.py
@@ -11,7 +11,7 @@
 
 _CRASH, _CLEAR = "replica ended", "request cleared"
 # A fingerprint takes 18 bytes; a datagram has room for 1,400.
-_MAX_PER_DATAGRAM = 60
+_MAX_FINGERPRINTS_PER_DATAGRAM = 60
 # The announcement of a crash is resent: with 3% of the datagrams lost, one in 37,000
 # nodes receives none of three. Such a node still reads the table.
 _RESEND_AFTER_MS = (300, 1_500)
@@ -40,8 +40,8 @@
 
     def announce_crash(self, incarnation_id: int, fingerprints: Sequence[str]) -> None:
         """Announce this node's requests in flight at a replica that crashed."""
-        for first in range(0, len(fingerprints), _MAX_PER_DATAGRAM):
-            part = list(fingerprints[first : first + _MAX_PER_DATAGRAM])
+        for first in range(0, len(fingerprints), _MAX_FINGERPRINTS_PER_DATAGRAM):
+            part = list(fingerprints[first : first + _MAX_FINGERPRINTS_PER_DATAGRAM])
             self._announce(_CRASH, EndNews(start=incarnation_id, fingerprints=part))
 
     def announce_cleared(
--- a/fireflyward/replicas/_directory.py
+++ b/fireflyward/replicas/_directory.py
@@ -191,7 +191,7 @@
         due = [
             name
             for name, state in self._state_by_name.items()
-            if state.gone_at_ms is not None and now_ms >= state.gone_at_ms
+            if state.expires_at_ms is not None and now_ms >= state.expires_at_ms
         ]
         dropped = [self._drop(name, "not renewed after an outage") for name in due]
         renewed = [
@@ -261,8 +261,8 @@
             if state is None:
                 continue
             if after_outage and not state.is_leaving:
-                if state.gone_at_ms is None:
-                    state.gone_at_ms = now_ms + _RETURN_GRACE_MS
+                if state.expires_at_ms is None:
+                    state.expires_at_ms = now_ms + _RETURN_GRACE_MS
             else:
                 dropped.append(self._drop(name, "removed"))
         return dropped
--- a/fireflyward/replicas/_load_reports.py
+++ b/fireflyward/replicas/_load_reports.py
@@ -117,7 +117,7 @@
 
     async def run(self, link: PeerLink) -> None:
         """Send and receive reports until cancelled."""
-        self.listen(link)
+        self.register(link)
         while True:
             is_few = not self._aggregators.are_needed
             await self._clock.sleep_ms(
@@ -125,7 +125,7 @@
             )
             self.report(link)
 
-    def listen(self, link: PeerLink) -> None:
+    def register(self, link: PeerLink) -> None:
         """Register the handlers for the other nodes' messages."""
         link.register(_REPORT, UnderWayNews, self._on_load_report)
         link.register(_SUM, UnderWayNews, self._on_domain_sum)
--- a/fireflyward/replicas/_state.py
+++ b/fireflyward/replicas/_state.py
@@ -50,7 +50,7 @@
         "backpressure",
         "entry",
         "failed_share",
-        "gone_at_ms",
+        "expires_at_ms",
         "in_flight",
         "resident_tokens",
         "incarnation_id",
@@ -77,7 +77,7 @@
         self.slowdown = 1.0
         self.mean_run_ms = _INITIAL_RUN_MS
         self.failed_share = 0.0
-        self.gone_at_ms: int | None = None
+        self.expires_at_ms: int | None = None
         self.version_by_model = _versions(entry)
         self.rejections = 0
         self._reported_by_model: dict[str, int] = {}
@@ -100,7 +100,7 @@
             self.version_by_model = listed
             self._loading_until_ms = 0
         self.entry = entry
-        self.gone_at_ms = None
+        self.expires_at_ms = None
 
     @property
     def is_leaving(self) -> bool:
--- a/fireflyward/weights/_announcer.py
+++ b/fireflyward/weights/_announcer.py
@@ -11,7 +11,7 @@
 
 _LOADING, _LOADED = "loading", "loaded"
 # An incarnation id takes 4 bytes, and a datagram has room for 1,400 bytes.
-_REPLICAS_PER_DATAGRAM = 250
+_MAX_REPLICAS_PER_DATAGRAM = 250
 
 
 class LoadAnnouncer:
@@ -48,9 +48,9 @@
         of thirty replicas to eighty nodes would delay the orders that follow by half a
         second on a link of 10 Mbit/s.
         """
-        for first in range(0, len(replicas), _REPLICAS_PER_DATAGRAM):
+        for first in range(0, len(replicas), _MAX_REPLICAS_PER_DATAGRAM):
             message = LoadingNews(
-                replicas=replicas[first : first + _REPLICAS_PER_DATAGRAM],
+                replicas=replicas[first : first + _MAX_REPLICAS_PER_DATAGRAM],
                 model=model,
                 version=version,
                 for_ms=for_ms,
--- a/tests/replicas/test_load_reports.py
+++ b/tests/replicas/test_load_reports.py
@@ -76,7 +76,7 @@
             failure_domain=domain,
             link_mbps=100,
         )
-        self.task.listen(self.link)
+        self.task.register(self.link)
 
     def put(self, replica, requests):
         self.directory.find(replica).in_flight = requests
