--- a/tests/leaving/test_task.py
+++ b/tests/leaving/test_task.py
@@ -69,10 +69,12 @@
             self.addAsyncCleanup(task.stop)
         self.pollers = {member.name for member in owners_of("list of VMs", rows, 2)}
 
-    async def test_all_nodes_know_within_two_seconds_though_two_poll(self):
-        """Symptom: a leaving upstream gets work for ten seconds. Sequence: the list
-        says that it is leaving, and most nodes poll the list rarely. Cause: the nodes
-        that poll it frequently did not announce this to the others."""
+    async def test_all_nodes_get_a_change_within_two_seconds_though_two_poll(self):
+        """Guards against a leaving upstream that gets work for ten seconds.
+
+        Most nodes poll the list rarely, and the nodes that poll it frequently did not
+        announce to them that the list contains the upstream as leaving.
+        """
         await self.clock.advance_ms(1_500)
         self.vms.reads = 0
         self.vms.entry_by_name["engine-1"] = VmEntry("engine-1", "leaving")
--- a/tests/leaving/test_upstreams.py
+++ b/tests/leaving/test_upstreams.py
@@ -37,9 +37,12 @@
         self.assertEqual(self.leaving(0), ["service-1"])
 
     def test_outdated_list_does_not_revoke_a_peers_announcement(self):
-        """Symptom: a leaving upstream gets work again. Sequence: a peer announces
-        that it is leaving, then an older list says "live". Cause: the list is out
-        of date, and the later answer was considered the later state."""
+        """Guards against a leaving upstream that gets work again.
+
+        A peer announced that the upstream is leaving, and then this node read an
+        outdated list in which it is live. The answer that arrived later was considered
+        the later state.
+        """
         self.upstreams.on_peer_report(0, ["engine-1"])
         self.upstreams.on_list(100, make_list(engine_1="live"))
         self.assertEqual(self.leaving(200), ["engine-1"])
--- a/tests/leaving/test_whole_path.py
+++ b/tests/leaving/test_whole_path.py
@@ -12,9 +12,11 @@
 
 class ListTests(unittest.IsolatedAsyncioTestCase):
     async def test_service_that_is_leaving_by_the_list_gets_no_call(self):
-        """Symptom: calls are cut when a service's VM is removed. Sequence: the platform
-        lists the VM as leaving, and calls are still sent there. Cause: only the reports
-        of model engines themselves were evaluated."""
+        """Guards against calls that are cut when a service's VM is removed.
+
+        The platform listed the VM as leaving, and calls were still sent there, since
+        only the reports of model engines themselves were evaluated.
+        """
         deployment = DemoDeployment(nodes_per_domain=1, engines_per_domain=1)
         await self.enterAsyncContext(deployment)
         session = await self.enterAsyncContext(aiohttp.ClientSession())
