--- a/fireflyward/checker/_checker.py
+++ b/fireflyward/checker/_checker.py
@@ -17,7 +17,7 @@
     ReachabilityChanged,
     RequestSent,
     RunStarted,
-    StopBegan,
+    StopStarted,
     UpstreamLeaving,
 )
 from ._promises import Promise, Violation
@@ -74,7 +74,7 @@
         raise TypeError(f"no check handles {observation!r}")
 
     @observe.register(
-        RequestSent | AttemptEnded | CallerDisconnected | StopBegan | NodeLost
+        RequestSent | AttemptEnded | CallerDisconnected | StopStarted | NodeLost
     )
     def _(self, observation: Observation) -> None:
         self._requests.observe(observation)
@@ -82,11 +82,17 @@
     @observe.register
     def _(self, observation: RunStarted) -> None:
         self._requests.observe(observation)
-        left_ms = self._leaving_ms.get(observation.upstream)
-        if left_ms is None or observation.at_ms <= left_ms + self._leaving_limit_ms:
+        leaving_ms = self._leaving_ms.get(observation.upstream)
+        if (
+            leaving_ms is None
+            or observation.at_ms <= leaving_ms + self._leaving_limit_ms
+        ):
             return
-        late_ms = observation.at_ms - left_ms
-        detail = f"{observation.upstream} got {observation.request} {late_ms} ms after"
+        late_ms = observation.at_ms - leaving_ms
+        detail = (
+            f"{observation.upstream} got {observation.request} "
+            f"{late_ms} ms after it started leaving"
+        )
         self._requests.violations.append(
             Violation(Promise.LEAVING_UPSTREAM, observation.at_ms, detail)
         )
--- a/fireflyward/checker/_requests.py
+++ b/fireflyward/checker/_requests.py
@@ -11,7 +11,7 @@
     Observation,
     RequestSent,
     RunStarted,
-    StopBegan,
+    StopStarted,
 )
 from ._promises import Promise, Violation
 
@@ -83,7 +83,7 @@
         self._request_by_name[observation.request].is_finished = True
 
     @observe.register
-    def _(self, observation: StopBegan) -> None:
+    def _(self, observation: StopStarted) -> None:
         self._stopping_nodes.add(observation.node)
 
     @observe.register
@@ -167,8 +167,8 @@
     """Return whether a run belongs to an attempt, by run id or by node and time."""
     if run.run_id == ended.run_id:
         return True
-    has_window = ended.begun_ms >= 0 and run.node == ended.node != ""
-    return has_window and ended.begun_ms <= run.at_ms <= ended.at_ms
+    has_window = ended.started_ms >= 0 and run.node == ended.node != ""
+    return has_window and ended.started_ms <= run.at_ms <= ended.at_ms
 
 
 def _may_have_caused(attempt: AttemptEnded, run: RunStarted) -> bool:
@@ -177,8 +177,8 @@
         return False
     if attempt.run_id == run.run_id:
         return True
-    return attempt.node == run.node != "" and attempt.begun_ms <= run.at_ms
+    return attempt.node == run.node != "" and attempt.started_ms <= run.at_ms
 
 
 def _false_refusal(at_ms: int, name: str) -> Violation:
-    return Violation(Promise.TRUE_REFUSAL, at_ms, f"{name} was refused and did run")
+    return Violation(Promise.TRUE_REFUSAL, at_ms, f"{name} was refused but ran")
--- a/fireflyward/connections/__init__.py
+++ b/fireflyward/connections/__init__.py
@@ -1,17 +1,17 @@
-"""When a connection is doubted, and on which connections requests go."""
+"""HTTP sessions, detection of silent connections, and guarded request bodies."""
 
 from ._guard import GuardedBody, PermitExpired
 from ._sessions import Sessions, make_socket
-from ._watch import Heard, SilenceLimits, ran_out, was_silent, within
+from ._watch import SilenceLimits, SilenceTimer, timed_out, was_silent, within
 
 __all__ = [
     "GuardedBody",
-    "Heard",
+    "SilenceTimer",
     "PermitExpired",
     "Sessions",
     "SilenceLimits",
     "make_socket",
-    "ran_out",
+    "timed_out",
     "was_silent",
     "within",
 ]
--- a/fireflyward/fleet/__main__.py
+++ b/fireflyward/fleet/__main__.py
@@ -2,13 +2,13 @@
 
 import sys
 
-from ._light_imports import leave_out_authorities
+from ._light_imports import disable_certificate_authorities
 
 
 def main() -> int:
-    """Return 0 after a planned stop, 2 for settings that are wrong."""
-    leave_out_authorities()
-    # Imports the HTTP library, which the line before is for.
+    """Return 0 after a planned stop, 2 if the settings are invalid."""
+    disable_certificate_authorities()
+    # This import must follow the line above, because it imports the HTTP library.
     from ._process import run_process
 
     return run_process()
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -212,12 +212,12 @@
 
     async def _check(self, replica: ReplicaState) -> bool:
         """Check now whether a replica listens, before its entry expires."""
-        connection = await self._pool.take(
+        connection = await self._pool.acquire(
             replica.entry.address, connect_ms=_CONNECT_MS, fresh=True
         )
         self._checked.discard(replica.incarnation_id)
         if not isinstance(connection, NotConnected):
-            self._pool.give_back(connection)
+            self._pool.release(connection)
             return True
         if connection.is_refused:
             self.on_refused(replica)
--- a/fireflyward/reach/_task.py
+++ b/fireflyward/reach/_task.py
@@ -181,11 +181,11 @@
                 connection.close()
 
     async def _can_connect(self, replica: ReplicaState) -> bool:
-        connection = await self._pool.take(
+        connection = await self._pool.acquire(
             replica.entry.address, connect_ms=_CONNECT_MS, fresh=True
         )
         if isinstance(connection, NotConnected):
             # The host of a refused connection has answered, so the domain is reachable.
             return connection.is_refused
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return True
--- a/fireflyward/runs/_attempt.py
+++ b/fireflyward/runs/_attempt.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from fireflyward.clock import Clock
-from fireflyward.connections import Heard, SilenceLimits, ran_out, was_silent
+from fireflyward.connections import SilenceLimits, SilenceTimer, timed_out, was_silent
 from fireflyward.observe import hop
 from fireflyward.outcomes import NotRun, Reason, Unknown
 from fireflyward.routing import Router, RunShape
@@ -122,7 +122,7 @@
         self, number: int, replica: str, engine: Engine | None, offset: int
     ) -> None:
         if engine is None:
-            lost = Broken(True, f"replica {replica} is no longer served")
+            lost = Broken(True, f"replica {replica} is no longer an upstream")
             await self._inbox.put(AttemptEvent(number, lost))
             return
         with hop("resume", upstream=replica):
@@ -136,7 +136,7 @@
         work = self._prepare(replica, self._call, self._shape)
         until_ms = self._clock.now_ms() + _PREPARE_TIMEOUT_MS
         with suppress(TimeoutError):
-            await ran_out(self._clock, lambda: until_ms - self._clock.now_ms(), work)
+            await timed_out(self._clock, lambda: until_ms - self._clock.now_ms(), work)
 
     async def _is_permitted(self, number: int, replica: str) -> bool:
         if self._permit is None:
@@ -150,10 +150,11 @@
         self._observe(OnceStep.DISPATCHING)
         if self._is_permit_valid():
             return True
-        # A process that was paused after its claim resumes here with an expired
-        # permit. Its caller has given up, and a sweep may have deleted the record in
-        # the meantime, so a second request with the same key could run as well and
-        # its effect would be duplicated. The monotonic clock counts such a pause.
+        # A process that was paused after its claim resumes here with an expired permit.
+        # Its caller no longer waits, and a sweep may have deleted the record in the
+        # meantime. A second request with the same key could therefore run as well, and
+        # its effect would be duplicated. The monotonic clock advances during such a
+        # pause.
         outcome = NotRun(Reason.DEADLINE, "its permit expired", _RETRY_AFTER_MS)
         await self._inbox.put(Denied(number, outcome))
         return False
@@ -168,9 +169,9 @@
         events: AsyncIterator[EngineEvent],
         first_limit_ms: int,
     ) -> None:
-        heard = Heard(self._clock, first_limit_ms)
-        work = self._forward_events(number, replica, events, heard)
-        if await was_silent(self._clock, work, heard):
+        silence_timer = SilenceTimer(self._clock, first_limit_ms)
+        work = self._forward_events(number, replica, events, silence_timer)
+        if await was_silent(self._clock, work, silence_timer):
             self._observe(StreamStep.SILENT)
             await self._inbox.put(AttemptEvent(number, Broken(True, "silent")))
 
@@ -179,7 +180,7 @@
         number: int,
         replica: str,
         events: AsyncIterator[EngineEvent],
-        heard: Heard,
+        silence_timer: SilenceTimer,
     ) -> None:
         failed = True
         self._router.on_start(replica)
@@ -190,11 +191,11 @@
                 failed = not isinstance(event, Finished | Refused)
                 if isinstance(event, Accepted):
                     self._observe(PromptStep.ACCEPTED)
-                heard.pause()
+                silence_timer.pause()
                 await self._inbox.put(AttemptEvent(number, event))
-                heard.hear(self._limits.silence_ms)
+                silence_timer.restart(self._limits.silence_ms)
         except asyncio.CancelledError:
-            failed = heard.left_ms() <= 0
+            failed = silence_timer.left_ms() <= 0
             raise
         finally:
             self._router.on_end(self._clock.now_ms(), replica, failed=failed)
--- a/tests/forwarding/test_unresponsive_replicas.py
+++ b/tests/forwarding/test_unresponsive_replicas.py
@@ -1,4 +1,4 @@
-"""What a request reports about replicas that do not answer, or are cold."""
+"""A request reports replicas that do not answer, and counts sends to cold ones."""
 
 import asyncio
 import contextlib
@@ -50,7 +50,7 @@
     def __init__(self, connection):
         self._connection = connection
 
-    async def take(self, address, *, connect_ms, fresh=False):
+    async def acquire(self, address, *, connect_ms, fresh=False):
         return self._connection
 
 
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -1,4 +1,4 @@
-"""Which requests may run, depending on the configuration and its age."""
+"""The configuration and its age decide which requests may run."""
 
 import unittest
 
@@ -35,7 +35,7 @@
 
 class RouteTableTests(unittest.TestCase):
     def setUp(self):
-        self.table = RouteTable(revoke_ms=5_000, closes_without_contact=True)
+        self.table = RouteTable(revoke_ms=5_000, fails_closed=True)
         self.table.apply(configuration())
         self.table.confirm(0)
 
@@ -50,7 +50,7 @@
         self.assertEqual(self.decide(path="/a/bc").service, "x")
 
     def test_before_the_first_configuration_no_rejection_is_final(self):
-        empty = RouteTable(revoke_ms=5_000, closes_without_contact=True)
+        empty = RouteTable(revoke_ms=5_000, fails_closed=True)
         rejected = empty.decide(0, host="h", path="/", key="k", request_id="r")
         self.assertEqual(rejected.reason, Reason.NO_BUNDLE)
         self.assertGreater(rejected.retry_after_ms, 0)
@@ -69,9 +69,9 @@
             self.assertGreater(rejected.retry_after_ms, 0)
 
     def test_a_node_that_cannot_reach_the_store_accepts_no_keys(self):
-        """Symptom: requests with a withchosen key run long after its withdrawal.
+        """Symptom: requests with a withdrawn key run long after its withdrawal.
 
-        The node does not learn of the withdrawal, because the store does not answer it.
+        The node does not receive the withdrawal, because the store does not answer it.
         """
         self.assertIsInstance(self.decide(4_500), Allowed)
         self.assertEqual(self.decide(4_600).reason, Reason.PLATFORM_AWAY)
@@ -79,7 +79,7 @@
         self.assertIsInstance(self.decide(4_700), Allowed)
 
     def test_open_routes_require_neither_a_key_nor_the_store(self):
-        self.table.apply(configuration(2, (route("/a/", is_open=True),)))
+        self.table.apply(configuration(2, (route("/a/", allows_anonymous=True),)))
         allowed = self.decide(60_000, key=None)
         self.assertIsNone(allowed.account)
 
--- a/tests/standins/test_store_model.py
+++ b/tests/standins/test_store_model.py
@@ -114,7 +114,7 @@
 
 
 class CapacityTests(unittest.TestCase):
-    def test_full_store_reports_it_and_keeps_its_blocks(self):
+    def test_full_store_reports_that_it_is_full_and_keeps_its_blocks(self):
         store = StoreModel("s1", COSTS)
         refs = [keep(store, f"a{number}") for number in range(4)]
         self.assertTrue(store.reserve(0, (SlotRequest("ff", 1),)).is_full)
@@ -171,5 +171,5 @@
             if not start:
                 break
         self.assertEqual(found, list(range(4, 33, 4)))
-        few = store.list(ListQuery(shards=frozenset({3})))
-        self.assertEqual([change.key for change in few.changes], ["03"])
+        listing = store.list(ListQuery(shards=frozenset({3})))
+        self.assertEqual([change.key for change in listing.changes], ["03"])
