--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -139,10 +139,10 @@
         clock: Clock,
         directory: ReplicaDirectory,
         pool: ConnectionPool,
-        on_gone: Callable[[ReplicaState], None],
+        on_removed: Callable[[ReplicaState], None],
     ) -> None:
         self._clock = clock
-        self._on_gone = on_gone
+        self._on_removed = on_removed
         self._directory = directory
         self._pool = pool
         self._outage_end_ms: int | None = None
@@ -182,7 +182,7 @@
         self.is_known = True
         for state in [*gone, *self._directory.expire(now_ms)]:
             self._pool.close_idle(state.entry.address)
-            self._on_gone(state)
+            self._on_removed(state)
 
     def _predates_leaving(self, entry: ReplicaEntry) -> bool:
         """Return whether an entry doesn't show that its incarnation is leaving."""
--- a/fireflyward/membership/_membership.py
+++ b/fireflyward/membership/_membership.py
@@ -28,7 +28,7 @@
 from ._roster import Roster
 from ._sync import Sync
 
-_ROWS_IN_DATAGRAM = 4
+_MAX_ROWS_PER_DATAGRAM = 4
 _PUSH_NEAR_TARGETS = 3
 _PUSH_FAR_TARGETS = 1
 _PUSH_BURST = 8.0
@@ -303,7 +303,7 @@
         return []
 
     def _notify_stale_sender(self, packet: Packet, current: Member) -> list[Action]:
-        """Send a node the higher incarnation that is known of it.
+        """Send a node the higher incarnation that this node has recorded for it.
 
         The node restarted after its wall clock was set back, so its new incarnation
         is lower than the last. Without this answer, after which it chooses a higher
@@ -384,7 +384,7 @@
         ]
         far = target.failure_domain != self.members.own.failure_domain
         rows += self._roster.gossip.take_rows(
-            _ROWS_IN_DATAGRAM - len(rows),
+            _MAX_ROWS_PER_DATAGRAM - len(rows),
             for_other_domain=far,
             without=frozenset({target.name, *(row.name for row in rows)}),
         )
--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -12,7 +12,7 @@
 from fireflyward.platform import StoreClient
 from fireflyward.replicas import ReplicaDirectory, ReplicaState
 
-from ._announcements import SuspectAnnouncements
+from ._announcer import SuspectAnnouncer
 from ._cuts import Cuts
 from ._messages import Free, Held, Trial
 from ._rows import SuspectRows
@@ -45,8 +45,8 @@
     each time the other requests of one more replica fail too. The symptoms are single
     replicas that crash shortly after each other, and the same fingerprint among the
     requests cut at each of them. Repeated a dozen times at three nodes, such a request
-    crashed 12 replicas if it is sent once each time, and 24 if it is idempotent and
-    therefore retried; when it is held, 3 and 4
+    crashed 12 replicas if it was sent once each time, and 24 if it was idempotent and
+    therefore retried; with the quarantine it crashed 3 and 4
     (``tests.fleet.test_crashing_requests``). The nodes therefore announce to each other
     the requests that were in flight when a replica crashed, by fingerprint and not by
     id, and the table stores those with more than one crash. ``Suspects`` decides from
@@ -78,7 +78,7 @@
         self._rows = SuspectRows(
             self._suspects, store=store, table=table, node=node, clock=clock
         )
-        self._announcements = SuspectAnnouncements(
+        self._announcer = SuspectAnnouncer(
             self._suspects, clock=clock, peer_addresses=peer_addresses
         )
         self._unsynced: set[str] = set()
@@ -95,7 +95,7 @@
 
     def use(self, link: PeerLink) -> None:
         """Send and receive announcements over a link from now on."""
-        self._announcements.use(link)
+        self._announcer.use(link)
 
     def on_table_update(self, update: TableUpdate) -> None:
         """Apply changes of the table."""
@@ -161,7 +161,7 @@
         if self._counts_as_crash(replica):
             self._on_crash(replica)
 
-    def on_gone(self, replica: ReplicaState) -> None:
+    def on_removed(self, replica: ReplicaState) -> None:
         """Handle a replica that is not listed any more."""
         if not replica.is_leaving:
             self._on_crash(replica)
@@ -172,7 +172,7 @@
             return
         cleared_ids = self._suspects.clear(fingerprint)
         log.info("quarantine: %s cleared of %d ends", fingerprint, len(cleared_ids))
-        self._announcements.announce_cleared(fingerprint, cleared_ids)
+        self._announcer.announce_cleared(fingerprint, cleared_ids)
         self._unsynced.add(fingerprint)
         self._has_work.set()
 
@@ -241,7 +241,7 @@
         self.cut += len(fingerprints)
         for fingerprint in fingerprints:
             self._suspects.on_crashes(now_ms, fingerprint, [replica.incarnation_id])
-        self._announcements.announce_crash(replica.incarnation_id, fingerprints)
+        self._announcer.announce_crash(replica.incarnation_id, fingerprints)
         self._unsynced.update(fingerprints)
         self._has_work.set()
         self._poll_soon()
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -143,7 +143,7 @@
         second crash on they are in the table that all nodes read.
         """
         for node in self.nodes:
-            node._quarantine._announcements._link = None
+            node._quarantine._announcer._link = None
         statuses = await self.send_deadly_requests("POST", "/w/x", self.plain, "plain")
         self.assertLessEqual(len(self.crashed), _MAX_TOTAL_CRASHES)
         self.assertEqual(statuses[-1], 503)
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -145,7 +145,7 @@
             clock=self.clock,
             directory=self.directory,
             pool=types.SimpleNamespace(close_idle=lambda address: None),
-            on_gone=self.gone.append,
+            on_removed=self.gone.append,
         )
 
     def row(self, state, version, era, *, is_restored=False):
--- a/tests/fuzz/test_platform_answers.py
+++ b/tests/fuzz/test_platform_answers.py
@@ -148,7 +148,7 @@
             clock=clock,
             directory=directory,
             pool=ConnectionPool(clock),
-            on_gone=lambda state: None,
+            on_removed=lambda state: None,
         ).on_table_update(update)
         OperatorView(
             clock=clock,
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -64,7 +64,7 @@
         await self.clock.advance_ms(5)
 
     async def admit(self, fingerprint):
-        """Return the decision, at the latest when the longest wait is over."""
+        """Return the decision, at the latest after the longest wait for a trial."""
         admission = asyncio.create_task(self.quarantine.admit(fingerprint))
         for _ in range(_MAX_WAIT_MS // _STEP_MS):
             await self.clock.advance_ms(_STEP_MS)
@@ -124,7 +124,7 @@
             self.assertEqual(self.node.quarantine.held, 0)
         for name in NAMES[:3]:
             (gone,) = self.node.directory.on_changes(0, [], [name], after_outage=False)
-            self.node.quarantine.on_gone(gone)
+            self.node.quarantine.on_removed(gone)
         self.assertIsInstance(await self.node.admit("a"), Held)
 
     async def test_a_late_answer_opens_no_connection(self):
@@ -315,14 +315,14 @@
         self.assertEqual(await self.node.admit("a"), Free())
 
     async def test_a_replica_that_announced_its_leaving_has_not_crashed(self):
-        """Guards against planned stops that seem to be crashes to an outdated list."""
+        """Guards against planned stops that count as crashes by an outdated list."""
         directory = self.node.directory
         for name in NAMES[:3]:
             await self.node.cut(name, "a", refused=False)
             directory.on_leaving(directory.find(name))
             await self.node.cut(name, "b")
             (gone,) = directory.on_changes(0, [], [name], after_outage=False)
-            self.node.quarantine.on_gone(gone)
+            self.node.quarantine.on_removed(gone)
         self.assertEqual(await self.node.admit("a"), Free())
         self.assertEqual(await self.node.admit("b"), Free())
 
@@ -333,7 +333,7 @@
             leaving = entry(name, leaving=True)
             self.node.directory.on_changes(0, [leaving], [], after_outage=False)
             (gone,) = self.node.directory.on_changes(0, [], [name], after_outage=False)
-            self.node.quarantine.on_gone(gone)
+            self.node.quarantine.on_removed(gone)
         self.assertEqual(await self.node.admit("a"), Free())
 
     async def test_rows_of_another_writer_hold_no_request(self):
