--- a/fireflyward/platform/_replica_api.py
+++ b/fireflyward/platform/_replica_api.py
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderResult:
-    """The result of an order; ``is_known`` is false if the replica did not respond."""
+    """The result of an order; ``has_response`` is false if no response arrived."""
 
     is_accepted: bool
-    is_known: bool
+    has_response: bool
     detail: str = ""
 
 
--- a/fireflyward/weights/_task.py
+++ b/fireflyward/weights/_task.py
@@ -267,7 +267,7 @@
             fencing,
             result.detail,
         )
-        return result.is_accepted or not result.is_known
+        return result.is_accepted or not result.has_response
 
     async def _wait_until_loaded(self, order: Order) -> None:
         """Poll the replica until it reports the ordered weights."""
