--- a/fireflyward/fleet/_kv_stores.py
+++ b/fireflyward/fleet/_kv_stores.py
@@ -56,7 +56,7 @@
 
     async def run(self, link: PeerLink) -> None:
         """Publish what the followers read to other nodes, and receive their updates."""
-        self._shared.register(link)
+        self._shared.use(link)
         await self._publisher.run(link)
 
     def set_configuration(self, configuration: Configuration) -> None:
--- a/fireflyward/prefixes/_publisher.py
+++ b/fireflyward/prefixes/_publisher.py
@@ -70,13 +70,13 @@
 
     async def run(self, link: PeerLink) -> None:
         """Publish and receive updates until cancelled."""
-        self.register(link)
+        self.use(link)
         while True:
             publishes = self.mode() is FollowMode.AS_AGGREGATOR
             await self._clock.sleep_ms(_PERIOD_MS if publishes else _IDLE_PERIOD_MS)
             self.publish(link)
 
-    def register(self, link: PeerLink) -> None:
+    def use(self, link: PeerLink) -> None:
         """Register the handler for the aggregator's updates on a link."""
         link.register(_KIND, StoresNews, self._on_store_events)
 
--- a/fireflyward/prefixes/_sharing.py
+++ b/fireflyward/prefixes/_sharing.py
@@ -94,7 +94,7 @@
         self._link: PeerLink | None = None
         self._recent_by_address: dict[str, RecentEvents] = {}
 
-    def register(self, link: PeerLink) -> None:
+    def use(self, link: PeerLink) -> None:
         """Send and answer requests over a link from now on."""
         self._link = link
         link.register(_KIND, StoreAsk, self._on_request)
--- a/tests/prefixes/test_publisher.py
+++ b/tests/prefixes/test_publisher.py
@@ -44,7 +44,7 @@
             aggregators=self.aggregators,
             followers=lambda: [("s:1", self.follower)],
         )
-        self.publisher.register(self.link)
+        self.publisher.use(self.link)
 
 
 def update(since, count):
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -75,7 +75,7 @@
             aggregators=aggregators,
             index_of=lambda address: self.index if address == STORE else None,
         )
-        self.events.register(self.link)
+        self.events.use(self.link)
         mode = (
             FollowMode.AS_AGGREGATOR
             if self.is_aggregator
