--- a/fireflyward/fleet/_joining.py
+++ b/fireflyward/fleet/_joining.py
@@ -64,7 +64,7 @@
         """Follow the table, and write the rows of this node that it lacks."""
         port = self._settings.peer_ports[0]
         if port:
-            self._registry.announce(self._own_row((self._settings.ip, port)))
+            self._registry.set_own_row(self._own_row((self._settings.ip, port)))
         while True:
             if await self._follower.step():
                 await self._apply_node_table()
@@ -75,7 +75,7 @@
         self._poll_requested.set()
 
     async def run_after_joining(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Start some work once this node has joined, or after a timeout."""
+        """Run ``work`` once this node has joined, or after a timeout."""
         await within_ms(self._clock, _JOIN_TIMEOUT_MS, self._joined.wait())
         await work()
 
@@ -125,7 +125,7 @@
         on_open = self._on_link(link)
         await link.start()
         self.link = link
-        self._registry.announce(self._own_row(link.address))
+        self._registry.set_own_row(self._own_row(link.address))
         on_open()
 
     def _own_row(self, address: Address) -> NodeRow:
--- a/fireflyward/fleet/_node.py
+++ b/fireflyward/fleet/_node.py
@@ -42,8 +42,8 @@
 log = logging.getLogger("fireflyward.node")
 
 # The number of nodes that contend for the lease. If all nodes did, each would make one
-# call per second. If all contenders are gone at once, the other nodes notice it within
-# a minute.
+# call per second. If all contenders stop at once, the other nodes notice it within a
+# minute.
 _MAX_CONTENDERS = 7
 # The balancer removes a node after two failed readiness checks, which are 1 s apart.
 _BALANCER_NOTICE_MS = 2_600
@@ -144,8 +144,9 @@
             on_rows=self._quarantine.on_table_update,
             on_link=self._on_link,
         )
-        # A new era may lack the rows that nodes wrote about themselves, and all nodes
-        # read these rows.
+        # A restored store may lack the rows that nodes wrote about themselves. All
+        # nodes read these rows, so this node reads the table at once and writes its
+        # own row again.
         self._store.eras.on_new_era = self._joining.poll_soon
         self._lost_rows = LostRowRecovery(
             CONFIGURATION_TABLE,
@@ -223,7 +224,7 @@
         return (
             not self._is_stopping
             and self._routes.version is not None
-            and self._replicas.is_known
+            and self._replicas.has_read_table
             and self._routes.may_accept_keys(self._clock.now_ms())
         )
 
@@ -271,9 +272,9 @@
     async def stop(self) -> None:
         """Stop without cutting requests: first leave the balancer, then drain.
 
-        Callers reach this node until the balancer has removed it, and later on open
-        connections. The node therefore continues to serve at first, and closes each
-        connection after its next response.
+        Callers reach this node until the balancer has removed it, and after that over
+        connections that are still open. The node therefore continues to serve, and
+        closes each connection after its next response.
         """
         started_ms = self._clock.now_ms()
         end_ms = started_ms + self._settings.bounds.grace_ms - _EXIT_MARGIN_MS
--- a/fireflyward/fleet/_paces.py
+++ b/fireflyward/fleet/_paces.py
@@ -23,8 +23,8 @@
 _SHARED_REPLICAS_PAUSE_SHARE = 0.05
 # A few nodes per minute start or stop; each change ends the wait. The pause combines
 # successive changes into one response: while all nodes start, each of them writes a
-# row. Where every node reads from the store itself, the pause is longer, because few
-# calls matter more there than a few seconds of delay.
+# row. Where every node reads from the store itself, the pause is longer: the number of
+# calls to the store matters more there than a few seconds of delay.
 _NODES = Pace(wait_ms=1_500, pause_ms=6_500)
 _SHARED_NODES = Pace(wait_ms=1_500, pause_ms=2_000)
 _NODES_AT_START = Pace(wait_ms=300, pause_ms=250)
--- a/fireflyward/fleet/_peers.py
+++ b/fireflyward/fleet/_peers.py
@@ -114,7 +114,7 @@
         ]
         return [(row.ip, row.port) for row in rows if row is not None]
 
-    def announce(self, own: NodeRow) -> None:
+    def set_own_row(self, own: NodeRow) -> None:
         """Set the row that the next write publishes for this node."""
         self._own = own
         self._first_by_duty.clear()
@@ -144,7 +144,7 @@
         if self._own is not None and not (is_row_current and self._is_listed(own_key)):
             await self._write(now_ms, own_key, msgspec.json.encode(self._own))
         lacks_key = self.key is None or not self._is_listed(_KEY_ROW)
-        if lacks_key and self._is_to_create_key(now_ms):
+        if lacks_key and self._should_create_key(now_ms):
             key = self.key or secrets.token_bytes(_KEY_BYTES)
             await self._write(now_ms, _KEY_ROW, key)
 
@@ -195,7 +195,7 @@
             # No node created this key, so its unknown writer could forge messages.
             log.error("peers: the key in the table was not created by a node")
 
-    def _is_to_create_key(self, now_ms: int) -> bool:
+    def _should_create_key(self, now_ms: int) -> bool:
         """Return whether this node is to create the key now.
 
         Otherwise two hundred nodes that start at once would all write the key, and the
--- a/fireflyward/fleet/_settings_watch.py
+++ b/fireflyward/fleet/_settings_watch.py
@@ -11,7 +11,7 @@
 
 log = logging.getLogger("fireflyward.settings")
 
-# The file may change without a signal. It has a few hundred bytes.
+# The file may change without a signal. Reading it is cheap: it has a few hundred bytes.
 _POLL_INTERVAL_MS = 5_000
 
 
--- a/fireflyward/fleet/_views.py
+++ b/fireflyward/fleet/_views.py
@@ -24,7 +24,7 @@
 log = logging.getLogger("fireflyward.views")
 
 # Entries removed within this time after an outage may have expired during the outage.
-_OUTAGE_AFTERMATH_MS = 2_000
+_POST_OUTAGE_MS = 2_000
 
 
 class OperatorView:
@@ -146,7 +146,7 @@
         self._directory = directory
         self._pool = pool
         self._outage_end_ms: int | None = None
-        self.is_known = False
+        self.has_read_table = False
 
     def on_table_update(self, update: TableUpdate) -> None:
         """Update the directory."""
@@ -165,7 +165,7 @@
             ]
         after_outage = (
             self._outage_end_ms is not None
-            and now_ms - self._outage_end_ms < _OUTAGE_AFTERMATH_MS
+            and now_ms - self._outage_end_ms < _POST_OUTAGE_MS
         )
         if update.is_snapshot:
             gone = self._directory.on_full_read(
@@ -179,13 +179,13 @@
                 now_ms, found.entries, found.removed, after_outage=after_outage
             )
         gone += self._directory.drop(found.malformed)
-        self.is_known = True
+        self.has_read_table = True
         for state in [*gone, *self._directory.expire(now_ms)]:
             self._pool.close_idle(state.entry.address)
             self._on_gone(state)
 
     def _predates_leaving(self, entry: ReplicaEntry) -> bool:
-        """Return whether an entry doesn't show that its incarnation is leaving."""
+        """Return whether a leaving incarnation's entry doesn't show that it leaves."""
         state = self._directory.find_incarnation(entry.incarnation_id)
         return state is not None and state.is_leaving and not entry.is_leaving
 
--- a/fireflyward/http1/_connection.py
+++ b/fireflyward/http1/_connection.py
@@ -23,7 +23,7 @@
 class BrokenAt(enum.Enum):
     """How far a request got before its connection broke.
 
-    ``SENT`` means that no response header arrived, ``HEAD`` that it did arrive.
+    ``SENT`` means that no response header arrived, ``HEAD`` that it had arrived.
     """
 
     SENT = "sent"
--- a/tests/fleet/node_fixtures.py
+++ b/tests/fleet/node_fixtures.py
@@ -125,7 +125,7 @@
 
 
 class FleetTestCase(NodeTestCase):
-    """Starts three nodes that know each other and send to the same replicas."""
+    """Starts three nodes that are linked and send to the same replicas."""
 
     node_count = 3
 
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -27,7 +27,7 @@
 
 from .node_fixtures import STREAM, FleetTestCase
 
-# The users allow three crashes, and three more before all nodes know of them.
+# The users allow three crashes, and three more until all nodes have recorded them.
 _MAX_TOTAL_CRASHES = 6
 
 
@@ -100,7 +100,7 @@
         value = self.store.value(NODE_TABLE, f"suspect/{fingerprint}")
         return len(json.loads(value)["ends"]) if value else 0
 
-    async def test_restarted_nodes_know_of_it(self):
+    async def test_restarted_nodes_still_reject_it(self):
         """Symptom: after a loss of power the same request crashes replicas again.
 
         The request was in quarantine when all processes lost power. The restarted
@@ -132,7 +132,7 @@
             self.assertGreater(float(headers["Retry-After"]), 60)
         self.assertEqual(len(self.crashed), before)
 
-    async def test_nodes_that_cannot_reach_each_other_know_of_it(self):
+    async def test_nodes_that_cannot_reach_each_other_reject_it(self):
         """Symptom: a network partition between nodes lets each crash three replicas.
 
         No announcement arrived, and each node counted only its own crashes. From the
@@ -205,7 +205,7 @@
         return status
 
     async def test_a_harmless_request_that_ran_concurrently_is_served(self):
-        """It is in flight at each replica that crashes, and is retried too."""
+        """The harmless request is in flight at each crash and is retried, too."""
         spare = self.plain.pop()
         self.addAsyncCleanup(spare.stop)
         self.store.remove("servers", spare.incarnation)
--- a/tests/fleet/test_end_to_end.py
+++ b/tests/fleet/test_end_to_end.py
@@ -168,8 +168,8 @@
     async def test_an_address_reused_by_another_replica(self):
         """Symptom: a request runs at a service that is not in its route.
 
-        A replica is gone and another one uses its address, but the list doesn't show it
-        yet. The other replica doesn't run requests that are meant for the first one.
+        A replica has exited and another one uses its address, but the list doesn't show
+        it yet. The other replica doesn't run requests that are meant for the first one.
         """
         self.plain[0].incarnation = "other"
         statuses = {(await self.fetch("POST", "/w/x", data=b"1"))[0] for _ in range(4)}
@@ -284,10 +284,14 @@
     async def test_malformed_entries_do_no_harm(self):
         """Symptom: after a stray write all nodes exit, or requests are lost."""
         directory = self.node._directory
-        gone = self.engines[0].incarnation
-        for key, value in ((gone, b"{}"), ("x1", b"\xff"), ("x2", b'{"state": "up"}')):
+        overwritten = self.engines[0].incarnation
+        for key, value in (
+            (overwritten, b"{}"),
+            ("x1", b"\xff"),
+            ("x2", b'{"state": "up"}'),
+        ):
             self.store.put("servers", key, value)
-        await self.until(lambda: directory.find(gone) is None)
+        await self.until(lambda: directory.find(overwritten) is None)
         self.assertEqual(len(directory), 3)
         status, _, _ = await self.fetch("GET", "/r/x")
         self.assertEqual(status, 200)
--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -40,7 +40,7 @@
         responses = [await self.fetch(method, path, **options) for _ in range(12)]
         return {status for status, _, _ in responses}
 
-    async def test_an_evacuated_domain_gets_no_requests_until_it_is_restored(self):
+    async def test_an_evacuated_domain_gets_no_requests_until_its_row_is_removed(self):
         """Symptom: requests still reached a failure domain that was being evacuated.
 
         The operator writes a row for the domain. No node read such rows, so its
@@ -107,7 +107,7 @@
             self.assertGreater(float(headers["Retry-After"]), 0)
         self.assertEqual(self.run_count(self.plain), 0)
 
-    async def test_a_node_that_starts_knows_before_it_serves(self):
+    async def test_a_node_applies_an_evacuation_before_it_serves(self):
         """Symptom: for its first moments a restarted node used an evacuated domain."""
         self.operator.evacuate("b")
         await self.start_ready()
--- a/tests/fleet/test_leaving_replicas.py
+++ b/tests/fleet/test_leaving_replicas.py
@@ -35,12 +35,12 @@
             self.assertEqual(status, 200)
         self.assertEqual(self.run_count([self.leaving]), before)
 
-    async def until_known_as_leaving(self, nodes):
-        def is_known(node):
+    async def until_leaving_at(self, nodes):
+        def is_leaving_at(node):
             state = node._directory.find("p-1")
             return state is not None and state.is_leaving
 
-        await self.until(lambda: all(map(is_known, nodes)))
+        await self.until(lambda: all(map(is_leaving_at, nodes)))
 
     async def fetch_from_all_nodes(self, method="GET", path="/r/x", **options):
         """Send a few requests to each node; return the statuses of the responses."""
@@ -51,23 +51,23 @@
             statuses.add(status)
         return statuses
 
-    async def test_nodes_without_such_a_response_know_of_it(self):
+    async def test_nodes_without_such_a_response_are_informed(self):
         await self.fetch_until_notified()
-        await self.until_known_as_leaving(self.nodes)
+        await self.until_leaving_at(self.nodes)
         before = self.run_count([self.leaving])
         self.assertEqual(await self.fetch_from_all_nodes(), {200})
         self.assertEqual(self.run_count([self.leaving]), before)
 
-    async def test_a_node_that_starts_while_the_list_lags_knows_of_it(self):
+    async def test_a_node_that_starts_while_the_list_lags_is_informed(self):
         """Guards against a restarted node that uses a leaving replica."""
         await self.fetch_until_notified()
         late = await self.start_additional_node("entry-4")
-        await self.until_known_as_leaving([late])
+        await self.until_leaving_at([late])
 
-    async def test_an_entry_that_does_not_show_it_changes_nothing(self):
+    async def test_an_entry_that_does_not_show_the_leaving_is_ignored(self):
         """Guards against a lagging list that makes the replica usable again."""
         await self.fetch_until_notified()
-        await self.until_known_as_leaving(self.nodes)
+        await self.until_leaving_at(self.nodes)
         before = self.run_count([self.leaving])
         entry = self.leaving.entry("plain")
         self.store.put("servers", "p-1", entry.replace(b'"v1"', b'"v2"'))
@@ -75,10 +75,10 @@
         self.assertEqual(await self.fetch_from_all_nodes(), {200})
         self.assertEqual(self.run_count([self.leaving]), before)
 
-    async def test_it_applies_while_the_store_is_unavailable(self):
+    async def test_the_announcement_applies_while_the_store_is_unavailable(self):
         self.store.manner = StoreManner.BUSY
         await self.fetch_until_notified()
-        await self.until_known_as_leaving(self.nodes)
+        await self.until_leaving_at(self.nodes)
         before = self.run_count([self.leaving])
         self.assertEqual(await self.fetch_from_all_nodes("POST", "/w/x"), {200})
         self.assertEqual(self.run_count([self.leaving]), before)
@@ -86,7 +86,7 @@
     async def test_retries_are_not_sent_to_a_leaving_replica(self):
         """Guards against retries at the only replica that has not been tried."""
         await self.fetch_until_notified()
-        await self.until_known_as_leaving(self.nodes)
+        await self.until_leaving_at(self.nodes)
         before = self.run_count([self.leaving])
         self.other.manners = [Manner.FAILS] * 40
         await self.fetch_from_all_nodes()
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -27,10 +27,10 @@
         return Committed(dict.fromkeys(puts, 9))
 
 
-def register(name, rows, *, own=None, store=None):
+def make_registry(name, rows, *, own=None, store=None):
     registry = NodeRegistry(store or _Store(), name)
     if own is not None:
-        registry.announce(own)
+        registry.set_own_row(own)
     registry.on_table_update(TableUpdate(tuple(rows), True, 0))
     return registry
 
@@ -41,7 +41,7 @@
         return [
             name
             for name, row in rows.items()
-            if register(name, table, own=row).is_among_first(count, "duty")
+            if make_registry(name, table, own=row).is_among_first(count, "duty")
         ]
 
     def test_all_nodes_agree(self):
@@ -64,7 +64,7 @@
         self.own = NodeRow("10.0.0.1", 7, "a", 100)
 
     async def test_a_new_node_writes_its_row_and_nothing_else(self):
-        registry = register("n0", [KEY], own=self.own, store=self.store)
+        registry = make_registry("n0", [KEY], own=self.own, store=self.store)
         await registry.write_missing(0)
         (expected, puts), *others = self.store.writes
         self.assertEqual((expected, others), ({"node/n0": at(0)}, []))
@@ -75,7 +75,7 @@
 
         Its next read was older than its write, so the row seemed to be missing.
         """
-        registry = register("n0", [KEY], own=self.own, store=self.store)
+        registry = make_registry("n0", [KEY], own=self.own, store=self.store)
         for now_ms in (0, 300, 1_999):
             await registry.write_missing(now_ms)
         self.assertEqual(len(self.store.writes), 1)
@@ -84,7 +84,7 @@
 
     async def test_a_restarted_node_writes_nothing(self):
         table = [KEY, listed("n0", self.own)]
-        registry = register("n0", table, own=self.own, store=self.store)
+        registry = make_registry("n0", table, own=self.own, store=self.store)
         await registry.write_missing(0)
         self.assertEqual(self.store.writes, [])
         self.assertTrue(registry.is_complete)
@@ -97,7 +97,7 @@
         rows = {f"n{i}": NodeRow("10.0.0.1", i, "a", 100) for i in range(9)}
         table = [listed(name, row) for name, row in rows.items()]
         for name, row in rows.items():
-            registry = register(name, table, own=row, store=self.store)
+            registry = make_registry(name, table, own=row, store=self.store)
             await registry.write_missing(0)
         keys = [puts for _, puts in self.store.writes if "key" in puts]
         self.assertEqual(len(keys), 1)
@@ -106,7 +106,7 @@
         rows = {f"n{i}": NodeRow("10.0.0.1", i, "a", 100) for i in range(3)}
         table = [listed(name, row) for name, row in rows.items()]
         for name, row in rows.items():
-            registry = register(name, table, own=row, store=self.store)
+            registry = make_registry(name, table, own=row, store=self.store)
             await registry.write_missing(0)
             await registry.write_missing(1_500)
         keys = [puts for _, puts in self.store.writes if "key" in puts]
@@ -126,12 +126,12 @@
             table.append(TableRow(f"node/x{number}", value, at(3)))
         table.append(TableRow("other", b"{}", at(3)))
         with self.assertLogs("fireflyward.peers", "ERROR"):
-            registry = register("n0", table)
+            registry = make_registry("n0", table)
         self.assertEqual([member.name for member in registry.others()], ["n1"])
 
     async def test_a_row_that_becomes_malformed_is_no_longer_used(self):
         row = NodeRow("10.0.0.1", 1, "a", 100)
-        registry = register("n0", [KEY, listed("n1", row)])
+        registry = make_registry("n0", [KEY, listed("n1", row)])
         with self.assertLogs("fireflyward.peers", "ERROR"):
             update = (TableRow("node/n1", b"no row", at(3)),)
             registry.on_table_update(TableUpdate(update, False, 0))
@@ -146,7 +146,7 @@
         own = NodeRow("10.0.0.1", 1, "a", 100)
         with self.assertLogs("fireflyward.peers", "ERROR"):
             table = [TableRow("key", b"", at(5)), listed("n0", own)]
-            registry = register("n0", table, own=own, store=store)
+            registry = make_registry("n0", table, own=own, store=store)
         self.assertIsNone(registry.key)
         await registry.write_missing(0)
         ((expected, puts),) = store.writes
@@ -162,7 +162,7 @@
         self.own = NodeRow("10.0.0.1", 1, "a", 100)
         self.other = NodeRow("10.0.0.2", 2, "a", 100)
         table = [KEY, listed("n0", self.own), listed("n1", self.other)]
-        self.registry = register("n0", table, own=self.own, store=self.store)
+        self.registry = make_registry("n0", table, own=self.own, store=self.store)
 
     def restore(self, *rows):
         update = TableUpdate(rows, True, 0, position=at(9, 2), is_new_era=True)
@@ -193,7 +193,7 @@
         keys = {puts["key"] for _, puts in self.store.writes if "key" in puts}
         self.assertEqual(keys, {KEY.value})
 
-    async def test_other_nodes_are_not_forgotten(self):
+    async def test_other_nodes_stay_in_the_registry(self):
         """Guards against parts of shared budgets that grow while rows are missing."""
         self.restore(KEY)
         self.assertEqual(self.registry.names(), {"n0", "n1"})
--- a/tests/fleet/test_random_restores.py
+++ b/tests/fleet/test_random_restores.py
@@ -33,7 +33,7 @@
         self.leaving = set()
         self.is_evacuated = False
         self.weights = 1
-        self.seen, self.leaving_by_node = {}, {}
+        self.version_by_node, self.leaving_by_node = {}, {}
 
     @property
     def nodes(self):
@@ -108,8 +108,8 @@
     def check_nothing_is_reverted(self):
         for node in self.nodes:
             version = node._routes.version
-            self.case.assertGreaterEqual(version, self.seen.get(node, 0))
-            self.seen[node] = version
+            self.case.assertGreaterEqual(version, self.version_by_node.get(node, 0))
+            self.version_by_node[node] = version
             for name in self.leaving_by_node.setdefault(node, set()):
                 state = node._directory.find(name)
                 self.case.assertTrue(state is None or state.is_leaving, name)
--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -51,23 +51,23 @@
         )
 
     async def until_limited(self, nodes, per_second=PER_SECOND):
-        def is_known(node):
+        def is_limited_at(node):
             state = node._directory.find("p-1")
             return (
                 state is not None and state.backpressure.limit.per_second == per_second
             )
 
-        await self.until(lambda: all(map(is_known, nodes)))
+        await self.until(lambda: all(map(is_limited_at, nodes)))
 
     async def notify_one_node(self):
         await self.fetch_until(lambda: self.limited.ran)
 
-    async def test_nodes_without_such_a_response_know_of_it(self):
-        """Guards against nodes that get to know a limit only by exceeding it."""
+    async def test_nodes_without_such_a_response_are_informed(self):
+        """Guards against nodes that detect a limit only when they exceed it."""
         await self.notify_one_node()
         await self.until_limited(self.nodes)
 
-    async def test_a_node_that_starts_later_knows_of_it(self):
+    async def test_a_node_that_starts_later_is_informed(self):
         """Guards against a restarted node that ignores the limit."""
         await self.notify_one_node()
         late = await self.start_additional_node("entry-4")
@@ -87,7 +87,7 @@
                 self.max_requests_in_window(self.limited), MAX_REQUESTS_IN_WINDOW
             )
 
-    async def test_all_nodes_know_when_the_limit_is_removed(self):
+    async def test_all_nodes_are_informed_when_the_limit_is_removed(self):
         await self.notify_one_node()
         await self.until_limited(self.nodes)
         self.limited.notices = []
--- a/tests/fleet/test_replica_backoff.py
+++ b/tests/fleet/test_replica_backoff.py
@@ -65,7 +65,7 @@
         self.assertEqual(self.run_count([backing_off]), before)
 
     async def test_with_all_replicas_in_backoff_requests_are_rejected_at_once(self):
-        """Guards against callers that wait, or retry before the backoff is over."""
+        """Guards against callers that wait, or retry before the backoff expires."""
         for replica in self.plain:
             replica.rest = "60"
             replica.manners = [Manner.RESTS]
--- a/tests/fleet/test_restored_store.py
+++ b/tests/fleet/test_restored_store.py
@@ -114,7 +114,7 @@
         self.assertEqual(self.node._store.eras.latest, 5)
 
     async def test_the_list_of_nodes_is_read_without_delay(self):
-        """Guards against seconds in which the table has no node's row."""
+        """Guards against a table that lacks the rows of all nodes for seconds."""
         self.node._store.eras.observe(2)
         self.assertTrue(self.node._joining._poll_requested.is_set())
 
--- a/tests/fleet/test_start_and_stop.py
+++ b/tests/fleet/test_start_and_stop.py
@@ -48,7 +48,7 @@
         """
         self.store.manner = StoreManner.BUSY
         await self.node.start()
-        # The longest wait is not what this test is about.
+        # The maximum wait must not expire in this test, also on a slow machine.
         with mock.patch("fireflyward.fleet._start_gate._MAX_WAIT_MS", 20_000):
             response = asyncio.create_task(self.fetch("POST", "/w/x", data=b"1"))
             await self.until(lambda: self.node._caller_server.in_flight)
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the rows that operators and replicas write."""
+"""Decoding of the rows that operators and replicas write."""
 
 import json
 import unittest
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""Only the platform package uses the platform's wire names, and it decides nothing."""
+"""Only the platform package uses the wire names, and it makes no decisions."""
 
 import ast
 import re
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,4 +1,4 @@
-"""Decodes and encodes the headers of callers and replicas."""
+"""Decoding and encoding of the headers of callers and replicas."""
 
 import unittest
 
