--- a/fireflyward/platform/_store.py
+++ b/fireflyward/platform/_store.py
@@ -42,7 +42,7 @@
 _WRITE_PATH = "/-/rows-tx"
 _GONE = 410
 _CONDITION_FAILED = 412
-_CONNECT_MS = 500
+_CONNECT_TIMEOUT_MS = 500
 _ERA_HEADER = "store-era"
 _MAX_ERA_DIGITS = 9
 _EARLIER_ERA_DETAIL = "response of an earlier era"
@@ -233,7 +233,9 @@
     ) -> _Response | Unavailable | Uncertain:
         self.calls += 1
         connection = await self._pool.acquire(
-            self._address, connect_ms=_CONNECT_MS, fresh=self._needs_new_connection
+            self._address,
+            connect_ms=_CONNECT_TIMEOUT_MS,
+            fresh=self._needs_new_connection,
         )
         if isinstance(connection, NotConnected):
             return Unavailable(connection.detail)
