--- a/fireflyward/kept/_stores.py
+++ b/fireflyward/kept/_stores.py
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChange:
-    """One line of a store's listing: a block that is stored, or no longer is."""
+    """One line of a store's listing: a block that was stored or removed."""
 
     key: str
     position: int
@@ -105,7 +105,7 @@
     shards: frozenset[int] = frozenset()
     start_slot: int = 0
 
-    def wants(self, change: StoreChange) -> bool:
+    def includes(self, change: StoreChange) -> bool:
         """Return whether a line belongs to the answer."""
         if change.position % self.stride:
             return False
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unfinished:
-    """A slot whose write was begun but not published, with its age."""
+    """A slot whose write was begun but whose block is not published, with its age."""
 
     ref: BlockRef
     state: SlotState
@@ -214,7 +214,7 @@
 
     async def list(self, query: ListQuery) -> Listing | StoreUnavailable: ...
 
-    async def room(self) -> StoreUsage | StoreUnavailable: ...
+    async def usage(self) -> StoreUsage | StoreUnavailable: ...
 
     async def coldest(self, limit: int) -> tuple[ColdBlock, ...] | StoreUnavailable:
         """Return published blocks, in the order of their last reads, oldest first."""
--- a/fireflyward/kept/_sweep.py
+++ b/fireflyward/kept/_sweep.py
@@ -54,10 +54,10 @@
     """Sweeps one store under a lease.
 
     The sweeper raises the fencing number before it lists any slots. From then on the
-    store itself rejects an earlier lease holder, however long that was paused. Every
-    call to free a slot contains the generation and the state from the listing, so
-    that a slot which a slow writer has published in the meantime, or which was used
-    again, is not freed by the current lease holder either.
+    store itself rejects an earlier lease holder, however long that holder was paused.
+    Every call to free a slot contains the generation and the state from the listing. So
+    the current lease holder, too, never frees a slot that a slow writer has published
+    in the meantime, or that was used again.
     """
 
     __slots__ = ("_held_lease", "_garbage_age_ms", "_observe")
@@ -110,16 +110,16 @@
     async def _evict_if_nearly_full(
         self, store: StoreClient, fencing: int
     ) -> int | NotSwept:
-        room = await store.room()
-        if isinstance(room, StoreUnavailable):
-            return _not_swept(store, room)
-        if not room.is_nearly_full():
+        usage = await store.usage()
+        if isinstance(usage, StoreUnavailable):
+            return _not_swept(store, usage)
+        if not usage.is_nearly_full():
             return 0
         coldest = await store.coldest(_MAX_EVICTION_CANDIDATES)
         if isinstance(coldest, StoreUnavailable):
             return _not_swept(store, coldest)
         self._observe(FreeStep.COLDEST_LISTED)
-        victims = choose_victims(room, coldest)
+        victims = choose_victims(usage, coldest)
         evicted = await _free(store, victims, SlotState.PUBLISHED, fencing)
         self._observe(FreeStep.EVICTED)
         return evicted
@@ -141,5 +141,5 @@
         log.warning(
             "kept: sweep of %s refused, number %d was there", store.name, cause.highest
         )
-        return NotSwept(f"{store.name} has seen fencing number {cause.highest}")
+        return NotSwept(f"{store.name} has received fencing number {cause.highest}")
     return NotSwept(f"{store.name}: {cause.detail}")
--- a/fireflyward/standins/_store_model.py
+++ b/fireflyward/standins/_store_model.py
@@ -183,7 +183,7 @@
         matching.sort(key=lambda item: -item.age_ms)
         return tuple(matching[:_MAX_UNFINISHED])
 
-    def room(self) -> StoreUsage:
+    def usage(self) -> StoreUsage:
         """Return how many slots are used, in total and by owner."""
         used = Counter(
             slot.owner
@@ -217,7 +217,7 @@
         pending = [item for item in self._changes if item[0] > query.after]
         page = pending[: self.costs.page]
         last = page[-1][0] if page else self._sequence
-        changes = tuple(item for _, item in page if query.wants(item))
+        changes = tuple(item for _, item in page if query.includes(item))
         return Listing(self.epoch, last, changes, has_more=len(pending) > len(page))
 
     def transfer_ms(self, now_ms: float, ref: BlockRef) -> float:
@@ -246,7 +246,7 @@
         return Listing(
             self.epoch,
             self._sequence,
-            tuple(change for change in changes if query.wants(change)),
+            tuple(change for change in changes if query.includes(change)),
             is_whole=True,
             next_slot=end if end < len(self._slot_by_number) else 0,
         )
--- a/tests/fleet/node_fixtures.py
+++ b/tests/fleet/node_fixtures.py
@@ -121,7 +121,7 @@
                 await self.fetch(method, path, **options)
 
     def run_count(self, replicas):
-        return sum(len(replica.ran) for replica in replicas)
+        return sum(len(replica.executed_requests) for replica in replicas)
 
 
 class FleetTestCase(NodeTestCase):
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -23,7 +23,7 @@
 from fireflyward.fleet._node import FleetNode
 from fireflyward.fleet._peers import NODE_TABLE
 from fireflyward.quarantine import MAX_CRASHES, fingerprint_of
-from tests.platform_standins import DEADLY, Manner, ReplicaStandIn
+from tests.platform_standins import CRASHING_BODY, ReplicaBehavior, ReplicaStandIn
 
 from .node_fixtures import STREAM, FleetTestCase
 
@@ -76,7 +76,9 @@
         statuses = []
         for number in range(12):
             node = self.nodes[number % self.node_count]
-            answer = await self.fetch_at(node, method, path, data=DEADLY, **options)
+            answer = await self.fetch_at(
+                node, method, path, data=CRASHING_BODY, **options
+            )
             statuses.append(answer[0])
             await self.replace_crashed(replicas, service, model)
         return statuses
@@ -96,7 +98,7 @@
 
     def stored_crash_count(self):
         """Return how many crashes by the deadly request the table contains."""
-        fingerprint = fingerprint_of("acme", "/w/x", DEADLY)
+        fingerprint = fingerprint_of("acme", "/w/x", CRASHING_BODY)
         value = self.store.value(NODE_TABLE, f"suspect/{fingerprint}")
         return len(json.loads(value)["ends"]) if value else 0
 
@@ -108,7 +110,7 @@
         """
         for number in range(4):
             await self.fetch_at(
-                self.nodes[number % self.node_count], "POST", "/w/x", data=DEADLY
+                self.nodes[number % self.node_count], "POST", "/w/x", data=CRASHING_BODY
             )
             await self.replace_crashed(self.plain, "plain")
         before = len(self.crashed)
@@ -127,7 +129,9 @@
             await node.start()
         await self.until(lambda: all(self.is_joined(node) for node in self.nodes))
         for node in self.nodes:
-            status, headers, _ = await self.fetch_at(node, "POST", "/w/x", data=DEADLY)
+            status, headers, _ = await self.fetch_at(
+                node, "POST", "/w/x", data=CRASHING_BODY
+            )
             self.assertEqual(status, 503)
             self.assertGreater(float(headers["Retry-After"]), 60)
         self.assertEqual(len(self.crashed), before)
@@ -148,13 +152,13 @@
         """Symptom: a harmless request was rejected although no replica had crashed."""
         for number in range(9):
             for replica in self.plain:
-                replica.manners = [Manner.RESETS]
+                replica.behaviors = [ReplicaBehavior.RESETS]
             status, _, _ = await self.fetch_at(
                 self.nodes[number % self.node_count], "POST", "/w/x", data=b"harmless"
             )
             self.assertEqual(status, 502)
         for replica in self.plain:
-            replica.manners = []
+            replica.behaviors = []
         status, _, _ = await self.fetch_at(self.node, "POST", "/w/x", data=b"harmless")
         self.assertEqual(status, 200)
 
@@ -162,7 +166,7 @@
         """Symptom: a request was rejected because releases had cut it three times."""
         for number in range(4):
             leaving = self.plain[0]
-            leaving.manners = [Manner.SILENT]
+            leaving.behaviors = [ReplicaBehavior.SILENT]
             self.store.remove("servers", self.plain[1].incarnation)
             await self.until(lambda: len(self.node._directory) == 3)
             self.assertEqual(await self.fetch_during_shutdown(leaving), 502)
@@ -177,7 +181,7 @@
         response = asyncio.create_task(
             self.fetch_at(self.node, "POST", "/w/x", data=b"harmless")
         )
-        await self.until(lambda: replica.ran or response.done())
+        await self.until(lambda: replica.executed_requests or response.done())
         await self.leave(replica)
         status, _, _ = await response
         return status
@@ -194,12 +198,12 @@
     async def fetch_with_concurrent_request(self, node):
         """Send the deadly request while a harmless one is in flight."""
         (replica,) = self.plain
-        replica.manners = [Manner.SILENT, Manner.WELL]
+        replica.behaviors = [ReplicaBehavior.SILENT, ReplicaBehavior.NORMAL]
         harmless = asyncio.create_task(
             self.fetch_at(node, "POST", "/w/beside", data=b"harmless")
         )
-        await self.until(lambda: replica.ran or harmless.done())
-        status, _, _ = await self.fetch_at(node, "POST", "/w/x", data=DEADLY)
+        await self.until(lambda: replica.executed_requests or harmless.done())
+        status, _, _ = await self.fetch_at(node, "POST", "/w/x", data=CRASHING_BODY)
         harmless.cancel()
         await asyncio.gather(harmless, return_exceptions=True)
         return status
@@ -219,7 +223,7 @@
             )
             await self.replace_crashed(self.plain, "plain")
         self.assertIn(503, statuses)
-        self.plain[0].manners = []
+        self.plain[0].behaviors = []
         for node in self.nodes:
             status, _, _ = await self.fetch_at(
                 node, "POST", "/w/beside", data=b"harmless"
--- a/tests/fleet/test_end_to_end.py
+++ b/tests/fleet/test_end_to_end.py
@@ -7,7 +7,7 @@
 
 from fireflyward.backing import Position
 from fireflyward.fleet._peers import NodeRow
-from tests.platform_standins import Manner
+from tests.platform_standins import ReplicaBehavior
 
 from .node_fixtures import KEY, STREAM, NodeTestCase, event_numbers
 
@@ -17,16 +17,16 @@
         await super().asyncSetUp()
         await self.start_ready()
 
-    def set_manners(self, *manners):
+    def set_behaviors(self, *behaviors):
         for replica in self.plain:
-            replica.manners = list(manners)
+            replica.behaviors = list(behaviors)
 
     async def test_a_response_is_forwarded_unchanged(self):
         status, headers, body = await self.fetch("GET", "/r/x?y=1")
         self.assertEqual(status, 200)
         self.assertTrue(body.startswith(b"answer of p-"))
         self.assertEqual(headers["X-Server-Seal"], "3e1b.07.5a2")
-        (sent,) = self.plain[0].ran + self.plain[1].ran
+        (sent,) = self.plain[0].executed_requests + self.plain[1].executed_requests
         self.assertEqual(sent.target, "/r/x?y=1")
         self.assertEqual(sent.headers["x-tenant"], "acme")
         self.assertNotIn("authorization", sent.headers)
@@ -35,7 +35,7 @@
     async def test_a_request_body_is_forwarded_unchanged(self):
         for data in (b"x" * 900, _chunks(b"ab", b"cd")):
             await self.fetch("POST", "/w/x", data=data)
-        bodies = sorted(sent.body for r in self.plain for sent in r.ran)
+        bodies = sorted(sent.body for r in self.plain for sent in r.executed_requests)
         self.assertEqual(bodies, [b"abcd", b"x" * 900])
 
     async def test_a_non_idempotent_request_is_not_retried_after_a_reset(self):
@@ -44,18 +44,23 @@
         The replica runs the request, and its connection breaks before the response.
         Sending the request to the other replica would run it again.
         """
-        self.set_manners(Manner.RESETS)
+        self.set_behaviors(ReplicaBehavior.RESETS)
         status, headers, _ = await self.fetch("POST", "/w/x", data=b"1")
         self.assertEqual(status, 502)
         self.assertNotIn("Retry-After", headers)
         self.assertEqual(self.run_count(self.plain), 1)
 
     async def test_an_idempotent_request_is_retried_at_another_replica(self):
-        for manner in (Manner.RESETS, Manner.CUTS, Manner.FAILS, Manner.UNSIGNED):
-            self.plain[0].manners = [manner] * 3
-            self.plain[1].manners = []
+        for behavior in (
+            ReplicaBehavior.RESETS,
+            ReplicaBehavior.TRUNCATES,
+            ReplicaBehavior.FAILS,
+            ReplicaBehavior.UNSIGNED,
+        ):
+            self.plain[0].behaviors = [behavior] * 3
+            self.plain[1].behaviors = []
             statuses = {(await self.fetch("GET", "/r/x"))[0] for _ in range(3)}
-            self.assertEqual(statuses, {200}, manner)
+            self.assertEqual(statuses, {200}, behavior)
 
     async def test_the_log_shows_the_status_and_who_created_it(self):
         """Symptom: callers report status 500, but no log line shows it.
@@ -63,7 +68,7 @@
         Both replicas fail. The caller gets the second replica's own response, so the
         request counts as answered.
         """
-        self.set_manners(Manner.FAILS)
+        self.set_behaviors(ReplicaBehavior.FAILS)
         with self.assertLogs("fireflyward.callers") as logged:
             status, _, _ = await self.fetch("GET", "/r/x")
         self.assertEqual(status, 500)
@@ -83,31 +88,31 @@
 
         A replica's late response arrives where the next response is expected.
         """
-        self.set_manners(Manner.ANSWERS_ANOTHER)
+        self.set_behaviors(ReplicaBehavior.WRONG_REQUEST_ID)
         status, _, body = await self.fetch("POST", "/w/x", data=b"1")
         self.assertEqual(status, 502)
         self.assertNotIn(b"another", body)
 
     async def test_an_additional_response_is_not_forwarded(self):
-        self.set_manners(*[Manner.ADDS_ANSWER] * 3)
+        self.set_behaviors(*[ReplicaBehavior.SENDS_EXTRA_RESPONSE] * 3)
         for _ in range(6):
             _, _, body = await self.fetch("GET", "/r/x")
             await asyncio.sleep(0.03)
             self.assertNotIn(b"nobody", body)
 
     async def test_responses_without_a_length(self):
-        self.set_manners(Manner.UNFRAMED)
+        self.set_behaviors(ReplicaBehavior.UNFRAMED)
         self.assertEqual((await self.fetch("POST", "/w/x", data=b"1"))[0], 200)
-        self.set_manners(Manner.UNFRAMED_RESET)
+        self.set_behaviors(ReplicaBehavior.UNFRAMED_RESET)
         self.assertEqual((await self.fetch("POST", "/w/x", data=b"1"))[0], 502)
 
     async def test_a_full_replica_is_skipped_also_for_non_idempotent_requests(self):
-        self.plain[0].manners = [Manner.FULL]
+        self.plain[0].behaviors = [ReplicaBehavior.FULL]
         statuses = [(await self.fetch("POST", "/w/x", data=b"1"))[0] for _ in range(4)]
         self.assertEqual(statuses, [200] * 4)
 
     async def test_with_all_replicas_full_a_caller_gets_retry_after(self):
-        self.set_manners(*[Manner.FULL] * 5)
+        self.set_behaviors(*[ReplicaBehavior.FULL] * 5)
         status, headers, _ = await self.fetch("POST", "/w/x", data=b"1")
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["Retry-After"]), 0)
@@ -120,7 +125,9 @@
         request. For a caller, a forwarded 503 would mean that it has not run.
         """
         for method, path in (("POST", "/w/x"), ("GET", "/r/x")):
-            self.set_manners(Manner.SAYS_503, Manner.SAYS_503)
+            self.set_behaviors(
+                ReplicaBehavior.EXECUTES_THEN_503, ReplicaBehavior.EXECUTES_THEN_503
+            )
             status, headers, _ = await self.fetch(method, path)
             self.assertEqual(status, 502, path)
             self.assertNotIn("X-Server-Seal", headers)
@@ -145,7 +152,7 @@
         self.operator.configure()
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
-        self.set_manners(Manner.SILENT)
+        self.set_behaviors(ReplicaBehavior.SILENT)
         status, _, _ = await self.fetch("POST", "/w/x", data=b"1")
         self.assertEqual(status, 504)
 
@@ -163,7 +170,7 @@
         await self.until(lambda: len(plain("plain")) == 1)
         for _ in range(5):
             await self.fetch("GET", "/r/x")
-        self.assertEqual(len(self.plain[0].ran), 0)
+        self.assertEqual(len(self.plain[0].executed_requests), 0)
 
     async def test_an_address_reused_by_another_replica(self):
         """Symptom: a request runs at a service that is not in its route.
@@ -174,7 +181,7 @@
         self.plain[0].incarnation = "other"
         statuses = {(await self.fetch("POST", "/w/x", data=b"1"))[0] for _ in range(4)}
         self.assertEqual(statuses, {200})
-        self.assertEqual(len(self.plain[0].ran), 0)
+        self.assertEqual(len(self.plain[0].executed_requests), 0)
 
     async def test_metrics_are_served(self):
         await self.fetch("GET", "/r/x")
@@ -200,11 +207,13 @@
         A replica stops in the middle of an event, and another one resumes the stream.
         """
         await self.fetch("POST", "/s/x", headers=STREAM)
-        preferred, other = sorted(self.engines, key=lambda engine: -len(engine.ran))
-        preferred.manners = [Manner.CUTS_STREAM]
+        preferred, other = sorted(
+            self.engines, key=lambda engine: -len(engine.executed_requests)
+        )
+        preferred.behaviors = [ReplicaBehavior.TRUNCATES_STREAM]
         _, _, body = await self.fetch("POST", "/s/x", headers=STREAM)
         self.assertEqual(event_numbers(body), [1, 2, 3, 4])
-        (resumed,) = other.ran
+        (resumed,) = other.executed_requests
         self.assertEqual(resumed.headers["last-event-id"], "1")
 
     async def test_a_cut_stream_that_is_not_resumable_is_incomplete(self):
@@ -213,7 +222,7 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
         for engine in self.engines:
-            engine.manners = [Manner.CUTS_STREAM]
+            engine.behaviors = [ReplicaBehavior.TRUNCATES_STREAM]
         with self.assertRaises(aiohttp.ClientPayloadError):
             await self.fetch("POST", "/s/x", headers=STREAM)
         self.assertEqual(self.run_count(self.engines), 1)
@@ -225,7 +234,7 @@
         async with self.request("POST", "/s/x", headers=STREAM) as response:
             await response.content.readany()
             response.close()
-        await self.until(lambda: sum(e.left_early for e in self.engines) == 1)
+        await self.until(lambda: sum(e.disconnected_callers for e in self.engines) == 1)
 
     async def test_the_replica_stops_when_a_caller_disconnects_early(self):
         self.operator.configuration["routes"][2]["timeout-ms"] = 600_000
@@ -233,15 +242,15 @@
         version = self.operator.configuration["version"]
         await self.until(lambda: self.node._routes.version == version)
         for replica in self.plain:
-            replica.manners = [Manner.SILENT]
+            replica.behaviors = [ReplicaBehavior.SILENT]
         request = asyncio.create_task(self.fetch("POST", "/w/x", data=b"1"))
         await self.until(lambda: self.run_count(self.plain) == 1)
         request.cancel()
-        await self.until(lambda: sum(r.left_early for r in self.plain) == 1)
+        await self.until(lambda: sum(r.disconnected_callers for r in self.plain) == 1)
 
     async def test_requests_have_headers_for_weights_and_salt(self):
         await self.fetch("POST", "/s/x", headers=STREAM)
-        (sent,) = self.engines[0].ran + self.engines[1].ran
+        (sent,) = self.engines[0].executed_requests + self.engines[1].executed_requests
         self.assertEqual(sent.headers["x-expect-version"], "1")
         self.assertEqual(sent.headers["x-cache-salt"], "m~1")
 
@@ -275,7 +284,7 @@
         engine = self.engines[0]
         state = self.node._directory.find(engine.incarnation)
         state.on_send_failure(self.node._clock.now_ms())
-        engine.start_again()
+        engine.restart()
         self.list_replicas()
         find = self.node._directory.find
         await self.until(lambda: find(engine.incarnation) is not state)
@@ -298,7 +307,7 @@
 
     async def test_new_weights_reach_every_replica(self):
         """The lease holder orders the loads; then requests require the new version."""
-        self.operator.name_weights("m", 2)
+        self.operator.set_weights_version("m", 2)
         await self.until(lambda: {e.version for e in self.engines} == {2})
         self.assertEqual({len(e.orders) for e in self.engines}, {1})
         orders = [e.orders[0] for e in self.engines]
@@ -307,7 +316,9 @@
         self.assertEqual({order["holder"] for order in orders}, {"entry-1"})
         status, _, _ = await self.fetch("POST", "/s/x", headers=STREAM)
         self.assertEqual(status, 200)
-        sent = (self.engines[0].ran + self.engines[1].ran)[-1]
+        sent = (self.engines[0].executed_requests + self.engines[1].executed_requests)[
+            -1
+        ]
         self.assertEqual(sent.headers["x-cache-salt"], "m~2")
 
 
