--- a/fireflyward/quarantine/_task.py
+++ b/fireflyward/quarantine/_task.py
@@ -21,7 +21,7 @@
 log = logging.getLogger("fireflyward.quarantine")
 
 # A replica is a few ms away; a lost packet is retransmitted after 200 ms.
-_CONNECT_MS = 350
+_CONNECT_TIMEOUT_MS = 350
 # Rows that could not be written are written again after this time, or sooner if the
 # table shows that another node wrote them.
 _RETRY_MS = 500
@@ -213,7 +213,7 @@
     async def _check(self, replica: ReplicaState) -> bool:
         """Check now whether a replica listens, before its entry expires."""
         connection = await self._pool.acquire(
-            replica.entry.address, connect_ms=_CONNECT_MS, fresh=True
+            replica.entry.address, connect_ms=_CONNECT_TIMEOUT_MS, fresh=True
         )
         self._checked.discard(replica.incarnation_id)
         if not isinstance(connection, NotConnected):
--- a/fireflyward/reach/_task.py
+++ b/fireflyward/reach/_task.py
@@ -19,7 +19,7 @@
 _SILENCE = "silence"
 # A connection takes some ms. If it takes longer than this, then the request that caused
 # the probe would have been late too.
-_CONNECT_MS = 150
+_CONNECT_TIMEOUT_MS = 150
 _RETRY_MS = 300
 
 
@@ -182,7 +182,7 @@
 
     async def _can_connect(self, replica: ReplicaState) -> bool:
         connection = await self._pool.acquire(
-            replica.entry.address, connect_ms=_CONNECT_MS, fresh=True
+            replica.entry.address, connect_ms=_CONNECT_TIMEOUT_MS, fresh=True
         )
         if isinstance(connection, NotConnected):
             # The host of a refused connection has answered, so the domain is reachable.
