--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -70,21 +70,21 @@
     async def until_listed_everywhere(self, name):
         await self.until(lambda: all(node._directory.find(name) for node in self.nodes))
 
-    async def send_deadly_requests(self, method, path, replicas, service, **options):
-        """Send the deadly request a dozen times, to each node in turn."""
+    async def send_crashing_requests(self, method, path, replicas, service, **options):
+        """Send the crashing request a dozen times, to each node in turn."""
         model = "m" if service == "engines" else None
         statuses = []
         for number in range(12):
             node = self.nodes[number % self.node_count]
-            answer = await self.fetch_at(
+            response = await self.fetch_at(
                 node, method, path, data=CRASHING_BODY, **options
             )
-            statuses.append(answer[0])
+            statuses.append(response[0])
             await self.replace_crashed(replicas, service, model)
         return statuses
 
     async def test_a_stream_that_crashes_replicas_is_rejected(self):
-        statuses = await self.send_deadly_requests(
+        statuses = await self.send_crashing_requests(
             "POST", "/s/x", self.engines, "engines", headers=STREAM
         )
         self.assertLessEqual(len(self.crashed), _MAX_TOTAL_CRASHES)
@@ -92,12 +92,12 @@
 
     async def test_an_idempotent_request_that_crashes_replicas_is_rejected(self):
         """The node's own retry crashes one more replica."""
-        statuses = await self.send_deadly_requests("GET", "/r/x", self.plain, "plain")
+        statuses = await self.send_crashing_requests("GET", "/r/x", self.plain, "plain")
         self.assertLessEqual(len(self.crashed), _MAX_TOTAL_CRASHES)
         self.assertEqual(statuses[-1], 503)
 
     def stored_crash_count(self):
-        """Return how many crashes by the deadly request the table contains."""
+        """Return how many crashes by the crashing request the table contains."""
         fingerprint = fingerprint_of("acme", "/w/x", CRASHING_BODY)
         value = self.store.value(NODE_TABLE, f"suspect/{fingerprint}")
         return len(json.loads(value)["ends"]) if value else 0
@@ -144,7 +144,9 @@
         """
         for node in self.nodes:
             node._quarantine._announcements._link = None
-        statuses = await self.send_deadly_requests("POST", "/w/x", self.plain, "plain")
+        statuses = await self.send_crashing_requests(
+            "POST", "/w/x", self.plain, "plain"
+        )
         self.assertLessEqual(len(self.crashed), _MAX_TOTAL_CRASHES)
         self.assertEqual(statuses[-1], 503)
 
@@ -196,7 +198,7 @@
         self.store.remove("servers", name)
 
     async def fetch_with_concurrent_request(self, node):
-        """Send the deadly request while a harmless one is in flight."""
+        """Send the crashing request while a harmless one is in flight."""
         (replica,) = self.plain
         replica.behaviors = [ReplicaBehavior.SILENT, ReplicaBehavior.NORMAL]
         harmless = asyncio.create_task(
--- a/tests/fleet/test_random_restores.py
+++ b/tests/fleet/test_random_restores.py
@@ -76,7 +76,9 @@
 
     def leave(self):
         staying = [
-            one for one in self.case.plain if one.incarnation not in self.leaving
+            candidate
+            for candidate in self.case.plain
+            if candidate.incarnation not in self.leaving
         ]
         if len(staying) < 2:
             return
@@ -136,7 +138,9 @@
         ) and all(engine.version == self.weights for engine in self.case.engines)
 
     def leaving_replicas_of(self, node):
-        states = (node._directory.find(one.incarnation) for one in self.case.plain)
+        states = (
+            node._directory.find(replica.incarnation) for replica in self.case.plain
+        )
         return {state.entry.incarnation for state in states if state.is_leaving}
 
     async def check_keys(self):
--- a/tests/platform/json_numbers.py
+++ b/tests/platform/json_numbers.py
@@ -18,8 +18,8 @@
     """Return a copy of a decoded JSON value with ``new(old)`` at one path."""
     copy = json.loads(json.dumps(value))
     *steps, last = where
-    at = copy
+    parent = copy
     for step in steps:
-        at = at[step]
-    at[last] = new(at[last])
+        parent = parent[step]
+    parent[last] = new(parent[last])
     return copy
