--- a/tests/fleet/test_random_restores.py
+++ b/tests/fleet/test_random_restores.py
@@ -33,7 +33,7 @@
         self.leaving = set()
         self.is_evacuated = False
         self.weights = 1
-        self.seen, self.leaving_by_node = {}, {}
+        self.version_by_node, self.leaving_by_node = {}, {}
 
     @property
     def nodes(self):
@@ -76,7 +76,9 @@
 
     def leave(self):
         staying = [
-            one for one in self.case.plain if one.incarnation not in self.leaving
+            candidate
+            for candidate in self.case.plain
+            if candidate.incarnation not in self.leaving
         ]
         if len(staying) < 2:
             return
@@ -112,8 +114,8 @@
     def check_nothing_is_reverted(self):
         for node in self.nodes:
             version = node._routes.version
-            self.case.assertGreaterEqual(version, self.seen.get(node, 0))
-            self.seen[node] = version
+            self.case.assertGreaterEqual(version, self.version_by_node.get(node, 0))
+            self.version_by_node[node] = version
             for name in self.leaving_by_node.setdefault(node, set()):
                 state = node._directory.find(name)
                 self.case.assertTrue(state is None or state.is_leaving, name)
@@ -136,7 +138,9 @@
         ) and all(engine.version == self.weights for engine in self.case.engines)
 
     def leaving_replicas_of(self, node):
-        states = (node._directory.find(one.incarnation) for one in self.case.plain)
+        states = (
+            node._directory.find(replica.incarnation) for replica in self.case.plain
+        )
         return {state.entry.incarnation for state in states if state.is_leaving}
 
     async def check_keys(self):
