--- a/tests/quarantine/test_cuts.py
+++ b/tests/quarantine/test_cuts.py
@@ -26,9 +26,10 @@
         self.assertEqual(self.cuts.on_crash(2, 1), ())
 
     def test_a_request_cut_long_before_the_crash_was_not_in_flight(self):
-        """Symptom: a request is held although the replicas that ran it did not crash.
+        """Guards against holding a request whose replicas did not crash.
 
-        Connections to them broke, and each replica was replaced a minute later.
+        Connections to the replicas that ran it broke, and each replica was replaced a
+        minute later.
         """
         self.cuts.on_cut(0, "a", 1)
         self.assertEqual(self.cuts.on_crash(60_000, 1), ())
--- a/tests/quarantine/test_older_snapshot.py
+++ b/tests/quarantine/test_older_snapshot.py
@@ -28,7 +28,7 @@
         )
 
     async def test_a_request_whose_row_is_lost_is_still_held(self):
-        """Guards against a fourth replica that crashes."""
+        """Guards against a request that crashes a fourth replica."""
         await self.crash_three("deadly")
         self.nodes[1].read_table()
         self.restore(self.nodes[1], {})
@@ -42,7 +42,7 @@
         self.assertEqual(len(row["ends"]), 3)
 
     async def test_other_nodes_do_not_write_a_lost_row(self):
-        """Guards against a write of the same row by every node of a fleet."""
+        """Guards against every node of a fleet writing the same row."""
         await self.crash_three("deadly")
         self.nodes[1].read_table()
         self.restore(self.nodes[1], {})
--- a/tests/quarantine/test_suspects.py
+++ b/tests/quarantine/test_suspects.py
@@ -28,10 +28,11 @@
         self.assertEqual(self.verdict("a"), Free())
 
     def test_the_third_crash_holds_a_request(self):
-        """Symptom: one request crashes replica after replica.
+        """Guards against one request that crashes replica after replica.
 
-        It is repeated under new ids and sent to a replica each time. Other requests
-        were in flight at the same time, each at one of the crashes.
+        The request is repeated under new ids, and each time it is sent to another
+        replica. Other requests were in flight at the same time, each at one of the
+        crashes.
         """
         for start in (1, 2, 3):
             self.crash(start, "deadly", f"beside-{start}")
@@ -40,9 +41,10 @@
             self.assertEqual(self.verdict(f"beside-{start}"), Free())
 
     def test_two_requests_with_the_same_three_crashes_are_tried(self):
-        """Symptom: a harmless request is rejected for an hour.
+        """Guards against rejecting a harmless request for an hour.
 
-        It was in flight at each of the three crashes that another request caused.
+        The harmless request was in flight at each of the three crashes that another
+        request caused.
         """
         for start in (1, 2, 3):
             self.crash(start, "deadly", "beside")
@@ -99,9 +101,10 @@
         self.assertEqual(self.verdict("a", 600_000).retry_after_ms, HOUR_MS - 600_000)
 
     def test_a_row_alone_holds_a_request(self):
-        """Symptom: all nodes lose power, and the request crashes further replicas.
+        """Guards against further replicas that a request crashes after a power failure.
 
-        Its crashes were stored only in the memory of the nodes.
+        All nodes lost power, and the crashes that the request had caused were stored
+        only in the memory of the nodes.
         """
         self.suspects.on_row(0, "a", SuspectRow((1, 2, 3)))
         self.assertIsInstance(self.verdict("a"), Held)
--- a/tests/quarantine/test_task.py
+++ b/tests/quarantine/test_task.py
@@ -116,7 +116,10 @@
         self.assertEqual(self.node.quarantine.cut, 0)
 
     async def test_a_silent_replica_has_crashed_once_its_entry_is_removed(self):
-        """Until then a network fault cannot be distinguished from a crash."""
+        """Guards against taking a network fault for a crash.
+
+        Until the entry is removed, the two cannot be distinguished.
+        """
         for name in NAMES[:3]:
             state = self.node.directory.find(name)
             self.node.pool.silent.add(state.entry.address)
@@ -147,9 +150,10 @@
         self.assertEqual(self.node.polls, 1)
 
     async def test_only_one_request_is_on_trial(self):
-        """Symptom: a harmless request seems to crash replicas.
+        """Guards against a harmless request that seems to crash replicas.
 
-        It was on trial at the same time as the request that does crash them.
+        The harmless request was on trial at the same time as the request that does
+        crash them.
         """
         await self.crash_three("deadly", "beside")
         other = self.nodes[1]
@@ -182,9 +186,10 @@
             await self.node.settle()
 
     async def test_a_trial_that_was_not_sent_does_not_count(self):
-        """Symptom: a harmless request is held for an hour without a trial.
+        """Guards against holding a harmless request for an hour without a trial.
 
-        Replicas were busy, and for this reason it was rejected in both of its trials.
+        Replicas were busy, and for this reason the request was rejected in both of its
+        trials.
         """
         await self.crash_three("deadly", "beside")
         for _ in range(4):
@@ -196,7 +201,7 @@
     async def test_trials_that_may_not_have_begun_count(self):
         """Guards against unlimited trials of a request that crashes replicas.
 
-        It waits in queues, and its callers disconnect and repeat it.
+        The request waits in queues, and its callers disconnect and repeat it.
         """
         await self.crash_three("deadly", "beside")
         for _ in range(2):
@@ -247,7 +252,7 @@
         self.assertEqual(await self.nodes[1].admit("a"), Free())
 
     async def test_a_table_read_before_a_row_was_written_clears_nothing(self):
-        """Symptom: a request is sent again just after it was held."""
+        """Guards against sending a request again just after it was held."""
         before = self.table.full_read()
         await self.crash_three("deadly")
         self.assertIn("suspect/deadly", self.table.row_by_key)
@@ -263,7 +268,7 @@
         self.assertEqual(await self.nodes[1].admit("a"), Free())
 
     async def test_a_write_result_after_a_newer_update_does_not_undo_it(self):
-        """Symptom: the third crash of a request is never written.
+        """Guards against a third crash of a request that is never written.
 
         Another node wrote the row in between, and each further write of this node
         expected the version that it had written itself.
@@ -289,7 +294,7 @@
         self.assertEqual(len(kept["ends"]), 4)
 
     async def test_rows_that_arrive_late_change_nothing(self):
-        """Symptom: a request that was tried twice is tried again."""
+        """Guards against a third trial of a request that was tried twice."""
         for version, trials in ((5, 2), (3, 0)):
             row = SuspectRow((1, 2, 3), trials)
             rows = (TableRow("suspect/a", msgspec.json.encode(row), at(version)),)
@@ -315,7 +320,7 @@
         self.assertEqual(await self.node.admit("a"), Free())
 
     async def test_a_replica_that_announced_its_leaving_has_not_crashed(self):
-        """Guards against planned stops that count as crashes by an outdated list."""
+        """Guards against counting planned stops as crashes by an outdated list."""
         directory = self.node.directory
         for name in NAMES[:3]:
             await self.node.cut(name, "a", refused=False)
