--- a/tests/prefixes/test_follow.py
+++ b/tests/prefixes/test_follow.py
@@ -85,10 +85,11 @@
         self.aggregator.read.clear()
 
     async def test_a_listener_receives_parts_without_a_call(self):
-        """Symptom: with 87 nodes a sixth of the shared parts are soon prefilled again.
+        """Guards against soon prefilling a sixth of the shared parts again.
 
-        A store lets only a dozen callers wait, so each node called each of 19 stores
-        only every 2.5 s, and did not know of parts that had become complete meanwhile.
+        A store lets only a dozen callers wait, so each of 87 nodes called each of 19
+        stores only every 2.5 s, and did not know of the parts that had become complete
+        since its last call.
         """
         await self.listener.follower.step()
         calls = self.store.calls
@@ -98,9 +99,9 @@
         self.assertEqual(self.store.calls, calls + 1)
 
     async def test_a_listener_that_missed_an_event_makes_one_call(self):
-        """Symptom: on one node the memory of a freed part counts as used for ever.
+        """Guards against a node that counts the memory of a freed part as used forever.
 
-        A datagram with events was lost, and the next datagrams do not repeat them.
+        A datagram with events was lost, and later datagrams do not repeat its events.
         """
         await self.listener.follower.step()
         self.store.save(1)
@@ -116,7 +117,7 @@
         self.assertFalse(self.listener.follower._must_make_call())
 
     async def test_after_a_call_a_listener_continues_with_the_aggregators_updates(self):
-        """Symptom: the nodes of one domain call every store several times a second.
+        """Guards against a domain whose nodes call every store several times a second.
 
         A listener that had called the store itself was a few events ahead of its
         aggregator. It dropped the overlapping update, and so detected a gap before the
@@ -136,7 +137,7 @@
         self.assertEqual(held, [2, 3])
 
     async def test_listeners_miss_nothing_when_the_aggregator_reads_a_snapshot(self):
-        """Symptom: every node calls every store several times a second.
+        """Guards against all nodes calling every store several times a second.
 
         A hundredth of a store's events never arrive. The aggregator then read the
         complete list, but published nothing of it, so all its neighbours called the
@@ -169,10 +170,10 @@
         self.assertFalse(self.listener.follower._must_make_call())
 
     async def test_a_listener_detects_a_restart(self):
-        """Symptom: a prompt is answered from memory that is only half written.
+        """Guards against answering a prompt from memory that is only half written.
 
-        A store restarted empty. A node that had not detected the restart fetched a
-        part that another node was saving again.
+        A store restarted empty. A node that had not detected the restart fetched a part
+        that another node was saving again.
         """
         self.store.save(1)
         await self.listener.follower.step()
@@ -189,10 +190,10 @@
     async def test_saves_are_blocked_until_every_listener_has_detected_a_restart(
         self,
     ):
-        """Symptom: a prompt is answered from memory that is only half written.
+        """Guards against answering a prompt from memory that is only half written.
 
         The aggregator crashed together with the store, and the next aggregator has just
-        started. A listener makes a call of its own after 1.6 s. Until then it assumes
+        started. A listener calls the store itself after 1.6 s. Until then it assumes
         that the store holds parts, which other nodes are saving again.
         """
         self.store.save(1)
--- a/tests/prefixes/test_garbage.py
+++ b/tests/prefixes/test_garbage.py
@@ -30,7 +30,7 @@
         )
 
     def test_parts_are_freed_as_soon_as_all_replicas_have_newer_weights(self):
-        """Symptom: for three seconds after a rollout prompts are prefilled completely.
+        """Guards against prompts prefilled completely for 3 s after a rollout.
 
         The stores are full of the old version's parts. These were kept for two seconds
         after the last replica had loaded the new weights, and for another second until
@@ -42,7 +42,7 @@
         self.assertEqual(self.find(300, ("m", 2), by=("r1", "r2")), [OLD])
 
     def test_parts_of_a_replica_that_is_no_longer_listed_are_kept_longer(self):
-        """Symptom: a fetch reads memory that was freed meanwhile.
+        """Guards against fetching memory that was freed in the meantime.
 
         A replica's entry expired because the replica could not reach the list. The
         replica still runs requests on the old weights, and fetches parts for them.
@@ -58,7 +58,7 @@
         self.assertEqual(self.find(2_000, ("m", 2)), [OLD])
 
     def test_parts_of_a_version_that_a_replica_may_have_are_kept(self):
-        """Symptom: a fetch reads memory that was freed meanwhile.
+        """Guards against fetching memory that was freed in the meantime.
 
         A replica has the old version again after a restart, and begins to run requests.
         """
@@ -84,9 +84,10 @@
 
 class GarbageCollectorTests(unittest.IsolatedAsyncioTestCase):
     async def test_a_part_whose_event_was_lost_is_not_freed_at_every_check(self):
-        """Symptom: a node frees the same few parts three times a second at each store.
+        """Guards against freeing the same few parts three times a second at each store.
 
-        The events of the freed parts never arrived, so the parts stay in the index.
+        The events of the freed parts never arrived at the node, so the parts stay in
+        its index.
         """
         planner, freer, clock = PartPlanner(), _Freer(), ManualClock(0)
         planner.set_stores([KvStore("kv:1", "a", 10_000, 1_000.0, never_evicts=True)])
--- a/tests/prefixes/test_index.py
+++ b/tests/prefixes/test_index.py
@@ -17,9 +17,10 @@
         self.index.apply(update())
 
     def test_only_complete_parts_are_fetched(self):
-        """Symptom: an answer is computed from memory that was still being written.
+        """Guards against an answer computed from memory that is still being written.
 
-        A part is fetched right after its save began; the store does not check for this.
+        A part is fetched right after its save began, and the store does not check
+        whether the save is complete.
         """
         self.assertTrue(self.index.reserve_save(0, KEY, 100))
         self.assertFalse(self.index.has(KEY))
@@ -57,7 +58,7 @@
         self.assertEqual(self.index.next_event, 9)
 
     def test_nothing_is_saved_until_all_nodes_have_detected_a_restart(self):
-        """Symptom: an answer is computed from memory that was half written.
+        """Guards against an answer computed from memory that is only half written.
 
         A store restarts empty. One node has detected the restart and saves a part
         again, while another node still assumes that the store holds the part, and
--- a/tests/prefixes/test_planner.py
+++ b/tests/prefixes/test_planner.py
@@ -50,7 +50,7 @@
         self.assertEqual(plan.stored_tokens, 8_500)
 
     def test_parts_of_other_weights_or_an_isolated_account_are_not_used(self):
-        """Symptom: an answer uses KV cache of another account, or of old weights."""
+        """Guards against using the KV cache of another account or of old weights."""
         self.fill(cache_salt("m", 1))
         for salt in (cache_salt("m", 2), cache_salt("m", 1, "acme")):
             self.assertEqual(self.plan(salt).stored_tokens, 0)
@@ -78,10 +78,10 @@
         self.assertAlmostEqual(counts["s2"] / 2_000, 0.75, delta=0.05)
 
     def test_a_part_is_saved_to_a_store_with_free_memory(self):
-        """Symptom: a tenth of the shared parts are prefilled again by every request.
+        """Guards against prefilling a tenth of the shared parts at every request.
 
-        Each part had one store, chosen only by its name. Some stores were full while
-        others were not, and the parts of a full store were never saved.
+        Each part had one store, chosen only by the part's name. Some stores were full
+        while others were not, and the parts of a full store were never saved.
         """
         planner = PartPlanner()
         planner.set_stores([store(f"s{i}", 20_000) for i in range(5)])
@@ -117,10 +117,11 @@
         self.assertEqual(self.plan().stored_tokens, 8_500)
 
     def test_a_new_configuration_keeps_an_empty_index(self):
-        """Symptom: after an early change of the configuration most stores are not used.
+        """Guards against unused stores after an early change of the configuration.
 
         An empty index was falsy in a condition, so the planner created a new one, while
-        the follower kept applying the store's events to the old one.
+        the follower kept applying the store's events to the old one. As a result most
+        stores were not used.
         """
         before = self.planner.indexes()
         self.planner.set_stores([store("s1"), store("s2")])
--- a/tests/prefixes/test_publisher.py
+++ b/tests/prefixes/test_publisher.py
@@ -89,7 +89,7 @@
         self.assertEqual(len(message.stores), 2)
 
     def test_event_numbers_that_advance_without_events_are_published(self):
-        """Symptom: listeners call a store again and again, and it rejects the calls.
+        """Guards against listeners that call a store so often that it rejects calls.
 
         Some events of a store never arrive, so its event numbers advance without them.
         Listeners received only the next events, and took the difference for a gap.
--- a/tests/prefixes/test_sharing.py
+++ b/tests/prefixes/test_sharing.py
@@ -107,10 +107,11 @@
         )
 
     async def test_a_node_that_starts_or_misses_events_calls_the_aggregator(self):
-        """Symptom: 195 nodes make 690 calls a second to KV stores; most are rejected.
+        """Guards against 195 nodes making 690 calls a second to KV stores.
 
         One large update did not fit into a datagram. All neighbours called the store,
-        which lets only a dozen callers wait, and again every half second.
+        which lets only a dozen callers wait, and called it again every half second.
+        Most of the calls were rejected.
         """
         self.store.events = [event(n) for n in range(3)]
         await self.aggregator.follower.step()
@@ -138,7 +139,7 @@
         self.assertEqual(self.store.calls, calls)
 
     async def test_a_freed_part_does_not_reappear(self):
-        """Symptom: a fetch reads memory that is being written.
+        """Guards against fetching memory that is being written.
 
         A node had read further than its new aggregator. It applied the aggregator's
         older snapshot and fetched a part that had been freed and was being saved again.
@@ -167,7 +168,7 @@
     async def test_a_store_that_does_not_answer_the_aggregator_counts_as_unreachable(
         self,
     ):
-        """Symptom: requests wait for fetches from a store that is down.
+        """Guards against requests that wait for fetches from a store that is down.
 
         The aggregator continued to report what the store had held before.
         """
