--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -36,7 +36,7 @@
 
 class AdmissionTests(unittest.TestCase):
     def test_at_twice_the_capacity_almost_a_full_capacity_is_on_time(self):
-        """Symptom: under a slight overload nearly every answer is late.
+        """Guards against a slight overload in which nearly every answer is late.
 
         Four replicas prefill 37 prompts a second, and 75 arrive. Without admission
         control the queue grows as long as the load lasts, and all requests but the
--- a/tests/forwarding/test_late_limit.py
+++ b/tests/forwarding/test_late_limit.py
@@ -95,11 +95,11 @@
         self.limit.set_nodes(NODES)
 
     def test_in_a_burst_fewer_are_rejected_and_as_many_are_on_time(self):
-        """Symptom: in a burst of four seconds one caller in twenty is rejected twice.
+        """Guards against rejecting one caller in twenty twice in a four-second burst.
 
         A request that would be late because it waits for a slot was rejected, and its
-        caller retried during the burst. At the lowest priority it would have delayed
-        no other request.
+        caller retried during the burst. At the lowest priority the request would have
+        delayed no other request.
         """
         before = replay(None, seconds=4, per_second=60)
         after = replay(self.limit, seconds=4, per_second=60)
@@ -109,7 +109,7 @@
         self.assertGreater(after.late + after.on_time, before.late + before.on_time)
 
     def test_under_a_lasting_overload_most_are_rejected_at_once(self):
-        """Symptom: callers wait for seconds and get no answer.
+        """Guards against callers that wait for seconds and get no answer.
 
         Twice as many requests arrive as there are slots. A request at the lowest
         priority gets no slot as long as the overload lasts.
--- a/tests/forwarding/test_late_requests.py
+++ b/tests/forwarding/test_late_requests.py
@@ -91,10 +91,11 @@
         await asyncio.gather(serving, return_exceptions=True)
 
     async def test_a_waiting_late_request_does_not_count_as_in_flight(self):
-        """Symptom: in a burst all requests become late and get the lowest priority.
+        """Guards against a burst in which all requests become late.
 
         Late requests were counted among the requests that wait for a slot, although
-        requests that are on time get a slot before them.
+        requests that are on time get a slot before them. So all requests became late
+        and got the lowest priority.
         """
         connection = SilentConnection()
         serving = self.serve(connection)
@@ -107,7 +108,7 @@
         self.assertTrue(self.is_limit_free())
 
     async def test_a_caller_that_disconnects_while_connecting_frees_its_place(self):
-        """Symptom: after some hours every late request is rejected.
+        """Guards against rejecting every late request after some hours.
 
         Callers disconnected before their requests were sent, and their requests stayed
         counted as waiting.
--- a/tests/forwarding/test_plan.py
+++ b/tests/forwarding/test_plan.py
@@ -39,7 +39,7 @@
             self.assertIs(decision.outcome.reason, reason)
 
     def test_a_non_idempotent_request_is_not_sent_again_after_it_may_have_run(self):
-        """Symptom: a revision record is written twice.
+        """Guards against a revision record that is written twice.
 
         The connection breaks after the request was sent. It is unknown whether the
         request ran, and a second replica would run it again.
@@ -54,7 +54,10 @@
         self.assertEqual(plan(may_repeat=False).decide(900, Unsent("x")), TryAgain())
 
     def test_a_request_that_may_have_run_is_never_reported_as_not_run(self):
-        """Symptom: a caller repeats a request that ran but was reported as not run."""
+        """Guards against a caller that repeats a request that did run.
+
+        The request ran but was reported to the caller as not run.
+        """
         for then in (FULL, FULL, FULL, NoReplica()):
             attempt = plan(max_attempts=9)
             attempt.decide(900, Failed("reset"))
--- a/tests/forwarding/test_quarantine_check.py
+++ b/tests/forwarding/test_quarantine_check.py
@@ -46,9 +46,9 @@
         return QuarantineCheck(self.gate, "f")
 
     async def test_each_send_requests_admission_from_the_gate(self):
-        """Symptom: an idempotent request crashes two replicas more than allowed.
+        """Guards against an idempotent request crashing two more replicas than allowed.
 
-        Its first send crashed the third replica.
+        The first send of the request crashed the third replica.
         """
         check = self.check(Free(), HELD)
         self.assertIsNone(await check.admit())
@@ -97,7 +97,7 @@
             self.assertEqual(self.gate.calls, [report])
 
     def test_an_error_status_clears_nothing(self):
-        """Symptom: a request that crashes replicas is cleared by one 500 response."""
+        """Guards against one 500 response clearing a request that crashes replicas."""
         check = self.check()
         check.on_result(self.replica, WholeAnswer(Head(500, "X", ()), b""))
         self.assertEqual(self.gate.calls, [])
--- a/tests/forwarding/test_unresponsive_replicas.py
+++ b/tests/forwarding/test_unresponsive_replicas.py
@@ -101,7 +101,10 @@
         return awaiting
 
     async def test_a_connection_timeout_is_reported(self):
-        """Symptom: requests find each replica of an unreachable domain by a timeout."""
+        """Guards against a timeout for each replica of an unreachable domain.
+
+        Without a report, requests discover each of the domain's replicas by a timeout.
+        """
         await self.serve(NotConnected("no connection in 350 ms"), RouteKind.IDEMPOTENT)
         self.assertIn("r1", self.reach.silent)
 
@@ -111,7 +114,7 @@
         self.assertEqual(self.reach.silent, [])
 
     async def test_only_idempotent_requests_are_aborted_in_an_unreachable_domain(self):
-        """Symptom: a network cut failed records that replicas were still writing.
+        """Guards against a network cut failing records that replicas still write.
 
         A non-idempotent request fails if its connection is closed, although its
         response may still arrive.
@@ -121,7 +124,7 @@
         self.assertEqual(self.reach.awaiting_now, 0)
 
     async def test_a_send_to_a_cold_replica_counts_from_the_moment_it_is_sent(self):
-        """Symptom: a cold replica got half of the requests that it can handle.
+        """Guards against a cold replica that gets half of the requests it can handle.
 
         Each request was counted for as long as its connection could have taken to open.
         """
--- a/tests/forwarding/test_waiting_sends.py
+++ b/tests/forwarding/test_waiting_sends.py
@@ -35,7 +35,7 @@
 
 
 class _Pool:
-    """Opens connections once ``may_open`` is set; records those given back."""
+    """Opens connections once ``may_open`` is set; records released ones."""
 
     def __init__(self):
         self.may_open = asyncio.Event()
@@ -140,7 +140,7 @@
 
 
 class TrialTests(WaitingSendTests):
-    """The same for a request on trial, which has not used its one send yet."""
+    """The same changes for a request on trial that has not used its one send yet."""
 
     def setUp(self):
         super().setUp()
--- a/tests/forwarding/test_weights.py
+++ b/tests/forwarding/test_weights.py
@@ -11,7 +11,7 @@
         self.versions = WeightVersions(version_ms=12_000)
 
     def test_a_newer_version_does_not_extend_the_limit_of_the_first(self):
-        """Symptom: a request begins on weights that were replaced 12 s ago.
+        """Guards against a request that begins on weights that were replaced 12 s ago.
 
         A second version is named before all replicas have loaded the first, and the
         node no longer has the time at which the first was named.
@@ -23,9 +23,10 @@
         self.assertEqual(self.versions.min_version(12_500, "m"), 3)
 
     def test_the_limit_includes_the_wait_in_a_replicas_queue(self):
-        """Symptom: as above, although the request was sent in time.
+        """Guards against a request that begins on weights that were replaced 12 s ago.
 
-        The request waited more than two seconds in the replica's queue.
+        The request was sent in time, but waited more than two seconds in the replica's
+        queue.
         """
         self.versions.set_target(0, WeightTarget("m", 2))
         self.assertLessEqual(12_000 - 8_500, 3_500)
