--- a/tests/reach/test_task.py
+++ b/tests/reach/test_task.py
@@ -89,10 +89,10 @@
         return {choice.replica.entry.failure_domain for choice in chosen}
 
     async def test_an_unreachable_domain_is_a_last_resort_at_once(self):
-        """Symptom: for seconds after a network fault, requests wait 350 ms for nothing.
+        """Guards against requests that wait 350 ms in vain after a network fault.
 
         A failure domain was cut off, and each node sent a request to each of its
-        replicas before it considered all of them silent.
+        replicas before it considered all of them silent. This took seconds.
         """
         self.silence(*(f"b{n}" for n in range(6)))
         for state in self.directory.of_service("s"):
@@ -103,10 +103,11 @@
         self.assertEqual(self.chosen_domains(), {"a"})
 
     async def test_idempotent_requests_do_not_wait_for_an_unreachable_domain(self):
-        """Symptom: requests hang for three seconds after a network fault and are late.
+        """Guards against requests that hang for three seconds after a network fault.
 
-        They had reached their replicas just before the fault, and the answers were
-        lost. The kernel closed the silent connections only after its last probe.
+        The requests had reached their replicas just before the fault, and the answers
+        were lost. The kernel closed the silent connections only after its last probe,
+        so the requests were late.
         """
         self.silence(*(f"b{n}" for n in range(6)))
         cut_off, working = Connection(), Connection()
@@ -130,10 +131,10 @@
     async def test_a_node_that_is_cut_off_finds_all_other_domains_unreachable_at_once(
         self,
     ):
-        """Symptom: in a network fault requests are retried once and fail again.
+        """Guards against requests that fail twice in a network fault.
 
-        A node in the domain that was cut off found one of the other domains silent.
-        It sent the requests that waited there to the next domain, which was silent too.
+        A node in the domain that was cut off found one of the other domains silent. It
+        retried the requests that waited there in the next domain, which was silent too.
         """
         entries = [entry(f"c{n}", zone="c") for n in range(6)]
         self.directory.on_changes(0, entries, [], after_outage=False)
@@ -164,7 +165,7 @@
         self.assertFalse(self.task.tasks)
 
     async def test_one_silent_replica_does_not_make_its_domain_unreachable(self):
-        """Symptom: a whole failure domain is idle because one replica is silent."""
+        """Guards against a failure domain idle because of one silent replica."""
         self.silence("b0")
         self.on_silent("b0")
         await self.clock.advance_ms(400)
@@ -199,10 +200,10 @@
         self.assertEqual(self.link.sent, [])
 
     async def test_one_silent_replica_is_not_announced(self):
-        """Symptom: a silent replica causes hundreds of new connections a second.
+        """Guards against hundreds of new connections a second due to a silent replica.
 
-        Each node that found it silent announced it to all others, and each of those
-        opened probe connections into every failure domain.
+        Each node that found the replica silent announced it to all others, and each of
+        those opened probe connections into every failure domain.
         """
         self.silence("b0")
         for _ in range(5):
