--- a/tests/replicas/test_chooser.py
+++ b/tests/replicas/test_chooser.py
@@ -78,7 +78,7 @@
         self.assertFalse(state.is_suspect(1_100))
 
     def test_a_replica_that_fails_more_than_the_others_is_avoided(self):
-        """Symptom: one in three requests fails although all health checks succeed."""
+        """Guards against one in three requests failing while health checks pass."""
         self.make(entry("r1"), entry("r2"), entry("r3"))
         for number in range(40):
             self.state("r1").on_answer(failed=number % 2 == 0)
@@ -95,7 +95,7 @@
         self.assertEqual(len(preferred), 1)
 
     def test_a_busy_preferred_replica_is_avoided_and_becomes_the_kv_source(self):
-        """Symptom: one popular prompt makes its replica slow while others are idle."""
+        """Guards against a popular prompt slowing its replica while others are idle."""
         self.make(*(entry(f"r{n}", version=1) for n in range(3)))
         requirements = Requirements("s", prefix_key="p", prefix_tokens=9_000, model="m")
         preferred = self.chosen(requirements)
@@ -140,9 +140,9 @@
 
 class LoadTests(ChooserCase):
     def test_a_replica_without_memory_for_the_request_is_avoided(self):
-        """Symptom: streams stop midway for a second, though queues are short.
+        """Guards against streams that stop midway for a second with short queues.
 
-        Long prompts fill a replica's memory; it preempts running requests and
+        Long prompts fill a replica's memory. The replica preempts running requests and
         prefills them again.
         """
         self.make(entry("r1", version=1), entry("r2", version=1))
@@ -191,7 +191,7 @@
         self.directory = ReplicaDirectory()
         entries = [entry(f"r{i}", slots=16) for i in range(40)]
         self.directory.on_full_read(0, entries, after_outage=False)
-        # All replicas are busy, and one of them a little less.
+        # All replicas are busy, and one of them is a little less busy.
         message = {}
         for i in range(1, 40):
             message |= load_at(f"r{i}", InFlightLoad(2_000, 90_000, 10))
@@ -205,7 +205,7 @@
             )
 
     def test_nodes_with_the_same_loads_do_not_all_choose_the_same_replica(self):
-        """Symptom: with more frequent load reports more first tokens are late.
+        """Guards against more late first tokens with more frequent load reports.
 
         All nodes receive the same sums at the same moment. Twenty requests arrived
         before the next sums, 40 ms later, and all went to the least loaded replica.
@@ -225,7 +225,7 @@
             for chooser in self.choosers
         }
         busy = {f"r{i}" for i in range(20)}
-        # One sample in eight has none of the twenty others.
+        # One sample in eight contains none of the twenty other replicas.
         self.assertLess(len(chosen & busy), 13)
 
     def test_suspects_are_not_sampled(self):
--- a/tests/replicas/test_cold.py
+++ b/tests/replicas/test_cold.py
@@ -10,7 +10,7 @@
 from .makers import entry
 
 PER_SECOND = 11.0
-# The most that the deployment allows in a second.
+# The most requests that the deployment allows in a second.
 BOUND = 1.5 * PER_SECOND + 5
 SERVICE = {"s": Service("s", cold_start_ms=3_000, cold_per_second=PER_SECOND)}
 NODES = [f"n{number}" for number in range(89)]
@@ -41,14 +41,15 @@
         self.assertEqual(len(set(map(tuple, divisions))), 5)
 
     def test_the_share_is_zero_before_the_nodes_are_known(self):
-        """Symptom: a node that just started sends a cold replica its whole rate.
+        """Guards against a node that just started and uses a cold replica's whole rate.
 
-        It had not read the table of nodes yet and assumed that it was the only one.
+        The node had not read the table of nodes yet and assumed that it was the only
+        one.
         """
         self.assertEqual(ColdShares("n1").allowance(7, PER_SECOND), 0)
 
     def test_nodes_with_different_lists_of_nodes_stay_within_the_bound(self):
-        """Symptom: a cold replica gets too many requests while nodes are added.
+        """Guards against too many requests to a cold replica while nodes are added.
 
         Half of the nodes have ten new nodes in their list and the others do not yet.
         """
@@ -126,11 +127,12 @@
         return most
 
     def test_a_domain_that_returns_cold_gets_no_more_than_it_sustains(self):
-        """Symptom: replicas crash as soon as their failure domain is used again.
+        """Guards against replicas that crash as soon as their domain is used again.
 
-        When its evacuation ended its replicas were cold, but their entries did not say
-        so yet. They were idle, so all nodes preferred them during a burst of twice the
-        usual load, and one replica got 25 requests within a second.
+        When the evacuation of the failure domain ended, its replicas were cold, but
+        their entries did not say so yet. They were idle, so all nodes preferred them
+        during a burst of twice the usual load, and one replica got 25 requests within a
+        second.
         """
         self.simulate(0, 1, 1_030)
         self.end_evacuation(1_000)
@@ -140,7 +142,7 @@
         self.assertGreater(total, 0.99 * 2.5 * 1_030)
 
     def test_a_cold_domain_gets_its_sustained_rate_when_the_others_are_full(self):
-        """Symptom: callers are rejected although a cold domain could serve some.
+        """Guards against rejecting callers although a cold domain could serve some.
 
         The load is more than the two other domains can serve in their slots.
         """
@@ -186,16 +188,20 @@
         self.assertTrue(state.is_cold(5_500))
 
     def test_an_entry_that_is_read_again_does_not_make_it_cold_again(self):
-        """Symptom: a replica that cannot renew its entry stays cold forever.
+        """Guards against a replica that stays cold forever.
 
-        Each full read of the table returned its last entry again.
+        The replica could not renew its entry, and each full read of the table returned
+        the last entry again.
         """
         state = self.update(0, cold_ms=2_000)
         self.update(5_000, cold_ms=2_000, version=4)
         self.assertFalse(state.is_cold(5_000))
 
     def test_an_older_entry_does_not_end_the_assumed_cold_time(self):
-        """Symptom: an entry in transit resets the cold time after an evacuation."""
+        """Guards against an entry in transit that ends the assumed cold time.
+
+        The entry was written before the evacuation ended, and arrives after it.
+        """
         state = self.update(0)
         self.directory.set_evacuated(0, frozenset("a"))
         self.directory.set_evacuated(100, frozenset())
@@ -217,10 +223,10 @@
         self.assertNotIn(None, chosen)
 
     def test_a_cold_preferred_replica_stays_preferred_when_its_share_is_used(self):
-        """Symptom: prompts are prefilled twice while their replica is cold.
+        """Guards against prefilling prompts twice while their replica is cold.
 
-        For three seconds each prompt had another preferred replica, which prefilled
-        it again, and afterwards the first one again.
+        For three seconds each prompt had another preferred replica, which prefilled it
+        again. Afterwards the first replica was preferred again.
         """
         names = [f"r{number}" for number in range(2, 6)]
         self.directory.on_changes(
@@ -259,7 +265,7 @@
         self.assertTrue(self.may_send(1_020))
 
     def test_a_request_that_is_not_sent_yet_counts_at_its_latest_time(self):
-        """Symptom: two requests reach a cold replica within half a second.
+        """Guards against two requests that reach a cold replica within half a second.
 
         The first one waited for its connection while the second one was sent.
         """
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -28,10 +28,10 @@
         self.assertEqual(self.names(), ["r2"])
 
     def test_entries_that_expired_during_an_outage_are_kept_for_two_seconds(self):
-        """Symptom: every request is rejected when the store is available again.
+        """Guards against rejecting every request when the store is available again.
 
-        Replicas could not renew their entries while the store was unavailable; all
-        of them are missing from its first answer, although they serve.
+        Replicas could not renew their entries while the store was unavailable. All of
+        them are missing from its first answer, although they serve.
         """
         self.directory.on_full_read(100, [], after_outage=True)
         self.assertEqual(self.names(), ["r1", "r2"])
@@ -79,10 +79,11 @@
         return self.directory.on_changes(0, [row], [], after_outage=False)
 
     def test_no_state_of_the_former_incarnation_is_kept(self):
-        """Symptom: a restarted replica is avoided, and its memory assumed to be full.
+        """Guards against avoiding a restarted replica and assuming its memory is full.
 
-        It returned under its name within a heartbeat, so its entry was never removed,
-        and weights, slowdown, suspicion, failures and in-flight load were kept.
+        The replica returned under its name within a heartbeat, so its entry was never
+        removed, and weights, slowdown, suspicion, failures and in-flight load were
+        kept.
         """
         before = self.before
         before.on_loaded("m", 7)
@@ -156,7 +157,7 @@
         self.directory.on_full_read(0, entries, after_outage=False)
 
     def test_an_entry_of_an_unknown_service_is_not_a_replica(self):
-        """Symptom: weights are loaded on a process that is not a replica."""
+        """Guards against loading weights on a process that is not a replica."""
         self.directory.set_services({"s": Service("s")})
         names = [state.entry.incarnation for state in self.directory.all()]
         self.assertEqual(names, ["r1", "r2"])
@@ -191,7 +192,10 @@
         return self.directory.find("r1")
 
     def test_a_replica_that_is_listed_again_is_still_leaving(self):
-        """Guards against an entry that expired during a network fault and returns."""
+        """Guards against requests to a leaving replica that is listed again.
+
+        Its entry expired during a network fault and was written again.
+        """
         self.directory.on_leaving(self.directory.find("r1"))
         self.list_again()
         self.assertEqual(self.directory.of_service("s"), [])
--- a/tests/replicas/test_in_flight_load.py
+++ b/tests/replicas/test_in_flight_load.py
@@ -14,7 +14,7 @@
         self.assertEqual(peers.at(1, 2), InFlightLoad())
 
     def test_the_load_of_a_silent_node_is_dropped(self):
-        """Symptom: a replica gets no requests although it is idle.
+        """Guards against an idle replica that gets no requests.
 
         A node crashed with requests in flight, and its last report stayed.
         """
@@ -41,7 +41,7 @@
         self.assertEqual(self.peers.at(40, 2).requests, 0)
 
     def test_a_sum_that_is_not_confirmed_is_dropped(self):
-        """Symptom: some replicas are avoided after an aggregator lost power.
+        """Guards against avoiding some replicas after an aggregator lost power.
 
         Its last sums were still used and the next aggregator's were added to them, so
         every request in flight counted twice.
@@ -51,7 +51,7 @@
         self.assertEqual(self.peers.at(1_500, 1).requests, 0)
 
     def test_own_load_in_a_total_is_not_counted_as_others(self):
-        """Symptom: nodes avoid the replicas that they themselves use.
+        """Guards against nodes that avoid the replicas that they themselves use.
 
         The aggregator's total contains this node's own report, and the node added its
         own requests once more.
@@ -69,9 +69,9 @@
         self.assertEqual(self.peers.at(70, 1).requests, 0)
 
     def test_only_the_followed_aggregator_s_total_counts(self):
-        """Symptom: replicas are avoided after a change of the aggregator.
+        """Guards against avoiding replicas after a change of the aggregator.
 
-        The totals of both were added up, and each contains all requests.
+        The totals of both aggregators were added up, and each contains all requests.
         """
         self.peers.on_total(0, "a", {1: InFlightLoad(1, 1, 1)})
         self.peers.on_total(0, "b", {1: InFlightLoad(2, 2, 2)})
--- a/tests/replicas/test_load_reports.py
+++ b/tests/replicas/test_load_reports.py
@@ -124,11 +124,12 @@
 
 class LoadReportTests(unittest.TestCase):
     def test_every_node_receives_the_others_requests(self):
-        """Symptom: with 87 nodes some replicas have twice as many requests as others.
+        """Guards against some replicas having twice as many requests as others.
 
-        Each node reported to all others. To limit the cost of the datagrams it did so
-        only every 350 ms, and before the next report other nodes had sent five requests
-        to the same replica. Through two aggregators a load is at most 200 ms old.
+        Each of 87 nodes reported to all others. To limit the cost of the datagrams, it
+        did so only every 350 ms, and before the next report other nodes had sent five
+        requests to the same replica. Through two aggregators a load is at most 200 ms
+        old.
         """
         network = _Network(6)
         network.step(4)
@@ -150,9 +151,10 @@
         self.assertEqual({network.received(n, "r0") for n in network.node_by_name}, {0})
 
     def test_a_crashed_aggregator_is_replaced(self):
-        """Symptom: after one VM lost power its domain's nodes overload a few replicas.
+        """Guards against a domain that overloads a few replicas after a VM lost power.
 
-        All of them reported to the failed aggregator, whose row is still in the table.
+        All nodes of the domain reported to the failed aggregator, whose row is still in
+        the table.
         """
         network = _Network(6)
         network.step(20)
@@ -176,7 +178,7 @@
         )
 
     def test_a_node_that_changes_its_aggregator_counts_once(self):
-        """Symptom: replicas are avoided for two seconds after a lost datagram.
+        """Guards against avoiding replicas for two seconds after a lost datagram.
 
         A node considered its aggregator silent for a moment and reported to the next
         one. When it reported to the first one again, it was in the sums of both.
@@ -218,7 +220,7 @@
         self.assertLess(sent[1], 2.5 * sent[0])
 
     def test_sums_are_published_less_often_on_a_narrow_link(self):
-        """Symptom: calls between nodes time out, and load reports are late.
+        """Guards against timeouts of calls between nodes, and late load reports.
 
         The sums that a domain's aggregator published filled its link.
         """
@@ -235,7 +237,7 @@
         self.assertLess(sent[1], sent[0] / 2)
 
     def test_a_node_receives_one_total_however_many_domains_there_are(self):
-        """Symptom: 195 nodes spend most of their CPU time on each other's load reports.
+        """Guards against 195 nodes spending most of their CPU time on load reports.
 
         Each sum of each of five domains was forwarded to every node at once, some two
         hundred datagrams a second.
@@ -262,10 +264,10 @@
         self.assertLessEqual(max(received_count[n.member.name] for n in followers), 14)
 
     def test_nodes_that_use_different_aggregators_are_all_counted_once(self):
-        """Symptom: half of a domain's nodes do not know the requests of the other half.
+        """Guards against one half of a domain not knowing the other half's requests.
 
-        Some of its nodes considered the first aggregator silent and reported to the
-        second one.
+        Some nodes of the domain considered the first aggregator silent and reported to
+        the second one.
         """
         network = _Network(6)
         network.step(20)
@@ -296,10 +298,11 @@
         self.assertEqual(network.received("c2", "r0"), 2)
 
     def test_memory_of_late_requests_is_reported(self):
-        """Symptom: after a burst a replica preempts running requests.
+        """Guards against a replica that preempts running requests after a burst.
 
-        Late requests that wait there are not counted as in flight. Therefore their
-        memory was not reported, and other nodes sent more than the memory has room for.
+        Late requests that wait at the replica are not counted as in flight. Therefore
+        their memory was not reported, and other nodes sent more than the memory has
+        room for.
         """
         network = _Network(3)
         state = network.node_by_name["a0"].directory.find("r0")
--- a/tests/replicas/test_older_snapshot.py
+++ b/tests/replicas/test_older_snapshot.py
@@ -45,7 +45,7 @@
         self.assertEqual(self.names(), ["r2"])
 
     def test_a_removed_replica_that_renews_its_entry_is_listed_again(self):
-        """Guards against a replica without requests after a restore of the store."""
+        """Guards against a replica that gets no requests after a restore."""
         self.change(removed=["r1"])
         self.restore(100, entry("r1"), entry("r2"))
         self.directory.expire(6_100)
--- a/tests/replicas/test_rate_limits.py
+++ b/tests/replicas/test_rate_limits.py
@@ -180,7 +180,10 @@
         self.assertIsNone(self.limit.per_second)
 
     def test_an_answer_to_an_older_request_does_not_end_the_limit(self):
-        """Guards against a long answer that began before the limit was reported."""
+        """Guards against a limit that a long answer ends.
+
+        The answer began before the limit was reported.
+        """
         self.limit.on_limit_named(200, 4.0)
         self.assertFalse(self.limit.on_no_limit(400, 150))
         self.assertEqual(self.limit.per_second, 4.0)
--- a/tests/replicas/test_state.py
+++ b/tests/replicas/test_state.py
@@ -16,12 +16,12 @@
         self.assertEqual(self.state.possible_weights(), {("m", 2)})
 
     def test_an_estimated_version_does_not_exclude_the_listed_one(self):
-        """Symptom: a fetch reads memory that was freed in the meantime.
+        """Guards against fetching memory that was freed in the meantime.
 
-        A replica rejected a request for the first version without saying which
-        version it has. The second and third versions had been announced, and this
-        node assumed the third. In fact the replica had the second version, whose
-        blocks other nodes still fetched for it.
+        A replica rejected a request for the first version without saying which version
+        it has. The second and third versions had been announced, and this node assumed
+        the third. In fact the replica had the second version, whose blocks other nodes
+        still fetched for it.
         """
         self.state.update_entry(entry("r1", version=2))
         self.state.version_by_model["m"] = 3
