--- a/tests/bundles/test_store.py
+++ b/tests/bundles/test_store.py
@@ -133,7 +133,7 @@
         return commit
 
     async def test_repeated_submission_of_an_accepted_bundle_is_committed(self):
-        """Guards against an operator who loses a race against the own change.
+        """Guards against an operator who loses a race against their own change.
 
         The bundle is accepted, the process crashes before it reports that, and the
         operator runs submit again. The digest must be compared, not only the number.
