--- a/tests/notices/test_task.py
+++ b/tests/notices/test_task.py
@@ -97,7 +97,10 @@
         self.assertIsNone(self.limit(self.second))
 
     async def test_only_an_answer_that_the_replica_signed_ends_a_limit(self):
-        """Guards against a rejection or a foreign answer without the header."""
+        """Guards against a limit that a rejection or a foreign answer ends.
+
+        Such an answer does not contain the header with the limit.
+        """
         self.answer(SIGNED, ("server-limit", "3.5"))
         await self.clock.advance_ms(10)
         self.answer(("x-not-executed", "1"), status=503)
@@ -117,7 +120,10 @@
         self.assertEqual(self.limit(self.first), 2.0)
 
     async def test_an_answer_after_the_entry_was_removed_counts(self):
-        """Guards against a long stream from a replica whose entry expired meanwhile."""
+        """Guards against ignoring a long stream of a replica that is no longer listed.
+
+        The entry of the replica expired during the stream.
+        """
         directory, task, _ = self.first
         before = directory.find("r1")
         directory.on_full_read(0, [], after_outage=False)
@@ -144,7 +150,10 @@
         self.assertIsNone(self.limit(self.second))
 
     async def test_a_limit_is_resent_to_other_nodes(self):
-        """Guards against lost datagrams, and nodes that started or were unreachable."""
+        """Guards against a node that never receives a limit.
+
+        The datagram was lost, or the node started or was unreachable at that time.
+        """
         self.answer(SIGNED, ("server-limit", "3.5"))
         await self.clock.advance_ms(30)
         self.first[2].sent.clear()
