--- a/tests/weights/test_incarnations.py
+++ b/tests/weights/test_incarnations.py
@@ -58,8 +58,9 @@
     async def test_a_later_incarnation_gets_no_order_for_the_former(self):
         """Guards against a replica that loads twice, or loads the version it has.
 
-        It restarted between the plan and the order. Its count of orders started at
-        zero again, so that the order had the number that it expected.
+        The replica restarted between the plan and the order. Its count of orders
+        started at zero again, so that the order had the number that the replica
+        expected.
         """
         self.api.started_ms = 2_000
         await self.task._load(self.order)
