--- a/tests/quarantine/test_suspects.py
+++ b/tests/quarantine/test_suspects.py
@@ -30,9 +30,8 @@
     def test_the_third_crash_holds_a_request(self):
         """Guards against one request that crashes replica after replica.
 
-        The request is repeated under new ids, and each time it is sent to another
-        replica. Other requests were in flight at the same time, each at one of the
-        crashes.
+        The request is repeated under new ids and sent to a replica each time. Other
+        requests were in flight at the same time, each at one of the crashes.
         """
         for start in (1, 2, 3):
             self.crash(start, "deadly", f"beside-{start}")
