--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -76,10 +76,9 @@
         self.assertTrue(service.kv_store.never_evicts)
 
     def test_every_number_may_have_a_fraction(self):
-        """Symptom: a configuration with a calculated limit was never applied.
+        """Guards against a configuration with a calculated limit that is never applied.
 
-        Cause: some fields accepted only integers. Versions are identifiers and stay
-        integers.
+        Some fields accepted only integers. Versions are identifiers and stay integers.
         """
         raw = json.loads(json.dumps(CONFIGURATION))
         for where in number_paths(raw):
@@ -90,7 +89,7 @@
                 self.assertIsNotNone(decode_configuration(text.encode()))
 
     def test_shares_below_one_are_not_rounded_to_zero(self):
-        """Symptom: a route split 0.5 to 0.5 sent all its requests to one service."""
+        """Guards against a 0.5 to 0.5 split that sends all requests to one service."""
         shares = [{"service": "a", "weight": 0.5}, {"service": "b", "weight": 0.5}]
         route = {**CONFIGURATION["routes"][1], "traffic-split": shares}
         found = self.decode(routes=[route]).routes[0].shares
@@ -121,10 +120,10 @@
         self.assertEqual(len(incarnation_ids), 3)
 
     def test_entries_with_invalid_fields_are_rejected(self):
-        """Symptom: requests go to an address that no replica ever had.
+        """Guards against requests to an address that no replica ever had.
 
-        Cause: a malformed entry of another writer, without a state or with an unknown
-        one, counted as a ready replica.
+        Another writer wrote a malformed entry, without a state or with an unknown one,
+        and the entry counted as a ready replica.
         """
         wrong = [
             {"state": "waking"},
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -53,10 +53,10 @@
         self.assertIsInstance(rejected, NotRun)
 
     def test_a_caller_cannot_set_the_headers_of_the_system(self):
-        """Symptom: a caller reads another account's KV cache or acts as that account.
+        """Guards against a caller that uses another account or reads its KV cache.
 
-        Cause: the caller sends a header that only this system may set, and the
-        replica obeys it.
+        The caller sends a header that only this system may set, and the replica obeys
+        the header.
         """
         names = (
             "X-Tenant",
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -55,10 +55,10 @@
             self.load(text)
 
     def test_every_number_may_have_a_fraction(self):
-        """Symptom: no process of a deployment started.
+        """Guards against a deployment in which no process starts.
 
-        Its bounds are calculated from ratios, so a bound that is an integer in other
-        deployments was 35.8. Cause: some fields accepted only integers.
+        Some fields accepted only integers. The deployment's bounds were calculated from
+        ratios, so a bound that is an integer in other deployments was 35.8.
         """
         raw = json.loads(settings_text("10.0.0.1:80", (1, 2, 3)))
         raw["bounds"] |= dict.fromkeys(BOUNDS, 1)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -69,11 +69,11 @@
         self.assertEqual(self.store.value("t", "k"), b"v")
 
     async def test_a_call_times_out_and_the_next_opens_a_new_connection(self):
-        """Symptom: a node keeps an old configuration although the store is available.
+        """Guards against an old configuration while the store is available.
 
-        Cause: a connection went silent permanently. Calls that continue to use it,
-        or other connections that were idle at that time, hang one after the other
-        until they time out.
+        A connection of the node to the store became silent permanently. Calls that
+        continue to use this connection, or other connections that were idle at that
+        time, hang one after the other until they time out.
         """
         await asyncio.gather(*(self.client.rows("t") for _ in range(3)))
         self.store.behavior = StoreBehavior.SILENT
