--- a/tests/http1/test_connection.py
+++ b/tests/http1/test_connection.py
@@ -122,10 +122,10 @@
         self.assertEqual(events[1:], [BodyPart(b"abc"), End()])
 
     async def test_a_reset_breaks_a_response_without_a_length(self):
-        """Symptom: a caller gets half of a response as a complete one.
+        """Guards against forwarding half of a response as a complete one.
 
         A replica that sends no length crashes during its response. Only a clean close
-        marks the end of such a response, a reset does not.
+        marks the end of such a response; a reset does not.
         """
         address = await self.serve(
             b"HTTP/1.1 200 OK\r\n\r\nabc", keep=False, reset=True
@@ -144,10 +144,11 @@
         self.assertIsInstance(events[-1], Broken)
 
     async def test_a_late_second_response_is_not_delivered(self):
-        """Symptom: a caller gets the response to another request.
+        """Guards against forwarding the response to another request.
 
         A replica sends a second response after a complete one, when the connection is
-        already idle. The next request on it would get those bytes as its response.
+        already idle. The next request on this connection would get those bytes as its
+        response.
         """
         response = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
         address = await self.serve(
@@ -192,9 +193,10 @@
         self.assertIsInstance(result, NotConnected)
 
     async def test_a_connection_idle_beyond_its_keep_alive_is_not_reused(self):
-        """Symptom: a non-idempotent request fails although the replica works.
+        """Guards against a non-idempotent request that fails although the replica works.
 
-        The replica closes an idle connection just as the request is sent on it.
+        The replica closes an idle connection just as the node sends the request on this
+        connection.
         """
         response = (
             b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 0\r\n\r\n"
