--- a/tests/connections/test_watch.py
+++ b/tests/connections/test_watch.py
@@ -54,10 +54,10 @@
         self.assertEqual(await task, (True, 59))
 
     async def test_a_cancelled_task_does_not_count_as_timed_out(self):
-        """Symptom: a run that was stopped continued without a reader.
+        """Guards against a stopped run that continues without a reader.
 
-        Cause: its connection reached the silence limit when its task was cancelled,
-        and the cancellation counted as the one by the timeout.
+        The run's connection reached the silence limit when its task was cancelled, and
+        the cancellation counted as the one by the timeout.
         """
         clock = ManualClock()
 
