--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -58,7 +58,7 @@
     def test_unknown_routes_and_keys_are_rejected_for_good_only_if_confirmed_recently(
         self,
     ):
-        """Symptom: a caller of a route that was just added gets a final 404.
+        """Guards against a final 404 for a route that was just added.
 
         The node has been unable to reach the store since before the route was added.
         """
@@ -69,9 +69,10 @@
             self.assertGreater(rejected.retry_after_ms, 0)
 
     def test_a_node_that_cannot_reach_the_store_accepts_no_keys(self):
-        """Symptom: requests with a withdrawn key run long after its withdrawal.
+        """Guards against requests with a withdrawn key that run long after its withdrawal.
 
-        The node does not receive the withdrawal, because the store does not answer it.
+        The node does not receive the withdrawal, because the store does not respond to
+        the node.
         """
         self.assertIsInstance(self.decide(4_500), Allowed)
         self.assertEqual(self.decide(4_600).reason, Reason.PLATFORM_AWAY)
