--- a/tests/rendezvous/test_rank.py
+++ b/tests/rendezvous/test_rank.py
@@ -7,10 +7,10 @@
 
 class RendezvousRankTests(unittest.TestCase):
     def test_ranks_are_the_same_in_all_versions(self):
-        """Symptom: in an upgrade two nodes poll one replica, and no node polls another.
+        """Guards against an upgrade in which no node polls some replicas.
 
-        Nodes of two versions run at the same time, and the versions compute different
-        ranks.
+        Nodes of two versions run at the same time. If the versions compute different
+        ranks, two nodes poll one replica, and no node polls another.
         """
         self.assertEqual(rendezvous_rank("key", "a"), RANK_OF_KEY_A)
 
