--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -62,14 +62,14 @@
         self.assertEqual(self.store.value("t", "k"), b"1")
 
     async def test_a_write_checked_in_another_era_is_uncertain(self):
-        """Guards against trusting a write before the client knows of the restore."""
+        """Guards against trusting a write before the client detects the restore."""
         read = await self.position()
         await self.restore()
         self.assertIsInstance(await self.write(read), Uncertain)
         self.assertEqual(self.client.eras.latest, 2)
 
     async def test_a_write_answered_after_a_response_of_a_newer_era_is_uncertain(self):
-        """Guards against trusting a write that the store has lost since then."""
+        """Guards against trusting a write that the store lost in a restore."""
         read = await self.position()
         transact = self.store._transact
 
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -53,7 +53,7 @@
         self.assertIsInstance(rejected, NotRun)
 
     def test_a_caller_cannot_set_the_headers_of_the_system(self):
-        """Guards against a caller that uses another account or reads its KV cache.
+        """Guards against a caller that acts as another account or reads its KV cache.
 
         The caller sends a header that only this system may set, and the replica obeys
         the header.
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -69,7 +69,7 @@
             self.assertGreater(rejected.retry_after_ms, 0)
 
     def test_a_node_that_cannot_reach_the_store_accepts_no_keys(self):
-        """Guards against requests with a withdrawn key that run long after its withdrawal.
+        """Guards against requests that run long after their key was withdrawn.
 
         The node does not receive the withdrawal, because the store does not respond to
         the node.
