--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -1,17 +1,17 @@
-"""A request that crashes replicas must not be sent to one replica after the other.
+"""Guards against a request that crashes one replica after the other.
 
-Symptom: seven replicas crashed within ten seconds, one after the other, and each crash
-cut some ten requests of other callers.
+One caller's request crashed every replica that began to run it. Seven replicas crashed
+within ten seconds, one after the other, and each crash cut some ten requests of other
+callers.
 
-Cause: one caller's request crashed every replica that began to run it. The caller got
-the outcome "unknown" and sent the request again, with a new id and to another node. No
-node recorded which requests were in flight when a replica crashed, and each id was
-new, so each time the request was sent to the next replica. It was sent four more times
-after its third crash.
+The caller got the outcome "unknown" and sent the request again, with a new id and to
+another node. No node recorded which requests were in flight when a replica crashed, and
+each id was new, so each time the request was sent to the next replica. After its third
+crash the request was sent four more times.
 
-The nodes' logs showed it: each crash had cut a request of the same account and route,
-each with ``sends`` 1 and its own id. A crashed replica refuses connections at once, and
-its entry is removed 2.7 s later.
+The nodes' logs showed the cause: each crash had cut a request of the same account and
+route, each with ``sends`` 1 and its own id. A crashed replica refuses connections at
+once, and its entry is removed 2.7 s later.
 """
 
 import asyncio
@@ -103,10 +103,10 @@
         return len(json.loads(value)["ends"]) if value else 0
 
     async def test_restarted_nodes_still_reject_it(self):
-        """Symptom: after a loss of power the same request crashes replicas again.
+        """Guards against a request that crashes replicas again after a loss of power.
 
-        The request was in quarantine when all processes lost power. The restarted
-        nodes have only the state that the platform's store kept.
+        The request was in quarantine when all processes lost power. The restarted nodes
+        have only the state that the platform's store kept.
         """
         for number in range(4):
             await self.fetch_at(
@@ -137,10 +137,11 @@
         self.assertEqual(len(self.crashed), before)
 
     async def test_nodes_that_cannot_reach_each_other_reject_it(self):
-        """Symptom: a network partition between nodes lets each crash three replicas.
+        """Guards against three crashed replicas for each node in a network partition.
 
-        No announcement arrived, and each node counted only its own crashes. From the
-        second crash on they are in the table that all nodes read.
+        No announcement of a crash arrived, and each node counted only the crashes that
+        it had observed itself. From the second crash of a request on, its crashes are
+        in the table that all nodes read.
         """
         for node in self.nodes:
             node._quarantine._announcer._link = None
@@ -151,7 +152,7 @@
         self.assertEqual(statuses[-1], 503)
 
     async def test_broken_connections_without_a_crash_quarantine_nothing(self):
-        """Symptom: a harmless request was rejected although no replica had crashed."""
+        """Guards against a harmless request that is rejected without any crash."""
         for number in range(9):
             for replica in self.plain:
                 replica.behaviors = [ReplicaBehavior.RESETS]
@@ -165,7 +166,7 @@
         self.assertEqual(status, 200)
 
     async def test_a_planned_stop_of_a_replica_is_not_a_crash(self):
-        """Symptom: a request was rejected because releases had cut it three times."""
+        """Guards against rejecting a request because releases cut it three times."""
         for number in range(4):
             leaving = self.plain[0]
             leaving.behaviors = [ReplicaBehavior.SILENT]
--- a/tests/fleet/test_end_to_end.py
+++ b/tests/fleet/test_end_to_end.py
@@ -39,7 +39,7 @@
         self.assertEqual(bodies, [b"abcd", b"x" * 900])
 
     async def test_a_non_idempotent_request_is_not_retried_after_a_reset(self):
-        """Symptom: a record is written twice.
+        """Guards against a record that is written twice.
 
         The replica runs the request, and its connection breaks before the response.
         Sending the request to the other replica would run it again.
@@ -63,7 +63,7 @@
             self.assertEqual(statuses, {200}, behavior)
 
     async def test_the_log_shows_the_status_and_who_created_it(self):
-        """Symptom: callers report status 500, but no log line shows it.
+        """Guards against a status 500 that callers report but no log line shows.
 
         Both replicas fail. The caller gets the second replica's own response, so the
         request counts as answered.
@@ -84,7 +84,7 @@
         self.assertEqual((fields["status"], fields["made_by"]), (status, "node"))
 
     async def test_a_response_to_another_request_is_not_forwarded(self):
-        """Symptom: a caller gets the response to another caller's request.
+        """Guards against forwarding the response to another caller's request.
 
         A replica's late response arrives where the next response is expected.
         """
@@ -119,10 +119,10 @@
         self.assertEqual(self.run_count(self.plain), 0)
 
     async def test_a_503_without_a_not_executed_header_is_not_forwarded(self):
-        """Symptom: a caller repeats a request that has run.
+        """Guards against a caller that repeats a request that has run.
 
         The replica responds with 503, but without the header that it has not run the
-        request. For a caller, a forwarded 503 would mean that it has not run.
+        request. For a caller, a forwarded 503 would mean that the request has not run.
         """
         for method, path in (("POST", "/w/x"), ("GET", "/r/x")):
             self.set_behaviors(
@@ -173,10 +173,11 @@
         self.assertEqual(len(self.plain[0].executed_requests), 0)
 
     async def test_an_address_reused_by_another_replica(self):
-        """Symptom: a request runs at a service that is not in its route.
+        """Guards against a request that runs at a service that is not in its route.
 
-        A replica has exited and another one uses its address, but the list doesn't show
-        it yet. The other replica doesn't run requests that are meant for the first one.
+        A replica has exited and another one uses its address, but the list of replicas
+        doesn't show the change yet. The other replica doesn't run requests that are
+        meant for the first one.
         """
         self.plain[0].incarnation = "other"
         statuses = {(await self.fetch("POST", "/w/x", data=b"1"))[0] for _ in range(4)}
@@ -202,7 +203,7 @@
         self.assertEqual(headers["Content-Type"], "text/event-stream")
 
     async def test_a_cut_stream_resumes_at_the_other_replica_without_a_gap(self):
-        """Symptom: a part of a response is missing or is sent twice.
+        """Guards against a part of a response that is missing or sent twice.
 
         A replica stops in the middle of an event, and another one resumes the stream.
         """
@@ -228,7 +229,7 @@
         self.assertEqual(self.run_count(self.engines), 1)
 
     async def test_the_replica_stops_when_a_caller_disconnects(self):
-        """Symptom: replicas work on responses for callers that have disconnected."""
+        """Guards against replicas that work for callers that have disconnected."""
         for engine in self.engines:
             engine._pause_s, engine._events = 0.02, 10_000
         async with self.request("POST", "/s/x", headers=STREAM) as response:
@@ -255,7 +256,7 @@
         self.assertEqual(sent.headers["x-cache-salt"], "m~1")
 
     async def test_with_many_nodes_each_lets_few_late_requests_wait(self):
-        """Symptom: in a burst, late requests fill the queues of all replicas.
+        """Guards against late requests that fill all replicas' queues in a burst.
 
         Each node let as many requests wait as if it were the only node.
         """
@@ -277,9 +278,10 @@
         self.assertEqual(poll_interval_ms(), 123.0)
 
     async def test_a_restarted_replica_is_a_new_incarnation(self):
-        """Symptom: a replica that crashed and restarted gets no requests for seconds.
+        """Guards against a restarted replica that gets no requests for seconds.
 
-        Only the start time in its entry had changed.
+        The replica had crashed, and after its restart only the start time in its entry
+        had changed.
         """
         engine = self.engines[0]
         state = self.node._directory.find(engine.incarnation)
@@ -291,7 +293,7 @@
         self.assertFalse(find(engine.incarnation).is_suspect(0))
 
     async def test_malformed_entries_do_no_harm(self):
-        """Symptom: after a stray write all nodes exit, or requests are lost."""
+        """Guards against nodes that exit or lose requests after a stray write."""
         directory = self.node._directory
         overwritten = self.engines[0].incarnation
         for key, value in (
--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -41,10 +41,11 @@
         return {status for status, _, _ in responses}
 
     async def test_an_evacuated_domain_gets_no_requests_until_its_row_is_removed(self):
-        """Symptom: requests still reached a failure domain that was being evacuated.
+        """Guards against requests to a failure domain that is being evacuated.
 
         The operator writes a row for the domain. No node read such rows, so its
-        replicas were chosen as before, and the requests there were lost with them.
+        replicas were chosen as before, and the requests there were lost with the
+        replicas.
         """
         await self.start_ready()
         await self.evacuate("b")
@@ -59,10 +60,11 @@
         await self.assert_used(self.plain[1], full=self.plain[0])
 
     async def test_a_retry_is_not_sent_to_an_evacuated_domain(self):
-        """Symptom: only retries reached the evacuated failure domain.
+        """Guards against retries that still reach an evacuated failure domain.
 
-        The one remaining replica fails. A retry follows, and the replica in the
-        evacuated domain is the only one that has not been tried.
+        First attempts avoid the domain. The one remaining replica fails, a retry
+        follows, and the replica in the evacuated domain is the only one that has not
+        been tried.
         """
         await self.start_ready()
         await self.evacuate("b")
@@ -71,7 +73,7 @@
         self.assertEqual(self.run_count(self.plain[1:]), 0)
 
     async def test_a_broken_stream_does_not_resume_in_an_evacuated_domain(self):
-        """Symptom: streams that a replica cut resumed in the evacuated domain."""
+        """Guards against cut streams that resume in the evacuated domain."""
         await self.start_ready()
         await self.evacuate("b")
         self.engines[0].behaviors = [ReplicaBehavior.TRUNCATES_STREAM] * 3
@@ -85,7 +87,7 @@
         self.assertEqual(self.run_count(self.engines[1:]), 0)
 
     async def test_a_stream_in_flight_in_an_evacuated_domain_completes(self):
-        """Symptom: callers lost streams that the evacuated domain was still serving."""
+        """Guards against losing streams that the evacuated domain still serves."""
         await self.start_ready()
         await self.evacuate("a")
         self.engines[1]._pause_s = 0.1
@@ -97,7 +99,7 @@
         self.assertIn(b"id: 4", rest)
 
     async def test_with_all_domains_evacuated_requests_are_rejected_at_once(self):
-        """Symptom: callers waited for their deadline, but no replica was usable."""
+        """Guards against callers that wait until their deadline without a replica."""
         await self.start_ready()
         await self.evacuate("a", "b")
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
@@ -108,7 +110,7 @@
         self.assertEqual(self.run_count(self.plain), 0)
 
     async def test_a_node_applies_an_evacuation_before_it_serves(self):
-        """Symptom: for its first moments a restarted node used an evacuated domain."""
+        """Guards against a restarted node that first uses an evacuated domain."""
         self.operator.evacuate("b")
         await self.start_ready()
         self.plain[0].behaviors = [ReplicaBehavior.FULL] * 40
@@ -116,7 +118,7 @@
         self.assertEqual(self.run_count(self.plain[1:]), 0)
 
     async def test_an_evacuation_stays_in_force_without_the_store(self):
-        """Symptom: the evacuated domain was used while the store was unavailable."""
+        """Guards against using the evacuated domain while the store is unavailable."""
         await self.start_ready()
         await self.evacuate("b")
         self.store.behavior = StoreBehavior.BUSY
@@ -125,7 +127,7 @@
         self.assertEqual(self.run_count(self.plain[1:]), 0)
 
     async def test_an_evacuation_withdrawn_in_a_lost_history_ends(self):
-        """Symptom: a domain stayed evacuated permanently.
+        """Guards against a domain that stays evacuated permanently.
 
         The row was removed while the node could not follow the table, and the store
         dropped its history. The node then read a snapshot without the row.
@@ -137,7 +139,7 @@
         await self.until(lambda: not self.evacuated)
 
     async def test_rows_without_a_known_domain_do_no_harm(self):
-        """Symptom: a node exited because it could not decode a row of the operator."""
+        """Guards against a node that exits because of a malformed operator row."""
         await self.start_ready()
         with self.assertLogs("fireflyward.views", "ERROR") as logged:
             self.operator.evacuate("b", b"\xff[")
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -1,4 +1,4 @@
-"""The table of nodes is read at its pace, and without delay on request."""
+"""The table of nodes is polled at its usual pace, and without delay on request."""
 
 import asyncio
 import types
@@ -71,10 +71,10 @@
             await self.joining.link.stop()
 
     async def test_a_requested_poll_skips_the_pause(self):
-        """Symptom: a node without a connection to its peers crashes several replicas.
+        """Guards against an isolated node at which a request crashes several replicas.
 
-        It had observed a crash itself, but read what its peers had written about the
-        same request only seconds later.
+        The node had no connection to its peers. It had observed a crash itself, but
+        read only seconds later what its peers had written about the same request.
         """
         before = self.tables.call_count
         await self.clock.advance_ms(10)
--- a/tests/fleet/test_light_imports.py
+++ b/tests/fleet/test_light_imports.py
@@ -24,7 +24,7 @@
         self.modules = set(modules.split())
 
     def test_a_node_loads_neither_thrift_parsers_nor_unused_clients(self):
-        """Symptom: 195 nodes needed 16 s to be ready after a loss of power.
+        """Guards against 195 nodes that need 16 s to be ready after a loss of power.
 
         At its start each node parsed the Thrift definitions, read the VM's certificate
         authorities and imported clients that no node of a fleet uses.
--- a/tests/fleet/test_logs.py
+++ b/tests/fleet/test_logs.py
@@ -46,7 +46,7 @@
         self.assertEqual(lines[-1]["dropped_before"], 100 - (len(lines) - 1))
 
     def test_a_slow_reader_does_not_block_the_process(self):
-        """Symptom: requests wait while no process reads the log.
+        """Guards against requests that wait while no process reads the log.
 
         The pipe is full, and a blocking write stops the event loop.
         """
--- a/tests/fleet/test_paces.py
+++ b/tests/fleet/test_paces.py
@@ -13,11 +13,11 @@
         self.assertLess(own.wait_ms, theirs.wait_ms)
 
     def test_one_lost_response_still_fits_into_the_drain_time(self):
-        """Symptom: a replica gets requests after it has announced that it is leaving.
+        """Guards against requests to a replica that has announced that it is leaving.
 
-        The announcement ends the wait at the root, at the aggregator and at the node,
-        and each adds its pause. At one of the three a connection has become silent,
-        so its wait and the feed's limit for a call's overhead pass first.
+        The announcement ends the waiting poll at the root, at the aggregator and at the
+        node, and each adds its pause. At one of the three a connection has become
+        silent, so its wait and the feed's limit for a call's overhead pass first.
         """
         for drain_ms in (2_000, 3_000, 4_000):
             for is_shared, serves_other_nodes in ((True, True), (True, False)):
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -49,9 +49,9 @@
         self.assertEqual(len(self.first(rows, 3)), 3)
 
     def test_the_fastest_links_come_first(self):
-        """Symptom: orders to load weights time out at the node that sends them.
+        """Guards against orders to load weights that time out at the sending node.
 
-        Its link had 10 Mbit/s, a twentieth of another node's.
+        The node's link had 10 Mbit/s, a twentieth of another node's.
         """
         rows = {f"n{i}": NodeRow("10.0.0.1", i, "a", 10) for i in range(9)}
         rows |= {f"w{i}": NodeRow("10.0.0.2", i, "a", 200) for i in range(2)}
@@ -71,9 +71,10 @@
         self.assertEqual(msgspec.json.decode(puts["node/n0"], type=NodeRow), self.own)
 
     async def test_a_written_row_is_not_written_again_before_it_appears(self):
-        """Symptom: every node of a starting fleet writes its row twice.
+        """Guards against a starting fleet whose nodes all write their rows twice.
 
-        Its next read was older than its write, so the row seemed to be missing.
+        The next read of a node was older than its write, so its row seemed to be
+        missing.
         """
         registry = make_registry("n0", [KEY], own=self.own, store=self.store)
         for now_ms in (0, 300, 1_999):
@@ -90,7 +91,7 @@
         self.assertTrue(registry.is_complete)
 
     async def test_one_of_the_nodes_that_start_together_creates_the_key(self):
-        """Symptom: the first start of 195 nodes keeps the store busy for two seconds.
+        """Guards against a first start of 195 nodes that keeps the store busy for 2 s.
 
         Each node wrote a key, and the store handles writes to one part sequentially.
         """
@@ -115,7 +116,7 @@
 
 class MalformedRowTests(unittest.IsolatedAsyncioTestCase):
     async def test_malformed_rows_are_ignored(self):
-        """Symptom: all processes exit repeatedly.
+        """Guards against processes that all exit repeatedly.
 
         A row of the table of nodes could not be decoded. This raised an exception in a
         task without which a process exits.
@@ -138,9 +139,10 @@
         self.assertEqual(registry.others(), [])
 
     async def test_a_key_that_no_node_created_is_replaced(self):
-        """Symptom: any process that can write the table can impersonate every node.
+        """Guards against a process that impersonates nodes by writing to the table.
 
-        An empty key seals nothing, but was accepted like any other.
+        An empty key seals nothing, but was accepted like any other. Any process that
+        can write the table could then impersonate every node.
         """
         store = _Store()
         own = NodeRow("10.0.0.1", 1, "a", 100)
--- a/tests/fleet/test_start_and_stop.py
+++ b/tests/fleet/test_start_and_stop.py
@@ -41,10 +41,10 @@
         self.assertEqual(await self.readiness(), 200)
 
     async def test_an_early_request_waits_for_the_configuration(self):
-        """Symptom: after a loss of power, node after node rejected callers' requests.
+        """Guards against nodes that reject callers' requests after a loss of power.
 
-        Each node listened before it had read its tables and rejected the requests that
-        arrived, so callers used up their one retry.
+        Node after node listened before it had read its tables and rejected the requests
+        that arrived, so callers used up their one retry.
         """
         self.store.behavior = StoreBehavior.BUSY
         await self.node.start()
@@ -66,11 +66,11 @@
             await asyncio.sleep(0.05)
 
     async def test_a_planned_stop_cuts_no_request(self):
-        """Symptom: a planned restart loses requests.
+        """Guards against a planned restart that loses requests.
 
         A stream runs when SIGTERM arrives, and another caller has an idle connection
-        that it could use again. The stream is completed, the idle connection is closed
-        before a request is sent on it, and new connections are refused.
+        that it could use again. The node completes the stream, closes the idle
+        connection before a request is sent on it, and refuses new connections.
         """
         await self.start_ready()
         for engine in self.engines:
--- a/tests/fleet/test_start_gate.py
+++ b/tests/fleet/test_start_gate.py
@@ -21,7 +21,7 @@
         self.assertTrue(waiting.done())
 
     async def test_requests_wait_no_longer_than_the_limit(self):
-        """Symptom: callers waited at a node that could not reach the store."""
+        """Guards against callers that wait at a node that cannot reach the store."""
         waiting = asyncio.create_task(self.gate.wait_until_open())
         await self.clock.advance_ms(499)
         self.assertFalse(waiting.done())
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -46,7 +46,7 @@
         self.assertEqual(self.apply(removed, is_snapshot=False), {"b"})
 
     def test_a_snapshot_without_the_row_ends_the_evacuation(self):
-        """Symptom: a failure domain stayed evacuated permanently.
+        """Guards against a failure domain that stays evacuated permanently.
 
         The row was removed while the store lost its history, so no change showed the
         removal, only the next full read.
