--- a/tests/http1/test_connection.py
+++ b/tests/http1/test_connection.py
@@ -193,7 +193,7 @@
         self.assertIsInstance(result, NotConnected)
 
     async def test_a_connection_idle_beyond_its_keep_alive_is_not_reused(self):
-        """Guards against a failed non-idempotent request although the replica works.
+        """Guards against failed non-idempotent requests to a working replica.
 
         The replica closes an idle connection just as the node sends the request on this
         connection.
