--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -69,7 +69,7 @@
         self.assertEqual(self.store.value("t", "k"), b"v")
 
     async def test_a_call_times_out_and_the_next_opens_a_new_connection(self):
-        """Guards against a node with an old configuration while the store is available.
+        """Guards against an outdated configuration at a node despite a working store.
 
         A connection of the node to the store became silent permanently. Calls that
         continue to use this connection, or other connections that were idle at that
