--- a/tests/fleet/node_fixtures.py
+++ b/tests/fleet/node_fixtures.py
@@ -32,7 +32,7 @@
 class NodeTestCase(unittest.IsolatedAsyncioTestCase):
     """Starts one node with two plain replicas and two engines.
 
-    ``balancer_notice_ms`` is for how long a stopping node continues to listen.
+    A stopping node continues to listen for ``balancer_notice_ms``.
     """
 
     balancer_notice_ms = 50
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -152,7 +152,7 @@
         self.assertEqual(statuses[-1], 503)
 
     async def test_broken_connections_without_a_crash_quarantine_nothing(self):
-        """Guards against a harmless request that is rejected without any crash."""
+        """Guards against rejecting a harmless request although no replica crashed."""
         for number in range(9):
             for replica in self.plain:
                 replica.behaviors = [ReplicaBehavior.RESETS]
--- a/tests/fleet/test_evacuation.py
+++ b/tests/fleet/test_evacuation.py
@@ -99,7 +99,7 @@
         self.assertIn(b"id: 4", rest)
 
     async def test_with_all_domains_evacuated_requests_are_rejected_at_once(self):
-        """Guards against callers that wait until their deadline without a replica."""
+        """Guards against callers waiting for a deadline while no replica is usable."""
         await self.start_ready()
         await self.evacuate("a", "b")
         for method, path in (("GET", "/r/x"), ("POST", "/w/x")):
@@ -110,7 +110,7 @@
         self.assertEqual(self.run_count(self.plain), 0)
 
     async def test_a_node_applies_an_evacuation_before_it_serves(self):
-        """Guards against a restarted node that first uses an evacuated domain."""
+        """Guards against a restarted node that briefly uses an evacuated domain."""
         self.operator.evacuate("b")
         await self.start_ready()
         self.plain[0].behaviors = [ReplicaBehavior.FULL] * 40
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -16,7 +16,7 @@
 
 
 class _Tables:
-    """Responds at once, and counts the calls."""
+    """A source of tables that responds at once and counts the calls."""
 
     def __init__(self):
         self.call_count = 0
@@ -35,7 +35,7 @@
 
 
 class _Registry(NodeRegistry):
-    """Writes nothing."""
+    """A registry that writes nothing."""
 
     async def write_missing(self, now_ms):
         pass
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -17,7 +17,7 @@
 
 
 class _Store:
-    """Accepts and records every write."""
+    """A store that accepts and records every write."""
 
     def __init__(self):
         self.writes = []
@@ -178,7 +178,7 @@
         self.assertEqual(expected, {"node/n0": at(0, 2)})
 
     async def test_a_row_written_just_before_is_written_again_at_once(self):
-        """Guards against waiting until a row of the last era appears."""
+        """Guards against waiting until a row of the previous era appears."""
         await self.registry.write_missing(0)
         self.restore(KEY)
         self.registry._written_ms_by_key["node/n0"] = 0
--- a/tests/fleet/test_random_restores.py
+++ b/tests/fleet/test_random_restores.py
@@ -1,6 +1,6 @@
 """Restores of the store at random times between operators' and replicas' writes.
 
-More seeds by hand: ``python -m tests.fleet.test_random_restores 20``.
+Run more seeds by hand with ``python -m tests.fleet.test_random_restores 20``.
 """
 
 import asyncio
